--- a/crates/crocusdale_core/src/admission/admission_gate.rs
+++ b/crates/crocusdale_core/src/admission/admission_gate.rs
@@ -3,16 +3,17 @@
 use crate::configuration::{Declarations, LabelSet};
 use crate::pipeline::RefusalReason;
 
-/// Counts what runs, by workspace, by rule and in all.
+/// Limits how many requests run concurrently: in total, per workspace and per configured rule.
 #[derive(Debug)]
 pub struct AdmissionGate {
-    limit: usize,
+    max_running: usize,
     running: usize,
-    workspaces: HashMap<String, u32>,
-    rules: HashMap<String, u32>,
+    running_by_workspace: HashMap<String, u32>,
+    running_by_rule: HashMap<String, u32>,
 }
 
-/// The right of one request to run; given back with [`AdmissionGate::release`].
+/// Permission for one request to run. It counts against the limits until it is passed to
+/// [`AdmissionGate::release`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionPermit {
     workspace: String,
@@ -20,72 +21,80 @@
 }
 
 impl AdmissionGate {
-    /// Lets `limit` requests run at one time.
+    /// Creates a gate that lets at most `max_running` requests run concurrently.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
-        Self { limit, running: 0, workspaces: HashMap::new(), rules: HashMap::new() }
+    pub fn new(max_running: usize) -> Self {
+        Self {
+            max_running,
+            running: 0,
+            running_by_workspace: HashMap::new(),
+            running_by_rule: HashMap::new(),
+        }
     }
 
-    /// Number of requests that run.
+    /// Number of requests that hold a permit.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Admits a request of `workspace`.
+    /// Admits a request of `workspace` that carries `labels`. An empty `workspace` means that the
+    /// request belongs to none.
     ///
     /// # Errors
     ///
-    /// Returns the limit that is reached.
+    /// Returns the first limit that is exhausted: the total, the one of the workspace, or the one
+    /// of a rule that matches the labels.
     pub fn admit(
         &mut self,
         declarations: &Declarations,
         workspace: &str,
         labels: &LabelSet,
     ) -> Result<AdmissionPermit, RefusalReason> {
-        if self.running >= self.limit {
+        if self.running >= self.max_running {
             return Err(RefusalReason::RequestLimit);
         }
-        // A forwarded request of a public route belongs to no workspace.
-        let no_workspace = if workspace.is_empty() { u32::MAX } else { 0 };
+        // A forwarded request of a public route has no workspace, so it has no workspace limit. An
+        // undeclared workspace may run nothing.
+        let default_limit = if workspace.is_empty() { u32::MAX } else { 0 };
         let rules = declarations.workspace(workspace);
-        let bound = rules.map_or(no_workspace, |rules| rules.concurrency);
-        if count(&self.workspaces, workspace) >= bound {
+        let limit = rules.map_or(default_limit, |rules| rules.concurrency);
+        if count_of(&self.running_by_workspace, workspace) >= limit {
             return Err(RefusalReason::WorkspaceLimit);
         }
-        let limited =
+        let limited_rules =
             declarations.rules_for(labels).filter_map(|rule| Some((rule, rule.concurrency?)));
         let mut rules = Vec::new();
-        for (rule, bound) in limited {
-            if count(&self.rules, &rule.name) >= bound {
+        for (rule, limit) in limited_rules {
+            if count_of(&self.running_by_rule, &rule.name) >= limit {
                 return Err(RefusalReason::RuleLimit);
             }
             rules.push(rule.name.clone());
         }
         self.running += 1;
-        *self.workspaces.entry(workspace.to_owned()).or_default() += 1;
+        *self.running_by_workspace.entry(workspace.to_owned()).or_default() += 1;
         for rule in &rules {
-            *self.rules.entry(rule.clone()).or_default() += 1;
+            *self.running_by_rule.entry(rule.clone()).or_default() += 1;
         }
         Ok(AdmissionPermit { workspace: workspace.to_owned(), rules })
     }
 
-    /// Takes back a permit.
+    /// Releases the permit of a request that has ended.
     pub fn release(&mut self, permit: &AdmissionPermit) {
         debug_assert!(self.running > 0, "a permit is given back once");
         self.running = self.running.saturating_sub(1);
-        lower(&mut self.workspaces, &permit.workspace);
+        decrement(&mut self.running_by_workspace, &permit.workspace);
         for rule in &permit.rules {
-            lower(&mut self.rules, rule);
+            decrement(&mut self.running_by_rule, rule);
         }
     }
 }
 
-fn count(counts: &HashMap<String, u32>, name: &str) -> u32 {
+fn count_of(counts: &HashMap<String, u32>, name: &str) -> u32 {
     counts.get(name).copied().unwrap_or_default()
 }
 
-fn lower(counts: &mut HashMap<String, u32>, name: &str) {
+fn decrement(counts: &mut HashMap<String, u32>, name: &str) {
     if let Some(count) = counts.get_mut(name) {
         *count = count.saturating_sub(1);
         if *count == 0 {
--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -3,54 +3,57 @@
 use crate::identity::{CallId, MonotonicTime, RequestDigest};
 use crate::pipeline::RequestPlan;
 
-/// Requests that can't be in time, in the order in which they begin once there is room: the most
-/// urgent priority first, then whoever has the least time left.
+/// Queue of requests that cannot meet their latency objective. They start once there is spare
+/// capacity: by priority level, then by earliest deadline.
 ///
-/// Guards against late requests that take the place of those that can be in time, and against work for
-/// requests that never end: in a burst that is longer than the deadlines, all answers would be late.
+/// Guards against late requests that displace those which can still be in time. Also guards against
+/// work on requests that miss their deadline anyway: in a burst longer than the deadlines, every
+/// answer would be late.
 #[derive(Debug, Default)]
 pub struct EntryBacklog {
     waiting: BTreeMap<(u8, MonotonicTime, CallId), RequestPlan>,
 }
 
-/// Whether a request may begin.
+/// Admission decision for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum EntryVerdict {
-    /// It can be in time.
+    /// The request can meet its latency objective, so it starts.
     InTime,
-    /// It can only be late, and there is room for it.
+    /// The request will miss its latency objective, but there is spare capacity to run it.
     LateWithRoom,
-    /// It can only be late, and would be in the way of others.
+    /// The request will miss its latency objective and would delay others, so it waits.
     Late,
-    /// It can't be answered before its deadline.
+    /// The request cannot be answered before its deadline, so it is refused.
     Unservable,
 }
 
 impl EntryBacklog {
-    /// Lets the request of `call` wait.
+    /// Queues the request of `call`.
     pub fn wait(&mut self, call: CallId, plan: RequestPlan) {
         self.waiting.insert((plan.level, plan.deadline, call), plan);
     }
 
-    /// Takes the request of `call` out.
+    /// Removes the request of `call` from the queue and returns its plan, or `None` if it is not
+    /// queued.
     pub fn withdraw(&mut self, call: CallId) -> Option<RequestPlan> {
         let rank = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
         self.waiting.remove(&rank)
     }
 
-    /// Takes out the requests that need not wait any longer by `judge`, with its verdicts. Of those
-    /// that are late with room, at most `late` are taken.
+    /// Removes the requests that need not wait any longer, as classified by `decide`, and returns
+    /// each with its verdict. At most `max_late` requests with the verdict
+    /// [`EntryVerdict::LateWithRoom`] are removed.
     pub fn take(
         &mut self,
-        late: usize,
-        mut judge: impl FnMut(&RequestPlan) -> EntryVerdict,
+        max_late: usize,
+        mut decide: impl FnMut(&RequestPlan) -> EntryVerdict,
     ) -> Vec<(CallId, RequestPlan, EntryVerdict)> {
-        let mut late_left = late;
-        let mut ranks = Vec::new();
+        let mut late_left = max_late;
+        let mut ready = Vec::new();
         for (rank, plan) in &self.waiting {
-            let verdict = judge(plan);
-            let taken = match verdict {
+            let verdict = decide(plan);
+            let is_ready = match verdict {
                 EntryVerdict::InTime | EntryVerdict::Unservable => true,
                 EntryVerdict::LateWithRoom if late_left > 0 => {
                     late_left -= 1;
@@ -58,36 +61,36 @@
                 }
                 EntryVerdict::LateWithRoom | EntryVerdict::Late => false,
             };
-            if taken {
-                ranks.push((*rank, verdict));
+            if is_ready {
+                ready.push((*rank, verdict));
             }
         }
-        let take = |(rank, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
+        let remove = |(rank, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
             let plan = self.waiting.remove(&rank)?;
             Some((rank.2, plan, verdict))
         };
-        ranks.into_iter().filter_map(take).collect()
+        ready.into_iter().filter_map(remove).collect()
     }
 
-    /// Takes the requests out that are like `digest`.
+    /// Removes all requests whose digest equals `digest`.
     pub fn take_like(&mut self, digest: RequestDigest) -> Vec<(CallId, RequestPlan)> {
-        let like = self.waiting.extract_if(.., |_, plan| plan.digest == digest);
-        like.map(|((_, _, call), plan)| (call, plan)).collect()
+        let matching = self.waiting.extract_if(.., |_, plan| plan.digest == digest);
+        matching.map(|((_, _, call), plan)| (call, plan)).collect()
     }
 
-    /// Takes all requests out.
+    /// Removes all requests.
     pub fn take_all(&mut self) -> Vec<(CallId, RequestPlan)> {
         let all = std::mem::take(&mut self.waiting);
         all.into_iter().map(|((_, _, call), plan)| (call, plan)).collect()
     }
 
-    /// Number of requests that wait.
+    /// Number of requests in the queue.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no request waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/crates/crocusdale_core/src/admission/mod.rs
+++ b/crates/crocusdale_core/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Admission control: what may run at one time, and what waits to begin.
+//! Admission control: limits on concurrent requests, the queue of late requests, and the detection
+//! of workspaces that flood the daemon.
 
 mod admission_gate;
 mod entry_backlog;
