--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -1,68 +1,75 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{CrashLog, CrashRecord, SuccessMemory, UpstreamEnd};
+use super::{CrashLog, CrashRecord, RecentSuccesses, UpstreamEnd};
 use crate::identity::{MonotonicTime, RequestDigest};
 
-/// Time within which a declared upstream that ends again under one request is taken to have ended once,
-/// seen by two attempts. It takes longer to come back.
-const SAME_END: Duration = Duration::from_secs(2);
+/// Time within which a second crash of one declared upstream under the same request counts as the
+/// same crash, reported by two attempts. A restart of an upstream takes longer.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(2);
 
-/// What this daemon makes of attempts that broke off, and what it has to tell others of it.
+/// Decides which requests crash upstreams, and collects the crash records that other daemons have
+/// yet to receive.
 ///
-/// An attempt that breaks off proves little: connections are reset, answers are lost or spoiled, and
-/// upstreams end by chance under all that they run. So the upstream is looked at first, and only if it
-/// has ended is the request suspected; a whole answer to a request like it clears it.
+/// A failed attempt alone is weak evidence: connections are reset, answers are lost or corrupted,
+/// and an upstream may crash by chance under everything that it runs. So the upstream is probed
+/// first, and only if it has crashed is the request suspected. A complete answer to a request with
+/// the same digest clears the suspicion.
 #[derive(Debug)]
 pub struct CrashDetector {
     own_vm: String,
-    /// Whether each life of an upstream has a name of its own.
-    lives_have_names: bool,
+    /// Whether each process of an upstream has a unique name. If not, a restarted upstream keeps
+    /// its name.
+    has_instance_names: bool,
     log: CrashLog,
-    successes: SuccessMemory,
-    /// Requests whose attempts broke off at upstreams that are being looked at.
+    successes: RecentSuccesses,
+    /// Requests whose attempts failed at an upstream that is being probed, by the name of the
+    /// upstream.
     suspects: HashMap<String, BTreeSet<RequestDigest>>,
-    /// Requests of which others have not been told what is known here.
-    fresh: BTreeSet<RequestDigest>,
-    /// When an upstream last ended under a request, as this daemon saw it.
-    own_ends: HashMap<(RequestDigest, String), (MonotonicTime, u32)>,
+    /// Requests whose latest records have not been sent to other daemons.
+    unsent: BTreeSet<RequestDigest>,
+    /// Time of the last crash of an upstream under a request and the number of such crashes, as
+    /// observed by this daemon.
+    observed_crashes: HashMap<(RequestDigest, String), (MonotonicTime, u32)>,
 }
 
-/// What came of news about requests.
+/// Changes that result from new evidence about requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashVerdict {
-    /// Requests that are quarantined from now on, or for longer than before.
+    /// Requests whose quarantine has started or been extended.
     pub quarantined: Vec<RequestDigest>,
-    /// Requests that no longer are.
+    /// Requests whose quarantine has been lifted.
     pub lifted: Vec<RequestDigest>,
-    /// Whether others must be told.
+    /// Whether there are records that other daemons must receive.
     pub has_news: bool,
 }
 
 impl CrashDetector {
-    /// Knows nothing yet, on `own_vm`. Published upstreams have another name in each life.
+    /// Creates a detector without records for the daemon on `own_vm`. `has_instance_names` tells
+    /// whether each process of an upstream has a unique name, as published upstreams do.
     #[must_use]
-    pub fn new(own_vm: &str, lives_have_names: bool) -> Self {
+    pub fn new(own_vm: &str, has_instance_names: bool) -> Self {
         Self {
             own_vm: own_vm.to_owned(),
-            lives_have_names,
+            has_instance_names,
             log: CrashLog::default(),
-            successes: SuccessMemory::default(),
+            successes: RecentSuccesses::default(),
             suspects: HashMap::new(),
-            fresh: BTreeSet::new(),
-            own_ends: HashMap::new(),
+            unsent: BTreeSet::new(),
+            observed_crashes: HashMap::new(),
         }
     }
 
-    /// An attempt at `upstream` broke off. Returns whether the upstream must be looked at: one look
-    /// serves all attempts that break off meanwhile.
+    /// Records that an attempt at `upstream` failed. Returns whether the upstream must be probed
+    /// now: a running probe serves all attempts that fail in the meantime.
     pub fn suspect(&mut self, digest: RequestDigest, upstream: &str) -> bool {
-        let is_new = !self.suspects.contains_key(upstream);
+        let needs_probe = !self.suspects.contains_key(upstream);
         self.suspects.entry(upstream.to_owned()).or_default().insert(digest);
-        is_new
+        needs_probe
     }
 
-    /// The upstream was looked at.
+    /// Handles the result of probing `upstream`. If it has crashed, all requests whose attempts
+    /// failed there are suspected.
     pub fn probed(
         &mut self,
         upstream: &str,
@@ -72,126 +79,130 @@
         let suspects = self.suspects.remove(upstream).unwrap_or_default();
         let mut verdict = CrashVerdict::default();
         for digest in suspects.into_iter().filter(|_| has_crashed) {
-            if self.successes.knows(digest, now) {
+            if self.successes.contains(digest, now) {
                 continue;
             }
-            let Some(end) = self.name_end(digest, upstream, now) else { continue };
-            let before = self.log.quarantine(digest, now);
-            if self.log.note_end(digest, end, now) {
-                self.fresh.insert(digest);
+            let Some(crash) = self.crash_id(digest, upstream, now) else { continue };
+            let quarantine_before = self.log.quarantine(digest, now);
+            if self.log.note_end(digest, crash, now) {
+                self.unsent.insert(digest);
                 verdict.has_news = true;
             }
-            if self.log.quarantine(digest, now) > before {
+            if self.log.quarantine(digest, now) > quarantine_before {
                 verdict.quarantined.push(digest);
             }
         }
         verdict
     }
 
-    /// A request like this was answered whole.
+    /// Records a complete answer to a request with `digest`, which clears it.
     pub fn succeeded(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
-        self.successes.note(digest, now);
+        self.successes.record(digest, now);
         let mut verdict = CrashVerdict::default();
         let was_quarantined = self.log.quarantine(digest, now).is_some();
         if self.log.clear(digest, now) {
-            self.fresh.insert(digest);
+            self.unsent.insert(digest);
             verdict.has_news = true;
             verdict.lifted.extend(was_quarantined.then_some(digest));
         }
         verdict
     }
 
-    /// Takes what another daemon tells.
+    /// Merges the crash records of another daemon.
     pub fn take(&mut self, records: &[CrashRecord], now: MonotonicTime) -> CrashVerdict {
         let mut verdict = CrashVerdict::default();
         for record in records {
             let digest = record.digest;
-            let before = self.log.quarantine(digest, now);
+            let quarantine_before = self.log.quarantine(digest, now);
             if !self.log.take(record, now) {
                 continue;
             }
-            if record.cleared.is_none() && self.successes.knows(digest, now) {
-                // Here it was answered whole of late, which the others do not know.
+            if record.cleared.is_none() && self.successes.contains(digest, now) {
+                // This daemon has recently seen a complete answer to the request, which the sender
+                // of the record has not.
                 verdict.has_news |= self.log.clear(digest, now);
-                self.fresh.insert(digest);
+                self.unsent.insert(digest);
             }
-            let after = self.log.quarantine(digest, now);
-            if after > before {
+            let quarantine_after = self.log.quarantine(digest, now);
+            if quarantine_after > quarantine_before {
                 verdict.quarantined.push(digest);
-            } else if after.is_none() && before.is_some() {
+            } else if quarantine_after.is_none() && quarantine_before.is_some() {
                 verdict.lifted.push(digest);
             }
         }
         verdict
     }
 
-    /// Time for which a request like this is still not sent on, if it is quarantined.
+    /// Remaining time for which requests with `digest` are refused, or `None` if they are not
+    /// quarantined.
     #[must_use]
     pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         self.log.quarantine(digest, now)
     }
 
-    /// Number of upstreams that ended under a request like this.
+    /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
     pub fn ends(&self, digest: RequestDigest) -> usize {
         self.log.ends(digest)
     }
 
-    /// Requests that are quarantined.
+    /// Digests of all quarantined requests.
     #[must_use]
     pub fn quarantined(&self, now: MonotonicTime) -> Vec<RequestDigest> {
         self.log.quarantined(now)
     }
 
-    /// See [`CrashLog::summary`].
+    /// Order-independent hash of all records. See [`CrashLog::summary`].
     #[must_use]
     pub fn summary(&self) -> u64 {
         self.log.summary()
     }
 
-    /// Takes out what others have not been told.
+    /// Returns the records that other daemons have not received, and marks them as sent.
     pub fn take_fresh(&mut self, now: MonotonicTime) -> Vec<CrashRecord> {
-        let fresh = std::mem::take(&mut self.fresh);
-        fresh.into_iter().filter_map(|digest| self.log.record(digest, now)).collect()
+        let unsent = std::mem::take(&mut self.unsent);
+        unsent.into_iter().filter_map(|digest| self.log.record(digest, now)).collect()
     }
 
-    /// All that is known, for a daemon that knows something else.
+    /// All records, for a daemon whose summary differs.
     #[must_use]
     pub fn records(&self, now: MonotonicTime) -> Vec<CrashRecord> {
         self.log.records(now)
     }
 
-    /// Forgets what is too old to count. Returns whether there was anything.
+    /// Removes expired records. Returns whether any was removed.
     pub fn forget(&mut self, now: MonotonicTime) -> bool {
-        let is_less = self.log.forget(now);
+        let has_removed = self.log.forget(now);
         let log = &self.log;
-        self.own_ends.retain(|(digest, _), _| log.ends(*digest) > 0);
-        is_less
+        self.observed_crashes.retain(|(digest, _), _| log.ends(*digest) > 0);
+        has_removed
     }
 
-    /// Number of this end of `upstream`, or `None` if it is one that was seen before.
+    /// Identifies a crash of `upstream` under a request. Returns `None` if the crash is already
+    /// counted.
     ///
-    /// Guards against a pool of two declared upstreams, which a request could crash in turn for good:
-    /// their names stay, so that there never were three ends. Only what this daemon saw end twice
-    /// counts twice, as the ages that others tell don't tell two ends apart.
-    fn name_end(
+    /// Guards against a pool of two declared upstreams that a request could crash in turn forever.
+    /// They keep their names over a restart, so the log would never count the three crashes of a
+    /// quarantine. A repeated crash counts again only if this daemon observed it: the ages in
+    /// records of other daemons are too coarse to tell two crashes apart.
+    fn crash_id(
         &mut self,
         digest: RequestDigest,
         upstream: &str,
         now: MonotonicTime,
     ) -> Option<u64> {
-        if self.lives_have_names {
+        if self.has_instance_names {
             return Some(UpstreamEnd::hash_of(upstream));
         }
-        let seen = self.own_ends.entry((digest, upstream.to_owned()));
-        let (last, times) = seen.or_insert((now, 0));
-        if *times > 0 && now.since(*last) < SAME_END {
+        let observed = self.observed_crashes.entry((digest, upstream.to_owned()));
+        let (last_seen, count) = observed.or_insert((now, 0));
+        if *count > 0 && now.since(*last_seen) < SAME_CRASH_WINDOW {
             return None;
         }
-        (*last, *times) = (now, *times + 1);
-        Some(match *times {
+        (*last_seen, *count) = (now, *count + 1);
+        Some(match *count {
             1 => UpstreamEnd::hash_of(upstream),
-            times => UpstreamEnd::hash_of(&format!("{upstream} {times} {}", self.own_vm)),
+            count => UpstreamEnd::hash_of(&format!("{upstream} {count} {}", self.own_vm)),
         })
     }
 }
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -1,35 +1,37 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::success_memory::CLEARED_LIFE;
+use super::recent_successes::CLEARANCE_TIME;
 use super::{CrashRecord, UpstreamEnd};
 use crate::identity::{MonotonicTime, RequestDigest, stable_hash};
 
-/// Upstreams that have ended under a request before it is quarantined.
+/// Number of upstream crashes under a request after which it is quarantined.
 ///
-/// One or two may end by chance under a request that is tried again. A third one, with not one whole
-/// answer in between, is the request's doing.
-const QUARANTINE_ENDS: usize = 3;
-/// Time for which it is not sent on, from the last end. Each trial costs an upstream and all that runs
-/// there. Long enough for operators to look; then the request may be harmless, as its upstreams may have
-/// been mended.
+/// One or two upstreams may crash by chance under a request that is retried. A third crash without
+/// any complete answer in between is caused by the request.
+const QUARANTINE_CRASHES: usize = 3;
+/// Duration of a quarantine, from the last crash. Each further trial would cost an upstream and
+/// everything that runs on it. The duration leaves operators time to investigate. After it the
+/// request may be harmless, because the upstreams may have been fixed.
 pub const QUARANTINE: Duration = Duration::from_secs(600);
-/// Time for which fewer ends are remembered, from the last one: longer than a caller pauses between two
-/// tries.
-const SUSPICION: Duration = Duration::from_secs(120);
-/// What is added to the time of this process, so that ends of before its start have a time too.
-const EPOCH: Duration = Duration::from_secs(3_600);
-/// Ends that are kept for one request: those of the quarantine and of what ran when it began. Of more,
-/// all daemons keep the same ones, those with the lowest numbers.
-const ENDS_LIMIT: usize = 8;
-/// Requests that are remembered. All that ran on a few upstreams that ended at one moment; more could
-/// not be told in one message.
-const REQUESTS_LIMIT: usize = 512;
-
-/// Upstreams that ended under requests, as far as this daemon saw or heard.
+/// Time after the last crash for which a request below the quarantine threshold stays in the log.
+/// It is longer than callers wait between two retries.
+const CRASH_RETENTION: Duration = Duration::from_secs(120);
+/// Offset added to the clock of this process, so that crashes from before its start have a valid
+/// time.
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
+/// Number of crashes kept for one request: those that led to the quarantine, and those of the
+/// attempts that were running when it began. Beyond it, all daemons keep the crashes with the
+/// lowest identifiers, so that their logs agree.
+const MAX_CRASHES_PER_REQUEST: usize = 8;
+/// Number of requests in the log. It is enough for everything that ran on a few upstreams that
+/// crashed at the same time. More would not fit into one message.
+const MAX_LOGGED_REQUESTS: usize = 512;
+
+/// Upstream crashes per request, as observed by this daemon or reported by others.
 ///
-/// Two daemons that have heard the same, in whatever order and how often, have logs with the same summary,
-/// unless it is of more requests than a log holds.
+/// Logs of daemons that received the same records have equal summaries, whatever the order and
+/// number of deliveries, unless the records exceed the capacity of a log.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     entries: HashMap<RequestDigest, LoggedRequest>,
@@ -37,158 +39,171 @@
 
 #[derive(Debug, Default)]
 struct LoggedRequest {
-    ends: Vec<(u64, MonotonicTime)>,
-    /// When a request like this was last known to be answered whole.
+    crashes: Vec<(u64, MonotonicTime)>,
+    /// Time of the last known complete answer to a request with this digest.
     cleared: Option<MonotonicTime>,
 }
 
 impl CrashLog {
-    /// Takes note that `upstream` ended under a request. Returns whether that is new.
+    /// Records that the upstream with the identifier `upstream` crashed under a request. Returns
+    /// whether the crash is new.
     pub fn note_end(&mut self, digest: RequestDigest, upstream: u64, now: MonotonicTime) -> bool {
-        self.add_end(digest, upstream, now + EPOCH)
+        self.add_crash(digest, upstream, now + CLOCK_OFFSET)
     }
 
-    /// A request like this was answered whole: what ended under it ended by chance. Returns whether
-    /// there was anything to clear.
+    /// Records a complete answer to a request with `digest`. Its crashes are attributed to chance
+    /// and removed. Returns whether there were any.
     pub fn clear(&mut self, digest: RequestDigest, now: MonotonicTime) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else { return false };
-        let had_ends = !entry.ends.is_empty();
-        entry.cleared = Some(now + EPOCH);
-        entry.ends.clear();
-        had_ends
+        let had_crashes = !entry.crashes.is_empty();
+        entry.cleared = Some(now + CLOCK_OFFSET);
+        entry.crashes.clear();
+        had_crashes
     }
 
-    /// Takes what another daemon tells. Returns whether anything of it was new.
+    /// Merges a record of another daemon. Returns whether it contained anything new.
     pub fn take(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
         let time = |age: Duration| {
-            MonotonicTime::from_start((now + EPOCH).since_start().saturating_sub(age))
+            MonotonicTime::from_start((now + CLOCK_OFFSET).since_start().saturating_sub(age))
         };
-        let mut news = false;
-        if let Some(age) = record.cleared.filter(|age| *age < CLEARED_LIFE) {
+        let mut has_news = false;
+        if let Some(age) = record.cleared.filter(|age| *age < CLEARANCE_TIME) {
             let entry = self.entries.entry(record.digest).or_default();
             if entry.cleared.is_none() {
                 entry.cleared = Some(time(age));
-                entry.ends.retain(|(_, end)| *end >= time(age) + CLEARED_LIFE);
-                news = true;
+                entry.crashes.retain(|(_, at)| *at >= time(age) + CLEARANCE_TIME);
+                has_news = true;
             }
         }
-        for end in &record.ends {
-            news |= self.add_end(record.digest, end.upstream, time(end.age));
+        for crash in &record.ends {
+            has_news |= self.add_crash(record.digest, crash.upstream, time(crash.age));
         }
-        news
+        has_news
     }
 
-    fn add_end(&mut self, digest: RequestDigest, upstream: u64, at: MonotonicTime) -> bool {
+    fn add_crash(&mut self, digest: RequestDigest, upstream: u64, at: MonotonicTime) -> bool {
         let known = self.entries.get(&digest);
-        if known.is_some_and(|entry| !entry.lacks(upstream, at)) {
+        if known.is_some_and(|entry| !entry.can_add_crash(upstream, at)) {
             return false;
         }
-        if known.is_none() && self.entries.len() >= REQUESTS_LIMIT {
-            self.make_room();
+        if known.is_none() && self.entries.len() >= MAX_LOGGED_REQUESTS {
+            self.evict_request();
         }
-        let ends = &mut self.entries.entry(digest).or_default().ends;
-        ends.push((upstream, at));
-        ends.sort_unstable();
-        ends.truncate(ENDS_LIMIT);
+        let crashes = &mut self.entries.entry(digest).or_default().crashes;
+        crashes.push((upstream, at));
+        crashes.sort_unstable();
+        crashes.truncate(MAX_CRASHES_PER_REQUEST);
         true
     }
 
-    /// Time for which a request like this is still not sent on, if it is quarantined.
+    /// Remaining time for which requests with `digest` are refused, or `None` if they are not
+    /// quarantined.
     #[must_use]
     pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         let entry = self.entries.get(&digest)?;
-        let left = entry.quarantine()?.saturating_sub((now + EPOCH).since(entry.last_end()?));
+        let left = entry
+            .quarantine_time()?
+            .saturating_sub((now + CLOCK_OFFSET).since(entry.last_crash()?));
         (!left.is_zero()).then_some(left)
     }
 
-    /// Number of upstreams that ended under a request like this.
+    /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
     pub fn ends(&self, digest: RequestDigest) -> usize {
-        self.entries.get(&digest).map_or(0, |entry| entry.ends.len())
+        self.entries.get(&digest).map_or(0, |entry| entry.crashes.len())
     }
 
-    /// Requests that are quarantined.
+    /// Digests of all quarantined requests.
     #[must_use]
     pub fn quarantined(&self, now: MonotonicTime) -> Vec<RequestDigest> {
         let digests = self.entries.keys().copied();
         digests.filter(|digest| self.quarantine(*digest, now).is_some()).collect()
     }
 
-    /// A number that is the same for logs with the same records, whatever their order and ages; 0 for
-    /// an empty one.
+    /// Hash over all records that does not depend on their order or their ages. An empty log has
+    /// the summary 0.
     #[must_use]
     pub fn summary(&self) -> u64 {
-        let rank = |(digest, entry): (&RequestDigest, &LoggedRequest)| {
-            let mut ends: Vec<u64> = entry.ends.iter().map(|(upstream, _)| *upstream).collect();
-            ends.sort_unstable();
-            stable_hash(&[&digest.to_string(), &format!("{ends:x?}/{}", entry.cleared.is_some())])
+        let entry_hash = |(digest, entry): (&RequestDigest, &LoggedRequest)| {
+            let mut crashes: Vec<u64> =
+                entry.crashes.iter().map(|(upstream, _)| *upstream).collect();
+            crashes.sort_unstable();
+            stable_hash(&[
+                &digest.to_string(),
+                &format!("{crashes:x?}/{}", entry.cleared.is_some()),
+            ])
         };
-        self.entries.iter().map(rank).fold(0, |summary, rank| summary ^ rank)
+        self.entries.iter().map(entry_hash).fold(0, |summary, entry_hash| summary ^ entry_hash)
     }
 
-    /// What is known of one request, to tell others.
+    /// The record of one request with current ages, to be sent to other daemons. `None` if the log
+    /// has no entry for `digest`.
     #[must_use]
     pub fn record(&self, digest: RequestDigest, now: MonotonicTime) -> Option<CrashRecord> {
         let entry = self.entries.get(&digest)?;
-        let age = |at: MonotonicTime| (now + EPOCH).since(at);
-        let end = |(upstream, at): &(u64, MonotonicTime)| UpstreamEnd {
+        let age = |at: MonotonicTime| (now + CLOCK_OFFSET).since(at);
+        let crash = |(upstream, at): &(u64, MonotonicTime)| UpstreamEnd {
             upstream: *upstream,
             age: age(*at),
         };
         Some(CrashRecord {
             digest,
-            ends: entry.ends.iter().map(end).collect(),
+            ends: entry.crashes.iter().map(crash).collect(),
             cleared: entry.cleared.map(age),
         })
     }
 
-    /// All that is known.
+    /// The records of all requests in the log.
     #[must_use]
     pub fn records(&self, now: MonotonicTime) -> Vec<CrashRecord> {
         self.entries.keys().filter_map(|digest| self.record(*digest, now)).collect()
     }
 
-    /// Forgets what is too old to count. Returns whether there was anything.
+    /// Removes expired entries. Returns whether any was removed.
     pub fn forget(&mut self, now: MonotonicTime) -> bool {
-        let before = self.entries.len();
-        self.entries.retain(|_, entry| entry.is_wanted(now + EPOCH));
-        self.entries.len() < before
-    }
-
-    /// Guards against a log that grows without bound where upstreams fail by the dozen: the request
-    /// with the fewest ends under it goes, and the oldest among these.
-    fn make_room(&mut self) {
-        let least = self.entries.iter();
-        let least =
-            least.min_by_key(|(digest, entry)| (entry.ends.len(), entry.last_end(), **digest));
-        if let Some(digest) = least.map(|(digest, _)| *digest) {
+        let old_len = self.entries.len();
+        self.entries.retain(|_, entry| entry.is_relevant(now + CLOCK_OFFSET));
+        self.entries.len() < old_len
+    }
+
+    /// Removes the request with the fewest crashes, and among these the one with the oldest last
+    /// crash.
+    ///
+    /// Guards against unbounded growth of the log when dozens of upstreams fail.
+    fn evict_request(&mut self) {
+        let candidates = self.entries.iter();
+        let weakest = candidates
+            .min_by_key(|(digest, entry)| (entry.crashes.len(), entry.last_crash(), **digest));
+        if let Some(digest) = weakest.map(|(digest, _)| *digest) {
             self.entries.remove(&digest);
         }
     }
 }
 
 impl LoggedRequest {
-    /// Whether the end of `upstream` at `at` counts and is not known.
-    fn lacks(&self, upstream: u64, at: MonotonicTime) -> bool {
-        let is_known = self.ends.iter().any(|(known, _)| *known == upstream);
-        let is_cleared = self.cleared.is_some_and(|cleared| at < cleared + CLEARED_LIFE);
-        let has_place =
-            self.ends.len() < ENDS_LIMIT || self.ends.iter().any(|(known, _)| *known > upstream);
-        !is_known && !is_cleared && has_place
+    /// Whether a crash of `upstream` at `at` must be added: it is not in the list yet, no complete
+    /// answer has cleared it, and the list has space for its identifier.
+    fn can_add_crash(&self, upstream: u64, at: MonotonicTime) -> bool {
+        let is_known = self.crashes.iter().any(|(known, _)| *known == upstream);
+        let is_cleared = self.cleared.is_some_and(|cleared| at < cleared + CLEARANCE_TIME);
+        let has_space = self.crashes.len() < MAX_CRASHES_PER_REQUEST
+            || self.crashes.iter().any(|(known, _)| *known > upstream);
+        !is_known && !is_cleared && has_space
     }
 
-    /// Time of its quarantine, from the last end.
-    fn quarantine(&self) -> Option<Duration> {
-        (self.ends.len() >= QUARANTINE_ENDS).then_some(QUARANTINE)
+    /// Duration of the quarantine from the last crash, or `None` below the quarantine threshold.
+    fn quarantine_time(&self) -> Option<Duration> {
+        (self.crashes.len() >= QUARANTINE_CRASHES).then_some(QUARANTINE)
     }
 
-    fn last_end(&self) -> Option<MonotonicTime> {
-        self.ends.iter().map(|(_, at)| *at).max()
+    fn last_crash(&self) -> Option<MonotonicTime> {
+        self.crashes.iter().map(|(_, at)| *at).max()
     }
 
-    fn is_wanted(&self, now: MonotonicTime) -> bool {
-        let life = self.quarantine().unwrap_or_default().max(SUSPICION);
-        let by_ends = self.last_end().is_some_and(|last| now.since(last) < life);
-        by_ends || self.cleared.is_some_and(|cleared| now.since(cleared) < CLEARED_LIFE)
+    fn is_relevant(&self, now: MonotonicTime) -> bool {
+        let retention = self.quarantine_time().unwrap_or_default().max(CRASH_RETENTION);
+        let has_recent_crashes = self.last_crash().is_some_and(|last| now.since(last) < retention);
+        has_recent_crashes
+            || self.cleared.is_some_and(|cleared| now.since(cleared) < CLEARANCE_TIME)
     }
 }
--- a/crates/crocusdale_core/src/quarantine/crash_record.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_record.rs
@@ -2,28 +2,29 @@
 
 use crate::identity::{RequestDigest, stable_hash};
 
-/// What one daemon tells another of the upstreams that ended under one request.
+/// Report about one request, which one daemon sends to another: the upstreams that crashed under
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// The request.
+    /// Digest that the request shares with its retries.
     pub digest: RequestDigest,
-    /// Upstreams that ended while they ran it.
+    /// Upstreams that crashed while they ran the request.
     pub ends: Vec<UpstreamEnd>,
-    /// Time since the request is known to have been answered whole, if it was.
+    /// Time since the last known complete answer to the request, or `None` if there was none.
     pub cleared: Option<Duration>,
 }
 
-/// The end of one upstream.
+/// The crash of one upstream under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamEnd {
-    /// Hash of the upstream's name; lives of a published upstream have names of their own.
+    /// Hash of the upstream's name. Each process of a published upstream has a unique name.
     pub upstream: u64,
-    /// Time since its end.
+    /// Time since the crash.
     pub age: Duration,
 }
 
 impl UpstreamEnd {
-    /// Number by which the upstream `name` is known in records.
+    /// Identifier under which the upstream with the name `name` appears in crash records.
     #[must_use]
     pub fn hash_of(name: &str) -> u64 {
         stable_hash(&[name])
--- a/crates/crocusdale_core/src/quarantine/mod.rs
+++ b/crates/crocusdale_core/src/quarantine/mod.rs
@@ -1,15 +1,16 @@
-//! Requests that crash the upstreams which run them, and how a fleet stops sending them on.
+//! Quarantine of requests that crash the upstreams which run them.
 //!
-//! A caller repeats such a request with another key and the same content, at any daemon. What its
-//! repeats share is a [`RequestDigest`](crate::identity::RequestDigest); under it the daemons count
-//! together the upstreams that ended while they ran it; the third one stops it for [`QUARANTINE`].
+//! Callers retry such a request with a new key and the same content, at any daemon. All retries
+//! share one [`RequestDigest`](crate::identity::RequestDigest), under which the daemons jointly
+//! count the upstreams that crashed. After the third crash the request is refused for
+//! [`QUARANTINE`].
 
 mod crash_detector;
 mod crash_log;
 mod crash_record;
-mod success_memory;
+mod recent_successes;
 
 pub use crash_detector::{CrashDetector, CrashVerdict};
 pub use crash_log::{CrashLog, QUARANTINE};
 pub use crash_record::{CrashRecord, UpstreamEnd};
-pub use success_memory::SuccessMemory;
+pub use recent_successes::RecentSuccesses;
