--- a/crates/crocusdale_core/src/batching/batch_call.rs
+++ b/crates/crocusdale_core/src/batching/batch_call.rs
@@ -3,70 +3,73 @@
 use crate::identity::MonotonicTime;
 use crate::pipeline::{PieceSource, ResultHandle};
 
-/// Identity of one call of a batched upstream, within one process.
+/// Identifier of one batch call, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BatchId(pub u64);
 
-/// One call of a batched upstream, to be carried out.
+/// A batch call to be sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct BatchOrder {
-    /// Identity of the call.
+    /// Identifier of the call.
     pub batch: BatchId,
     /// Name of the upstream.
     pub upstream: String,
-    /// Identity of its process; whoever else listens at its address must not run the call.
+    /// Identifier of the upstream's process. Another process that listens at the address must not
+    /// run the call.
     pub process: String,
-    /// Where it listens.
+    /// Address at which the upstream listens.
     pub address: SocketAddr,
-    /// The pieces.
+    /// Pieces to process. The upstream answers in the same order.
     pub items: Vec<BatchItem>,
-    /// Time after which it must not be written any more: the upstream may have left since it was chosen.
+    /// Latest time at which the call may be written to the connection. Afterwards the upstream may
+    /// have been removed since it was chosen.
     pub write_by: MonotonicTime,
 }
 
-/// One piece of a call.
+/// One piece in a batch call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchItem {
-    /// Identity of the request, as its caller chose it.
+    /// Request identifier, as chosen by the caller.
     pub request: String,
-    /// Position of the step in its pipeline.
+    /// Index of the step in the pipeline.
     pub step: u32,
-    /// Position of the piece in its step.
+    /// Index of the piece in its step.
     pub piece: u32,
-    /// What it is made from.
+    /// Input of the piece.
     pub source: PieceSource,
-    /// Time after which its result is of no use.
+    /// Time after which the result is useless.
     pub expires: MonotonicTime,
 }
 
-/// How a call of a batched upstream ended.
+/// Outcome of a batch call.
 #[derive(Clone, Debug, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum BatchOutcome {
-    /// The upstream said what became of each piece, in the order of the call.
+    /// The upstream reported the outcome of each piece, in the order of the call.
     Answered(Vec<ItemOutcome>),
-    /// The upstream had no room for the call, and has not run it.
+    /// The upstream had no capacity for the call and did not run it.
     Declined,
-    /// Another process listens at the address.
+    /// Another process listens at the address, so the call was not run.
     WrongProcess,
-    /// No byte of the call was written.
+    /// The call failed before any byte of it was written.
     NotSent,
-    /// The call broke off, or its answer could not be read.
+    /// The call failed after it was written at least in part, or its answer could not be parsed.
+    /// The upstream may have run it.
     Broken,
 }
 
-/// What became of one piece.
+/// Outcome of one piece.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ItemOutcome {
-    /// It has a result.
+    /// The piece succeeded, and the upstream stores its result.
     Made(ResultHandle),
-    /// Its time was over at its turn.
+    /// The result would have been useless by the time the upstream reached the piece.
     Late,
-    /// A result that it needs no longer exists.
+    /// A result that the piece takes as input no longer exists.
     InputGone,
-    /// The upstream has no room for its result.
+    /// The upstream has no memory left for the result.
     NoRoom,
-    /// The upstream failed it.
+    /// The upstream failed to process the piece.
     Failed,
 }
--- a/crates/crocusdale_core/src/batching/pool_section.rs
+++ b/crates/crocusdale_core/src/batching/pool_section.rs
@@ -1,33 +1,35 @@
 use std::fmt;
 
-/// Upstreams of a section at most, about: what one daemon on a small share of a core can call.
-const SECTION_UPSTREAMS: usize = 48;
-/// Stands between a pool's name and the number of its section.
-const SECTION_MARK: char = '#';
-/// Stands between the number of a section and that of all.
-const COUNT_MARK: char = '/';
+/// Approximate maximum number of upstreams per section: as many as one daemon with a small share of
+/// a core can call.
+const MAX_SECTION_UPSTREAMS: usize = 48;
+/// Separator between the pool name and the section index in a section name.
+const SECTION_SEPARATOR: char = '#';
+/// Separator between the section index and the section count in a section name.
+const COUNT_SEPARATOR: char = '/';
 
-/// A part of a batched pool that has its own dispatcher.
+/// A shard of a batched pool, with its own dispatcher and upstreams.
 ///
-/// Guards against a pool whose dispatcher can't form calls as fast as its upstreams work on them. Its name
-/// says which part of how many it is, so that daemons which count another number of upstreams for a
-/// moment still agree on what belongs to it.
+/// Guards against a pool whose dispatcher cannot form calls as fast as the upstreams process them.
+/// The name of a section contains its index and the section count. So daemons that temporarily know
+/// a different number of upstreams still agree on which upstreams belong to a section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolSection {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
     index: usize,
     count: usize,
 }
 
 impl PoolSection {
-    /// Number of sections of a pool with `upstreams` upstreams: a power of two, so that it seldom changes.
+    /// Number of sections of a pool with `upstreams` upstreams. It is a power of two, so that it
+    /// seldom changes.
     #[must_use]
     pub fn count(upstreams: usize) -> usize {
-        upstreams.div_ceil(SECTION_UPSTREAMS).max(1).next_power_of_two()
+        upstreams.div_ceil(MAX_SECTION_UPSTREAMS).max(1).next_power_of_two()
     }
 
-    /// The section at `index` of `count`.
+    /// Creates the section at `index` of `count`. The index wraps around.
     #[must_use]
     pub fn new(pool: &str, index: usize, count: usize) -> Self {
         Self { pool: pool.to_owned(), index: index % count.max(1), count: count.max(1) }
@@ -38,30 +40,31 @@
         (0..count).map(move |index| Self::new(pool, index, count))
     }
 
-    /// The section that is called `name`; a name without a number is a whole pool.
+    /// Parses a section name. A name without index and count denotes a whole pool.
     #[must_use]
     pub fn named(name: &str) -> Self {
-        let parts = name.rsplit_once(SECTION_MARK).and_then(|(pool, rest)| {
-            let (index, count) = rest.split_once(COUNT_MARK)?;
+        let parts = name.rsplit_once(SECTION_SEPARATOR).and_then(|(pool, rest)| {
+            let (index, count) = rest.split_once(COUNT_SEPARATOR)?;
             Some((pool, index.parse().ok()?, count.parse().ok()?))
         });
         let (pool, index, count) = parts.unwrap_or((name, 0, 1));
         Self::new(pool, index, count)
     }
 
-    /// Whether the upstream whose name has `hash` belongs to it.
+    /// Whether an upstream belongs to the section, by the `hash` of its name.
     #[must_use]
     pub fn holds(&self, hash: u64) -> bool {
         hash % self.count as u64 == self.index as u64
     }
 
-    /// Whether it is one of the sections of a pool that has `count`.
+    /// Whether the section belongs to a pool with `count` sections.
     #[must_use]
     pub fn is_one_of(&self, count: usize) -> bool {
         self.count == count
     }
 
-    /// Two sections of `count` of which a request with `hash` takes the better one.
+    /// Two sections of `count` for a request with `hash`, which is sent to the one with the shorter
+    /// wait.
     #[must_use]
     pub fn candidates(pool: &str, count: usize, hash: u64) -> [Self; 2] {
         let count = count.max(1);
@@ -77,6 +80,6 @@
             return formatter.write_str(&self.pool);
         }
         let Self { pool, index, count } = self;
-        write!(formatter, "{pool}{SECTION_MARK}{index}{COUNT_MARK}{count}")
+        write!(formatter, "{pool}{SECTION_SEPARATOR}{index}{COUNT_SEPARATOR}{count}")
     }
 }
--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -3,74 +3,79 @@
 
 use crate::identity::MonotonicTime;
 
-/// Wait of a pool below which late requests may begin: less than half a call.
-const ROOM_WAIT: Duration = Duration::from_millis(120);
+/// Wait of on-time pieces up to which late requests are admitted: less than half of a call's
+/// duration.
+const MAX_WAIT_WITH_ROOM: Duration = Duration::from_millis(120);
 
-/// Wait of late pieces above which a pool is overloaded: longer than a call and its fellow pieces.
-const OVERLOAD_WAIT: Duration = Duration::from_millis(500);
+/// Wait of late pieces above which a pool is overloaded: longer than a call with other pieces in
+/// it.
+const MIN_OVERLOAD_WAIT: Duration = Duration::from_millis(500);
 
-/// How long new pieces would wait for their call in a pool.
+/// Expected wait of new pieces in a pool until their call starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolWait {
-    /// Those of a request that can still be in time.
+    /// Wait of pieces whose request can still be on time.
     pub in_time: Duration,
-    /// Those of a request that can only be late, by its priority level; less urgent levels than the
-    /// last one wait as long as that.
+    /// Wait of pieces whose request will be late, by its priority level, starting with the most
+    /// urgent level 0. Levels beyond the last entry wait as long as that.
     pub late: Vec<Duration>,
-    /// For how long the pool has had no room for late requests. A burst is taken to last for as long again.
+    /// Time for which the pool has been overloaded, or for which the overload is still expected to
+    /// last, whichever is longer. A burst is assumed to last as long again as it has lasted.
     pub overloaded: Duration,
-    /// Time of a call that is as full as calls were of late, zero if none is known.
+    /// Duration of a call with the recent average number of pieces. Zero if unknown.
     pub call: Duration,
 }
 
 impl PoolWait {
-    /// How long pieces of a late request of `level` would wait.
+    /// Expected wait of the pieces of a late request with the priority `level`.
     #[must_use]
     pub fn late_for(&self, level: u8) -> Duration {
         let known = self.late.get(usize::from(level)).or(self.late.last());
         known.copied().unwrap_or_default().max(self.in_time)
     }
 
-    /// Whether late requests may begin: those in time hardly feel them.
+    /// Whether there is spare capacity for late requests, so that they hardly delay on-time ones.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.in_time <= ROOM_WAIT
+        self.in_time <= MAX_WAIT_WITH_ROOM
     }
 
-    /// Whether late requests wait for long.
+    /// Whether late requests have a long wait or are not admitted.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        !self.has_room() || self.late_for(u8::MAX) > OVERLOAD_WAIT
+        !self.has_room() || self.late_for(u8::MAX) > MIN_OVERLOAD_WAIT
     }
 
-    /// When a caller that is refused now should find room: once all that waits is made, and the overload is
-    /// over.
+    /// Time after which a refused caller should retry: by then, all queued work should be done and
+    /// the overload over.
     ///
-    /// Guards against callers that come back in vain.
+    /// Guards against callers that retry in vain.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         self.late_for(u8::MAX).max(self.overloaded)
     }
 
-    /// The wait when `age` has passed without news.
+    /// Estimate of the wait after `age` has passed without an update.
     #[must_use]
     pub fn after(&self, age: Duration) -> Self {
-        let left = |wait: &Duration| wait.saturating_sub(age);
-        let late = self.late.iter().map(left).collect();
-        Self { in_time: left(&self.in_time), late, ..self.clone() }
+        let remaining = |wait: &Duration| wait.saturating_sub(age);
+        let late = self.late.iter().map(remaining).collect();
+        Self { in_time: remaining(&self.in_time), late, ..self.clone() }
     }
 }
 
-/// How long new pieces would wait in each batched pool, by the last word of its dispatcher.
+/// Expected wait of new pieces in each section of the batched pools, as last reported by its
+/// dispatcher.
 ///
-/// Dispatchers tell it with each answer, so that it is as recent as the last use of the pool.
+/// Dispatchers report it with each answer, so the estimate is as recent as the last use of the
+/// section.
 #[derive(Debug, Default)]
 pub struct PoolWaits {
     waits: HashMap<String, (PoolWait, MonotonicTime)>,
 }
 
 impl PoolWaits {
-    /// Takes the word of the dispatcher of `pool`.
+    /// Stores the report of the dispatcher of `pool`.
     pub fn note(&mut self, pool: &str, wait: PoolWait, now: MonotonicTime) {
         match self.waits.get_mut(pool) {
             Some(known) => *known = (wait, now),
@@ -80,8 +85,8 @@
         }
     }
 
-    /// How long new pieces would wait in `pool`. A queue of which nothing was heard since gets
-    /// shorter by the time that has passed.
+    /// Expected wait of new pieces in `pool`, zero if unknown. The last report is reduced by the
+    /// time that has passed since.
     #[must_use]
     pub fn wait(&self, pool: &str, now: MonotonicTime) -> PoolWait {
         let known = self.waits.get(pool);
