--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -11,77 +11,80 @@
 use crate::retry::RetryLimits;
 use crate::routing::{DirectoryEntry, UpstreamDirectory};
 
-/// Dispatchers that a pool may have at one time, for the retry budget: while members disagree on
-/// the dispatcher, two daemons spend.
-const DISPATCHERS: usize = 2;
+/// Number of daemons that may dispatch a pool at the same time, for dividing the retry budget. Two
+/// daemons spend retries while members disagree on the dispatcher.
+const MAX_DISPATCHERS_PER_POOL: usize = 2;
 
-/// The batched pools that this daemon dispatches, or would if it were asked to.
+/// Forms the batch calls of all pool sections that this daemon dispatches, and keeps the sections
+/// ready that it could be asked to dispatch.
 #[derive(Debug, Default)]
 pub struct BatchDispatcher {
-    /// By the names of their sections.
+    /// State of each section, by section name.
     pools: HashMap<String, BatchPool>,
-    /// Published upstreams of each pool that stay, with the hashes of their names.
+    /// Published upstreams of each pool that are not leaving, with the hash of their names.
     upstreams: HashMap<String, Vec<(u64, DirectoryEntry)>>,
-    /// Section of each open call.
-    calls: HashMap<BatchId, String>,
+    /// Section name of each batch call in flight.
+    call_sections: HashMap<BatchId, String>,
     retries: RetryLimits,
-    /// Upstreams that have named a rate.
+    /// Token buckets of the upstreams that have announced a rate limit.
     limiter: Arc<RateLimiter>,
-    /// Whether no call may be formed, because it is not known which upstreams stay.
-    held: bool,
-    next: u64,
+    /// Whether forming calls is paused, because the list of available upstreams is unreliable.
+    is_paused: bool,
+    last_batch_id: u64,
 }
 
-/// What a dispatcher wants done.
+/// Action that the dispatcher requests from its daemon.
 #[derive(Debug)]
 pub enum DispatchStep {
-    /// Call an upstream.
+    /// Send a batch call.
     Call(BatchOrder),
-    /// Give up a call, and close its connection.
+    /// Cancel a batch call and close its connection.
     Cancel(BatchId),
-    /// Tell whoever offered them what became of pieces.
+    /// Report the outcome of a step's pieces to the daemon that submitted them.
     Settle {
-        /// Attempt that the pieces were for.
+        /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Their pool.
+        /// Section of the pool that processed the pieces.
         pool: String,
-        /// Their results in order, or why there are none.
+        /// Results in the order of the pieces, or the reason why there are none.
         outcome: Result<Vec<PlacedResult>, PieceFault>,
     },
-    /// Give up results of another pool that were fetched.
+    /// Free the results of another pool, which upstreams have fetched as inputs.
     FreeInputs {
-        /// Pool whose upstreams hold them.
+        /// Section of the pool whose upstreams store the results.
         pool: String,
-        /// The results.
+        /// Results to free.
         results: Vec<ResultHandle>,
     },
-    /// Give up results, but for those that lie at upstreams that name a rate.
+    /// Free results, except those stored at upstreams with a rate limit.
     Free {
-        /// The results.
+        /// Results to free.
         results: Vec<ResultHandle>,
-        /// Addresses of those upstreams.
+        /// Addresses of the upstreams with a rate limit. Their requests are spent on calls, so
+        /// their results expire instead.
         spared: Vec<SocketAddr>,
     },
-    /// Look at an upstream that broke off a call, and suspect a request of that call if it has ended.
+    /// Probe an upstream after a failed call. If the upstream has crashed, suspect a request of
+    /// that call.
     Suspect {
-        /// What the request has in common with its repeats.
+        /// Digest that the request shares with its retries.
         digest: RequestDigest,
         /// Name of the upstream.
         upstream: String,
-        /// Where it listens.
+        /// Address at which the upstream listens.
         address: SocketAddr,
     },
-    /// Ask an upstream how much of its memory for results is free.
+    /// Query an upstream for its free memory for results.
     AskRoom {
         /// Name of the upstream.
         upstream: String,
-        /// Where it listens.
+        /// Address at which the upstream listens.
         address: SocketAddr,
     },
 }
 
 impl DispatchStep {
-    /// Tells that pieces have no results.
+    /// Reports that the pieces of `attempt` have failed with `fault`.
     #[must_use]
     pub fn fail(attempt: AttemptId, pool: &str, fault: PieceFault) -> Self {
         Self::Settle { attempt, pool: pool.to_owned(), outcome: Err(fault) }
@@ -89,22 +92,24 @@
 }
 
 impl BatchDispatcher {
-    /// Sets how many retries the daemons may make together.
+    /// Sets the retry limits that all daemons share.
     pub fn set_retries(&mut self, limits: RetryLimits) {
         self.retries = limits;
     }
 
-    /// Sets what knows the upstreams that have named a rate.
+    /// Sets the rate limiter, which knows the upstreams that have announced a rate limit.
     pub fn set_limiter(&mut self, limiter: Arc<RateLimiter>) {
         self.limiter = limiter;
     }
 
-    /// Sets whether no call may be formed, because it is not known which upstreams stay.
-    pub fn hold(&mut self, held: bool) {
-        self.held = held;
+    /// Pauses or resumes forming calls. Calls are paused while the list of available upstreams is
+    /// unreliable.
+    pub fn hold(&mut self, is_paused: bool) {
+        self.is_paused = is_paused;
     }
 
-    /// Takes pools and upstreams as they are now, of which those `away` want nothing for a while.
+    /// Applies the current pools and upstreams. Each upstream in `away` asked not to be called
+    /// until the given time.
     pub fn reconfigure(
         &mut self,
         declarations: &Declarations,
@@ -121,24 +126,25 @@
             for section in PoolSection::all(name, self.sections(name)) {
                 self.open_section(&section, rules, now);
             }
-            // Sections of before still hold work, and share their upstreams with those of now.
+            // Sections of a previous section count may still hold work. They share their upstreams
+            // with the current sections.
             let pools = self.pools.iter_mut().map(|(name, pool)| (PoolSection::named(name), pool));
             for (section, pool) in pools.filter(|(section, _)| section.pool == name) {
                 pool.set_rules(rules);
-                pool.set_upstreams(upstreams_of(&section, &self.upstreams), now);
+                pool.set_upstreams(section_upstreams(&section, &self.upstreams), now);
             }
         }
-        let declared = |pool: &str| {
+        let is_declared = |pool: &str| {
             declarations.stage(pool).is_some_and(|stage| matches!(stage.kind, PoolKind::Batch(_)))
         };
-        self.upstreams.retain(|name, _| declared(name));
+        self.upstreams.retain(|name, _| is_declared(name));
         for (upstream, until) in away {
             self.stay_away(upstream, *until);
         }
         self.turn(now, steps);
     }
 
-    /// Closes sections that are none of a pool's any more, once they are idle.
+    /// Removes idle sections that are not part of their pool's current section count.
     fn close_sections(&mut self) {
         let upstreams = &self.upstreams;
         self.pools.retain(|name, pool| {
@@ -148,7 +154,7 @@
         });
     }
 
-    /// Number of sections of `pool`, by the upstreams that are known here.
+    /// Number of sections of `pool`, derived from the upstreams known to this daemon.
     #[must_use]
     pub fn sections(&self, pool: &str) -> usize {
         PoolSection::count(self.upstreams.get(pool).map_or(0, Vec::len))
@@ -159,14 +165,15 @@
         if self.pools.contains_key(&name) {
             return;
         }
-        let budget = self.retries.budget(DISPATCHERS * self.sections(&section.pool));
+        let budget = self.retries.budget(MAX_DISPATCHERS_PER_POOL * self.sections(&section.pool));
         let mut pool = BatchPool::new(rules, budget).limiter(Arc::clone(&self.limiter));
-        pool.set_upstreams(upstreams_of(section, &self.upstreams), now);
+        pool.set_upstreams(section_upstreams(section, &self.upstreams), now);
         self.pools.insert(name, pool);
     }
 
-    /// Opens a section that a daemon with another list asks for, if its pool is known.
-    fn open_foreign(&mut self, name: &str, now: MonotonicTime) {
+    /// Opens a section that another daemon with a different upstream list has submitted pieces to.
+    /// Does nothing if the pool is unknown.
+    fn open_unlisted_section(&mut self, name: &str, now: MonotonicTime) {
         let section = PoolSection::named(name);
         let mut known = self.pools.iter();
         let known = known.find(|(known, _)| PoolSection::named(known).pool == section.pool);
@@ -175,7 +182,8 @@
         }
     }
 
-    /// Takes the pieces of a step, whose request `ends` upstreams ended under.
+    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
+    /// their request.
     pub fn offer(
         &mut self,
         order: PieceOrder,
@@ -185,52 +193,53 @@
     ) {
         let name = order.pool.clone();
         if !self.pools.contains_key(&name) {
-            self.open_foreign(&name, now);
+            self.open_unlisted_section(&name, now);
         }
         let Some(pool) = self.pools.get_mut(&name) else {
             steps.push(DispatchStep::fail(order.attempt, &name, PieceFault::NoUpstream));
             return;
         };
         pool.offer(order, ends, now, steps);
-        self.turn_pool(&name, now, steps);
+        self.advance_section(&name, now, steps);
     }
 
-    /// Gives up the pieces of requests like `digest`, under which upstreams ended.
+    /// Fails the pieces of all requests with `digest`, under which upstreams have crashed.
     pub fn end_quarantined(&mut self, digest: RequestDigest, steps: &mut Vec<DispatchStep>) {
         for pool in self.pools.values_mut() {
             pool.end_quarantined(digest, steps);
         }
     }
 
-    /// Nobody wants the results for `attempt` any more.
+    /// Drops the pieces of `attempt`, whose results are no longer needed.
     pub fn withdraw(&mut self, attempt: AttemptId, pool: &str) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.withdraw(attempt);
         }
     }
 
-    /// Nobody needs `results` of `pool` any more.
+    /// Marks `results` of `pool` as no longer needed.
     pub fn release(&mut self, pool: &str, results: Vec<ResultHandle>) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.release(results);
         }
     }
 
-    /// Has unwanted results given up, and forms calls that take their room.
+    /// Requests that unneeded results be freed, and forms calls that use the memory of those freed
+    /// before.
     pub fn turn_unwanted(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
             if let Some(pool) = self.pools.get_mut(&name) {
-                pool.free_fetched(now, steps);
+                pool.free_fetched_inputs(now, steps);
             }
-            let freed = self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(steps));
-            if freed {
-                self.turn_pool(&name, now, steps);
+            let has_freed = self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(steps));
+            if has_freed {
+                self.advance_section(&name, now, steps);
             }
         }
     }
 
-    /// Takes the end of a call.
+    /// Handles the outcome of a batch call. Outcomes of unknown calls are ignored.
     pub fn answered(
         &mut self,
         batch: BatchId,
@@ -238,14 +247,15 @@
         now: MonotonicTime,
         steps: &mut Vec<DispatchStep>,
     ) {
-        let Some(name) = self.calls.remove(&batch) else { return };
+        let Some(name) = self.call_sections.remove(&batch) else { return };
         if let Some(pool) = self.pools.get_mut(&name) {
             pool.answered(batch, outcome, now, steps);
         }
-        self.turn_pool(&name, now, steps);
+        self.advance_section(&name, now, steps);
     }
 
-    /// An upstream said how many bytes for results are free there, or nothing.
+    /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
+    /// the query.
     pub fn room_told(
         &mut self,
         upstream: &str,
@@ -253,69 +263,69 @@
         now: MonotonicTime,
         steps: &mut Vec<DispatchStep>,
     ) {
-        let with_it = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
-        let names: Vec<String> = with_it
+        let owners = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
+        let names: Vec<String> = owners
             .map(|(name, pool)| {
                 pool.room_told(upstream, free, now);
                 name.clone()
             })
             .collect();
         for name in names {
-            self.turn_pool(&name, now, steps);
+            self.advance_section(&name, now, steps);
         }
     }
 
-    /// `upstream` wants nothing until `until`.
+    /// Sends nothing to `upstream` until `until`, as it has requested.
     pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
         for pool in self.pools.values_mut() {
             pool.stay_away(upstream, until);
         }
     }
 
-    /// This process was paused for `pause` until now.
+    /// Adjusts all timers after a pause of this process that lasted `pause` and ends now.
     pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
         for pool in self.pools.values_mut() {
             pool.woke(pause, now);
         }
     }
 
-    /// Pools with upstreams that name a rate.
+    /// Names of the sections that have an upstream with a rate limit.
     #[must_use]
     pub fn limited_pools(&self) -> Vec<String> {
         let limited = self.pools.iter().filter(|(_, pool)| pool.has_limits());
         limited.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Sets whether this daemon is the dispatcher of `pool`, as far as it knows.
+    /// Sets whether this daemon considers itself the only dispatcher of the section `pool`.
     pub fn set_sole(&mut self, pool: &str, is_sole: bool, now: MonotonicTime) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.set_sole(is_sole, now);
         }
     }
 
-    /// Hands over what waits in `pool`, which another daemon dispatches now.
+    /// Returns the undispatched pieces of the section `pool`, which another daemon now dispatches.
     pub fn hand_over(&mut self, pool: &str, steps: &mut Vec<DispatchStep>) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.hand_over(steps);
         }
     }
 
-    /// Lets time pass for all pools.
+    /// Handles timeouts of all sections, and forms calls.
     pub fn turn(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
         self.close_sections();
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
-            self.turn_pool(&name, now, steps);
+            self.advance_section(&name, now, steps);
         }
     }
 
-    /// How long new pieces would wait in `pool`.
+    /// Expected wait of new pieces in the section `pool`.
     #[must_use]
     pub fn expected_wait(&mut self, pool: &str, now: MonotonicTime) -> PoolWait {
         self.pools.get_mut(pool).map_or(PoolWait::default(), |pool| pool.expected_wait(now))
     }
 
-    /// Pieces that wait, by pool.
+    /// Number of waiting pieces of each section, sorted by section name.
     #[must_use]
     pub fn waiting(&self) -> Vec<(String, usize)> {
         let mut waiting: Vec<_> =
@@ -324,39 +334,39 @@
         waiting
     }
 
-    /// Whether nothing waits and no call is open.
+    /// Whether no piece is waiting and no call is in flight.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.pools.values().all(BatchPool::is_idle)
     }
 
-    fn turn_pool(&mut self, name: &str, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn advance_section(&mut self, name: &str, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
         let Some(pool) = self.pools.get_mut(name) else { return };
-        let (next, calls) = (&mut self.next, &mut self.calls);
-        let mut number = || {
-            *next += 1;
-            calls.insert(BatchId(*next), name.to_owned());
-            BatchId(*next)
+        let (last_id, calls) = (&mut self.last_batch_id, &mut self.call_sections);
+        let mut next_batch_id = || {
+            *last_id += 1;
+            calls.insert(BatchId(*last_id), name.to_owned());
+            BatchId(*last_id)
         };
-        let before = steps.len();
-        if self.held {
-            pool.give_up(now, steps);
+        let first_new = steps.len();
+        if self.is_paused {
+            pool.expire(now, steps);
         } else {
-            pool.turn(&mut number, now, steps);
+            pool.turn(&mut next_batch_id, now, steps);
         }
-        for step in &steps[before..] {
+        for step in &steps[first_new..] {
             if let DispatchStep::Cancel(batch) = step {
-                self.calls.remove(batch);
+                self.call_sections.remove(batch);
             }
         }
     }
 }
 
-/// Upstreams of `section` among those of all pools.
-fn upstreams_of<'a>(
+/// Upstreams that belong to `section`.
+fn section_upstreams<'a>(
     section: &'a PoolSection,
-    pools: &'a HashMap<String, Vec<(u64, DirectoryEntry)>>,
+    upstreams_by_pool: &'a HashMap<String, Vec<(u64, DirectoryEntry)>>,
 ) -> impl Iterator<Item = &'a DirectoryEntry> {
-    let upstreams = pools.get(&section.pool).into_iter().flatten();
+    let upstreams = upstreams_by_pool.get(&section.pool).into_iter().flatten();
     upstreams.filter(|(hash, _)| section.holds(*hash)).map(|(_, entry)| entry)
 }
--- a/crates/crocusdale_core/src/batching/batch_job.rs
+++ b/crates/crocusdale_core/src/batching/batch_job.rs
@@ -5,88 +5,98 @@
 use crate::identity::MonotonicTime;
 use crate::pipeline::{PieceOrder, PieceSource, PlacedResult};
 
-/// Time by which a job of a lower priority must be due sooner to go first: about one call.
-const LEVEL_STEP: Duration = Duration::from_millis(400);
+/// Delay in the queue per priority level, about the duration of one call. A job of the next less
+/// urgent level goes first only if it is due earlier by more than this.
+const PRIORITY_LEVEL_DELAY: Duration = Duration::from_millis(400);
 
-/// Time by which jobs of a flood go behind others: more than the usual objectives.
-const FLOOD_STEP: Duration = Duration::from_secs(3);
+/// Delay in the queue of jobs whose workspace floods the daemon. It exceeds the usual latency
+/// objectives, so that all other jobs go first.
+const FLOOD_DELAY: Duration = Duration::from_secs(3);
 
-/// Calls that broke off under a request from which on its pieces go alone: one before it is quarantined.
-const LONE_BREAKS: usize = 2;
+/// Number of suspected crashes from which on the pieces of a request run in calls of their own. It
+/// is one below the number of crashes that quarantines a request.
+const RUN_ALONE_CRASHES: usize = 2;
 
-/// The pieces of one step of one request, on their way to results.
+/// The pieces of one step of one request, until all have results.
 #[derive(Debug)]
 pub(super) struct BatchJob {
     pub(super) order: PieceOrder,
-    /// Results of the pieces.
+    /// Results by piece index, `None` until the piece is done.
     pub(super) results: Vec<Option<PlacedResult>>,
-    /// Pieces that are in no call.
+    /// Indices of the pieces that are in no call.
     pub(super) waiting: VecDeque<u32>,
-    /// Whether a piece was in a call, here or at another dispatcher.
-    begun: bool,
-    /// Upstreams that ended under the request, or broke off a call with its pieces.
-    breaks: usize,
+    /// Whether any piece has been part of a call, at this or another dispatcher.
+    was_dispatched: bool,
+    /// Number of upstreams that crashed under the request, and of failed calls that contained its
+    /// pieces.
+    suspected_crashes: usize,
 }
 
 impl BatchJob {
     pub(super) fn new(order: PieceOrder) -> Self {
         let pieces = order.pieces;
         let (results, waiting) = (vec![None; pieces as usize], (0..pieces).collect());
-        Self { results, waiting, begun: order.repeated, breaks: 0, order }
+        Self { results, waiting, was_dispatched: order.repeated, suspected_crashes: 0, order }
     }
 
-    /// Place in the order of jobs: the earliest time by which results are needed goes first.
-    pub(super) fn rank(&self) -> MonotonicTime {
-        let flood = if self.order.is_flood { FLOOD_STEP } else { Duration::ZERO };
-        self.order.due + LEVEL_STEP * u32::from(self.order.level) + flood
+    /// Sort key in the queue: the due time, with a penalty for low priority and for floods. The job
+    /// with the earliest time goes first.
+    pub(super) fn priority_time(&self) -> MonotonicTime {
+        let flood_delay = if self.order.is_flood { FLOOD_DELAY } else { Duration::ZERO };
+        self.order.due + PRIORITY_LEVEL_DELAY * u32::from(self.order.level) + flood_delay
     }
 
-    /// Whether the job goes before those that are late: it is in time if its call ends at `end`. Work that
-    /// was done for its request doesn't count, or in a burst each request would make the next one late.
-    pub(super) fn is_ahead(&self, end: MonotonicTime) -> bool {
+    /// Whether the job is on time if its call ends at `end`. On-time jobs are served before late
+    /// ones. Work already spent on the request does not count: otherwise, in a burst, each request
+    /// would make the next one late.
+    pub(super) fn can_meet_due(&self, end: MonotonicTime) -> bool {
         end <= self.order.due
     }
 
-    /// Time beyond the end of a call that must be left for the job to wait for its zone; `usual` for a job
-    /// whose results go to another zone otherwise.
+    /// Time that must remain between the end of a call and the due time for the job to wait for an
+    /// upstream in its preferred zone. `default_margin` applies to jobs whose input comes from the
+    /// caller: without the wait, their results would have to cross zones.
     ///
-    /// A job that fetches large inputs waits as long as it can be in time: its inputs cross zones once for
-    /// each piece, and the time of the later pools is reserved in its due time. Results for an engine cross
-    /// once, and the engine's time to the first event varies by more than a call.
-    pub(super) fn zone_margin(&self, usual: Duration) -> Duration {
+    /// A job that fetches large inputs waits as long as it can be on time. Its inputs cross zones
+    /// once per piece, and its due time already reserves time for the later pools. Results for a
+    /// model engine cross zones only once, and the engine's time to the first event varies by more
+    /// than a call.
+    pub(super) fn zone_wait_margin(&self, default_margin: Duration) -> Duration {
         match self.order.source {
             PieceSource::Results(_) => Duration::ZERO,
-            PieceSource::Caller(_) => usual,
+            PieceSource::Caller(_) => default_margin,
         }
     }
 
-    /// Counts `breaks` upstreams that ended under the request or broke off a call with its pieces.
-    pub(super) fn note_breaks(&mut self, breaks: usize) {
-        self.breaks += breaks;
+    /// Adds `count` crashed upstreams or failed calls to the suspicion against the request.
+    pub(super) fn add_suspected_crashes(&mut self, count: usize) {
+        self.suspected_crashes += count;
     }
 
-    /// Whether its pieces go in calls of their own.
+    /// Whether the pieces may only share a call with pieces of the same request.
     ///
-    /// Guards against a request whose pieces crash upstreams: all requests of a call are suspected, and those
-    /// beside it would be quarantined with it. One crash may be by chance, under the pieces of many.
-    pub(super) fn goes_alone(&self) -> bool {
-        self.breaks >= LONE_BREAKS
+    /// Guards against innocent requests being quarantined along with one that crashes upstreams,
+    /// because all requests of a failed call are suspected. A single crash may have happened by
+    /// chance, under the pieces of many requests.
+    pub(super) fn must_run_alone(&self) -> bool {
+        self.suspected_crashes >= RUN_ALONE_CRASHES
     }
 
-    /// Whether another dispatcher may take it as if it were new.
-    pub(super) fn is_untouched(&self) -> bool {
-        !self.begun
+    /// Whether no piece has been part of a call, so that another dispatcher can take the job as a
+    /// new one.
+    pub(super) fn is_undispatched(&self) -> bool {
+        !self.was_dispatched
     }
 
     /// Whether all pieces have results.
-    pub(super) fn is_made(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.results.iter().all(Option::is_some)
     }
 
-    /// Takes up to `limit` waiting pieces out for a call.
-    pub(super) fn take(&mut self, limit: usize) -> Vec<BatchItem> {
+    /// Removes up to `limit` waiting pieces and returns them as items of a call.
+    pub(super) fn take_pieces(&mut self, limit: usize) -> Vec<BatchItem> {
         let count = limit.min(self.waiting.len());
-        self.begun |= count > 0;
+        self.was_dispatched |= count > 0;
         let pieces: Vec<u32> = self.waiting.drain(..count).collect();
         let item = |piece| BatchItem {
             request: self.order.request.clone(),
@@ -98,10 +108,11 @@
         pieces.into_iter().map(item).collect()
     }
 
-    /// Lets `piece` wait for another call.
-    pub(super) fn put_back(&mut self, piece: u32) {
-        let made = self.results.get(piece as usize).is_some_and(Option::is_some);
-        if !made && !self.waiting.contains(&piece) {
+    /// Returns `piece` to the front of the waiting pieces, unless it has a result or is waiting
+    /// already.
+    pub(super) fn requeue(&mut self, piece: u32) {
+        let has_result = self.results.get(piece as usize).is_some_and(Option::is_some);
+        if !has_result && !self.waiting.contains(&piece) {
             self.waiting.push_front(piece);
         }
     }
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -3,8 +3,8 @@
 
 use super::batch_job::BatchJob;
 use super::batch_worker::BatchWorker;
-use super::open_batch::{OpenBatch, made_by};
-use super::pool_forecast::InflowMeter;
+use super::in_flight_call::{InFlightCall, produced_results};
+use super::pool_forecast::LoadMeter;
 use super::{BatchId, BatchOutcome, DispatchStep, ItemOutcome, PoolWait};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
@@ -12,90 +12,99 @@
 use crate::rate_limiting::RateLimiter;
 use crate::retry::RetryBudget;
 
-/// Waiting pieces and upstreams of one batched pool, at its dispatcher.
+/// Queue and upstreams of one section of a batched pool, at its dispatcher.
 ///
-/// A call is formed the moment an upstream is free, from the pieces that are needed first. Waiting
-/// for a call to fill would not pay: while all upstreams are busy, the calls fill by themselves.
+/// A call is formed as soon as an upstream is free, from the pieces that are due first. Delaying a
+/// call until it is full would not pay off: while all upstreams are busy, enough pieces queue up to
+/// fill the next calls.
 #[derive(Debug)]
 pub struct BatchPool {
+    /// Declared capacity and call duration of the upstreams.
     pub(super) rules: BatchRules,
+    /// Upstreams by name, including removed ones that still have calls in flight.
     pub(super) workers: BTreeMap<String, BatchWorker>,
+    /// All jobs without a complete result, including those whose pieces are in calls.
     pub(super) jobs: HashMap<AttemptId, BatchJob>,
-    /// Jobs with waiting pieces, those needed first in front.
+    /// Jobs with waiting pieces, sorted by [`BatchJob::priority_time`].
     pub(super) queue: BTreeMap<(MonotonicTime, AttemptId), ()>,
-    pub(super) open: HashMap<BatchId, OpenBatch>,
-    pub(super) budget: RetryBudget,
-    /// Results that are to be given up with the next turn of the unwanted ones.
-    pub(super) unwanted: Vec<ResultHandle>,
-    /// Results whose upstreams have been told, and should have given them up by the next turn.
-    pub(super) told: Vec<ResultHandle>,
-    /// When this dispatcher last doubted what lies at the upstreams.
-    pub(super) taken_over: Option<MonotonicTime>,
-    /// Jobs all of whose pieces are in calls, with the time at which their inputs are fetched.
-    pub(super) fetching: VecDeque<(MonotonicTime, AttemptId)>,
-    /// When the pool last had work here.
-    pub(super) last_work: Option<MonotonicTime>,
-    /// Last reckoning of how long new pieces would wait, and when it was made.
-    pub(super) last_wait: Option<(PoolWait, MonotonicTime)>,
-    /// Since when the pool has had no room for late requests.
+    /// Calls that have been sent and have not ended.
+    pub(super) in_flight: HashMap<BatchId, InFlightCall>,
+    pub(super) retry_budget: RetryBudget,
+    /// Results that are no longer needed and will be freed in the next cycle.
+    pub(super) unneeded_results: Vec<ResultHandle>,
+    /// Results whose upstreams were asked to free them in the last cycle. Their memory counts as
+    /// free from the next cycle on.
+    pub(super) freed_results: Vec<ResultHandle>,
+    /// Last time at which this dispatcher had to verify the free memory of the upstreams, because
+    /// another dispatcher may have stored results there.
+    pub(super) memory_unverified_since: Option<MonotonicTime>,
+    /// Jobs all of whose pieces are in calls, with the time at which the upstreams have fetched
+    /// their inputs.
+    pub(super) fetching_jobs: VecDeque<(MonotonicTime, AttemptId)>,
+    /// Last time at which pieces were submitted.
+    pub(super) last_active_at: Option<MonotonicTime>,
+    /// Last computed wait of new pieces, with the time of its computation.
+    pub(super) cached_wait: Option<(PoolWait, MonotonicTime)>,
+    /// Start of the current overload, in which late requests are not admitted. `None` without
+    /// overload.
     pub(super) overloaded_since: Option<MonotonicTime>,
-    /// When pieces of the job that was given up last should have ended: nobody who is refused finds
-    /// room before.
-    pub(super) full_until: Option<MonotonicTime>,
-    /// When jobs that wait in vain were last looked for.
-    pub(super) last_shed: Option<MonotonicTime>,
-    /// Pieces that a usual call holds, of late.
-    pub(super) usual_pieces: f64,
-    /// Work that came in and could be in time.
-    pub(super) inflow: InflowMeter,
-    /// Upstreams that name a rate.
+    /// Estimated end of the overload: the time at which the most recently shed job would have
+    /// completed. A refused caller that retries earlier finds no capacity.
+    pub(super) overload_until: Option<MonotonicTime>,
+    /// Last time at which the queue was checked for jobs to shed.
+    pub(super) last_shed_at: Option<MonotonicTime>,
+    /// Moving average of the number of pieces per call.
+    pub(super) average_pieces: f64,
+    /// Load by submitted jobs that can be on time.
+    pub(super) on_time_load: LoadMeter,
+    /// Token buckets of the upstreams that have announced a rate limit.
     pub(super) limiter: Arc<RateLimiter>,
-    /// Since when this daemon is the dispatcher, as far as it knows; only asked for while upstreams of the
-    /// pool name a rate.
-    pub(super) sole_since: Option<MonotonicTime>,
+    /// Time since which this daemon considers itself the only dispatcher. It is maintained only
+    /// while an upstream of the pool has a rate limit.
+    pub(super) sole_dispatcher_since: Option<MonotonicTime>,
 }
 
 impl BatchPool {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     #[must_use]
-    pub fn new(rules: BatchRules, budget: RetryBudget) -> Self {
+    pub fn new(rules: BatchRules, retry_budget: RetryBudget) -> Self {
         Self {
             rules,
             workers: BTreeMap::new(),
             jobs: HashMap::new(),
             queue: BTreeMap::new(),
-            open: HashMap::new(),
-            budget,
-            unwanted: Vec::new(),
-            told: Vec::new(),
-            taken_over: None,
-            fetching: VecDeque::new(),
-            last_work: None,
-            last_wait: None,
+            in_flight: HashMap::new(),
+            retry_budget,
+            unneeded_results: Vec::new(),
+            freed_results: Vec::new(),
+            memory_unverified_since: None,
+            fetching_jobs: VecDeque::new(),
+            last_active_at: None,
+            cached_wait: None,
             overloaded_since: None,
-            full_until: None,
-            last_shed: None,
-            usual_pieces: 1.0,
-            inflow: InflowMeter::default(),
+            overload_until: None,
+            last_shed_at: None,
+            average_pieces: 1.0,
+            on_time_load: LoadMeter::default(),
             limiter: Arc::default(),
-            sole_since: None,
+            sole_dispatcher_since: None,
         }
     }
 
-    /// Sets what knows the upstreams that name a rate.
+    /// Sets the rate limiter, which knows the upstreams that have announced a rate limit.
     #[must_use]
     pub fn limiter(mut self, limiter: Arc<RateLimiter>) -> Self {
         self.limiter = limiter;
         self
     }
 
-    /// What the upstreams are like.
+    /// Declared capacity and call duration of the upstreams.
     #[must_use]
     pub fn rules(&self) -> BatchRules {
         self.rules
     }
 
-    /// Sets what the upstreams are like.
+    /// Sets the declared capacity and call duration of the upstreams.
     pub fn set_rules(&mut self, rules: BatchRules) {
         self.rules = rules;
     }
@@ -106,19 +115,20 @@
         self.workers.contains_key(upstream)
     }
 
-    /// Number of pieces that wait for a call.
+    /// Number of pieces that are in no call.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.jobs.values().map(|job| job.waiting.len()).sum()
     }
 
-    /// Whether nothing waits and no call is open.
+    /// Whether there are no jobs and no calls in flight.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.jobs.is_empty() && self.open.is_empty()
+        self.jobs.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Takes the pieces of a step, whose request `ends` upstreams ended under.
+    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
+    /// their request.
     pub fn offer(
         &mut self,
         order: PieceOrder,
@@ -127,80 +137,83 @@
         steps: &mut Vec<DispatchStep>,
     ) {
         let attempt = order.attempt;
-        self.begin_work(order.repeated, now);
+        self.note_activity(order.repeated, now);
         if order.pieces == 0 {
             let pool = order.pool;
             steps.push(DispatchStep::Settle { attempt, pool, outcome: Ok(Vec::new()) });
             return;
         }
-        // Pieces that another dispatcher may have had made count as retries at the pool.
+        // Another dispatcher may already have processed these pieces, so they count as retries.
         if order.repeated {
-            if !(0..order.pieces).all(|_| self.budget.spend(now)) {
+            if !(0..order.pieces).all(|_| self.retry_budget.spend(now)) {
                 steps.push(DispatchStep::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
             }
         } else {
-            self.budget.earn(now);
+            self.retry_budget.earn(now);
         }
-        if !self.workers.values().any(|worker| worker.staying) {
+        if !self.workers.values().any(|worker| worker.accepts_calls) {
             steps.push(DispatchStep::fail(attempt, &order.pool, PieceFault::NoUpstream));
             return;
         }
         let mut job = BatchJob::new(order);
-        job.note_breaks(ends);
-        if job.is_ahead(now + self.rules.expected(1)) {
-            self.note_inflow(job.order.pieces, now);
+        job.add_suspected_crashes(ends);
+        if job.can_meet_due(now + self.rules.expected(1)) {
+            self.record_on_time_load(job.order.pieces, now);
         }
-        self.queue.insert((job.rank(), attempt), ());
+        self.queue.insert((job.priority_time(), attempt), ());
         self.jobs.insert(attempt, job);
     }
 
-    /// Doubts what lies at the upstreams if another dispatcher may have had work done there: after a
-    /// time without work as long as results live, or when it is lost and its pieces come here.
-    fn begin_work(&mut self, taken_over: bool, now: MonotonicTime) {
-        let pause = self.last_work.replace(now).map(|last| now.since(last));
-        let rested = pause.is_none_or(|pause| pause >= self.rules.result_life);
-        if rested || (taken_over && !self.took_over_of_late(now)) {
-            self.taken_over = Some(now);
+    /// Marks the free memory of all upstreams as unverified if another dispatcher may have stored
+    /// results there. That is the case after an idle time as long as the lifetime of results, and
+    /// when pieces arrive from a failed dispatcher.
+    fn note_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
+        let idle_time = self.last_active_at.replace(now).map(|last| now.since(last));
+        let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_life);
+        if was_idle || (is_takeover && !self.has_recent_takeover(now)) {
+            self.memory_unverified_since = Some(now);
             for worker in self.workers.values_mut() {
-                worker.room.doubt();
+                worker.result_memory.mark_unverified();
             }
         }
     }
 
-    fn took_over_of_late(&self, now: MonotonicTime) -> bool {
-        self.taken_over.is_some_and(|since| now.since(since) < self.rules.result_life)
+    fn has_recent_takeover(&self, now: MonotonicTime) -> bool {
+        self.memory_unverified_since.is_some_and(|since| now.since(since) < self.rules.result_life)
     }
 
-    /// `upstream` wants nothing until `until`.
+    /// Sends nothing to `upstream` until `until`, as it has requested.
     pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
         if let Some(worker) = self.workers.get_mut(upstream) {
-            worker.stay_away(until);
+            worker.back_off(until);
         }
     }
 
-    /// An upstream said how many bytes for results are free there, or nothing.
+    /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
+    /// the query.
     pub fn room_told(&mut self, upstream: &str, free: Option<u64>, now: MonotonicTime) {
         let rules = self.rules;
         if let Some(worker) = self.workers.get_mut(upstream) {
-            worker.room.told(free, &rules, now);
+            worker.result_memory.record_free_bytes(free, &rules, now);
         }
     }
 
-    /// Nobody wants the results for `attempt` any more.
+    /// Drops the job of `attempt`, whose results are no longer needed.
     pub fn withdraw(&mut self, attempt: AttemptId) {
         let Some(job) = self.jobs.remove(&attempt) else { return };
-        self.queue.remove(&(job.rank(), attempt));
-        let made: Vec<ResultHandle> =
+        self.queue.remove(&(job.priority_time(), attempt));
+        let finished: Vec<ResultHandle> =
             job.results.into_iter().flatten().map(|result| result.handle).collect();
-        if !made.is_empty() {
-            self.release(made);
+        if !finished.is_empty() {
+            self.release(finished);
         }
-        // Calls with pieces of the job go on: an upstream does not stop a call that it works on,
-        // and the results must be given up once they are known.
+        // Calls with pieces of the job are not cancelled: an upstream does not interrupt a running
+        // call. Their results are freed once the call has ended.
     }
 
-    /// Takes the end of a call.
+    /// Handles the outcome of a batch call: updates the state of its upstream, records results, and
+    /// queues failed pieces for a retry.
     pub fn answered(
         &mut self,
         batch: BatchId,
@@ -208,91 +221,94 @@
         now: MonotonicTime,
         steps: &mut Vec<DispatchStep>,
     ) {
-        let Some(open) = self.open.remove(&batch) else {
-            self.release(made_by(outcome));
+        let Some(call) = self.in_flight.remove(&batch) else {
+            self.release(produced_results(outcome));
             return;
         };
-        let pieces = u32::try_from(open.items.len()).unwrap_or(u32::MAX);
-        let time = open.since.map(|since| now.since(since));
+        let pieces = u32::try_from(call.items.len()).unwrap_or(u32::MAX);
+        let call_time = call.started_at.map(|started_at| now.since(started_at));
         let rules = self.rules;
-        let mut worker = self.workers.get_mut(&open.upstream);
+        let mut worker = self.workers.get_mut(&call.upstream);
         if let Some(worker) = &mut worker {
-            worker.room.unreserve(open.bytes);
+            worker.result_memory.release_reservation(call.reserved_bytes);
         }
         let zone = worker.as_ref().map(|worker| worker.zone.clone()).unwrap_or_default();
         match outcome {
-            BatchOutcome::Answered(items) if items.len() == open.items.len() => {
+            BatchOutcome::Answered(items) if items.len() == call.items.len() => {
                 if let Some(worker) = worker {
-                    worker.answered(&rules, pieces, time, now);
+                    worker.record_answer(&rules, pieces, call_time, now);
                 }
                 let failed = items.iter().filter(|item| **item == ItemOutcome::Failed).count();
-                if let Some(worker) = self.workers.get_mut(&open.upstream) {
-                    worker.note_failed(u32::try_from(failed).unwrap_or(u32::MAX), pieces, now);
+                if let Some(worker) = self.workers.get_mut(&call.upstream) {
+                    worker.record_failed_pieces(
+                        u32::try_from(failed).unwrap_or(u32::MAX),
+                        pieces,
+                        now,
+                    );
                 }
-                for ((job, piece), item) in open.items.iter().zip(items) {
-                    self.item_ended((*job, *piece), item, &open.upstream, &zone, now, steps);
+                for ((job, piece), item) in call.items.iter().zip(items) {
+                    self.finish_item((*job, *piece), item, &call.upstream, &zone, now, steps);
                 }
             }
             outcome => {
                 if let Some(worker) = worker {
                     match outcome {
-                        BatchOutcome::Declined => worker.declined(now),
-                        BatchOutcome::WrongProcess => worker.displaced(now),
-                        _ => worker.failed(&rules, pieces, time, now),
+                        BatchOutcome::Declined => worker.record_declined(now),
+                        BatchOutcome::WrongProcess => worker.record_wrong_process(now),
+                        _ => worker.record_failure(&rules, pieces, call_time, now),
                     }
                 }
                 if matches!(outcome, BatchOutcome::Broken) {
-                    self.suspect(&open, steps);
+                    self.suspect_requests(&call, steps);
                 }
-                self.release(made_by(outcome));
-                for (job, piece) in open.items {
-                    self.put_back(job, piece, now, steps);
+                self.release(produced_results(outcome));
+                for (job, piece) in call.items {
+                    self.retry_piece(job, piece, now, steps);
                 }
             }
         }
     }
 
-    /// Gives up calls that are lost and jobs whose time is over, and forms calls.
+    /// Handles timeouts, queries the free memory of upstreams, and forms calls.
     pub fn turn(
         &mut self,
-        next: &mut impl FnMut() -> BatchId,
+        next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
         steps: &mut Vec<DispatchStep>,
     ) {
         self.refresh_limits(now);
-        self.give_up(now, steps);
+        self.expire(now, steps);
         for worker in self.workers.values_mut() {
-            worker.room.forget_lapsed(now);
+            worker.result_memory.remove_expired(now);
         }
         if !self.queue.is_empty() {
-            self.ask_for_room(now, steps);
+            self.query_free_memory(now, steps);
         }
-        self.form_calls(next, now, steps);
+        self.form_calls(next_batch_id, now, steps);
     }
 
-    /// Gives up calls that are lost, and pieces that nobody can have made in time.
-    pub fn give_up(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        self.give_up_lost(now, steps);
-        self.give_up_late(now, steps);
+    /// Cancels calls that have timed out, and fails jobs that cannot complete in time.
+    pub fn expire(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+        self.cancel_lost_calls(now, steps);
+        self.fail_late_jobs(now, steps);
         self.shed_unservable(now, steps);
     }
 
-    fn ask_for_room(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        // An upstream that names a rate gets calls for what it takes, and no questions.
-        let wanting = self
-            .workers
-            .iter_mut()
-            .filter(|(_, worker)| worker.staying && !worker.is_away(now) && worker.limit.is_none());
-        for (upstream, worker) in wanting {
-            if worker.room.must_ask(now) {
+    fn query_free_memory(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+        // An upstream with a rate limit is not queried, because its requests are spent on calls.
+        let queryable = self.workers.iter_mut().filter(|(_, worker)| {
+            worker.accepts_calls && !worker.is_backing_off(now) && worker.rate_limit.is_none()
+        });
+        for (upstream, worker) in queryable {
+            if worker.result_memory.try_start_query(now) {
                 let (upstream, address) = (upstream.clone(), worker.address);
                 steps.push(DispatchStep::AskRoom { upstream, address });
             }
         }
     }
 
-    fn give_up_lost(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        let lost = self.open.iter().filter(|(_, open)| now >= open.lost_at);
+    fn cancel_lost_calls(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+        let lost = self.in_flight.iter().filter(|(_, call)| now >= call.lost_at);
         let lost: Vec<BatchId> = lost.map(|(batch, _)| *batch).collect();
         for batch in lost {
             steps.push(DispatchStep::Cancel(batch));
@@ -300,18 +316,18 @@
         }
     }
 
-    fn give_up_late(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn fail_late_jobs(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
         let shortest = self.rules.expected(1);
         let late = self.queue.keys().filter(|(_, attempt)| {
             self.jobs.get(attempt).is_none_or(|job| now + shortest > job.order.expires)
         });
         let late: Vec<AttemptId> = late.map(|(_, attempt)| *attempt).collect();
         for attempt in late {
-            self.fail(attempt, PieceFault::Late, steps);
+            self.fail_job(attempt, PieceFault::Late, steps);
         }
     }
 
-    fn item_ended(
+    fn finish_item(
         &mut self,
         (attempt, piece): (AttemptId, u32),
         outcome: ItemOutcome,
@@ -324,24 +340,28 @@
             ItemOutcome::Made(handle) => {
                 let bytes = self.jobs.get(&attempt).map_or(0, |job| job.order.result_bytes);
                 if let Some(worker) = self.workers.get_mut(upstream) {
-                    worker.room.hold(handle.clone(), bytes, now + self.rules.result_life);
+                    worker.result_memory.add_result(
+                        handle.clone(),
+                        bytes,
+                        now + self.rules.result_life,
+                    );
                 }
                 let result = PlacedResult { handle, zone: zone.to_owned() };
-                self.made(attempt, piece, result, steps);
+                self.record_result(attempt, piece, result, steps);
             }
-            ItemOutcome::Late => self.fail(attempt, PieceFault::Late, steps),
-            ItemOutcome::InputGone => self.fail(attempt, PieceFault::InputGone, steps),
-            ItemOutcome::Failed => self.put_back(attempt, piece, now, steps),
+            ItemOutcome::Late => self.fail_job(attempt, PieceFault::Late, steps),
+            ItemOutcome::InputGone => self.fail_job(attempt, PieceFault::InputGone, steps),
+            ItemOutcome::Failed => self.retry_piece(attempt, piece, now, steps),
             ItemOutcome::NoRoom => {
                 if let Some(worker) = self.workers.get_mut(upstream) {
-                    worker.overloaded(now);
+                    worker.record_memory_full(now);
                 }
-                self.put_back(attempt, piece, now, steps);
+                self.retry_piece(attempt, piece, now, steps);
             }
         }
     }
 
-    fn made(
+    fn record_result(
         &mut self,
         attempt: AttemptId,
         piece: u32,
@@ -349,27 +369,27 @@
         steps: &mut Vec<DispatchStep>,
     ) {
         let job = self.jobs.get_mut(&attempt);
-        let place = job.and_then(|job| job.results.get_mut(piece as usize));
-        match place {
-            Some(place) if place.is_none() => *place = Some(result),
+        let slot = job.and_then(|job| job.results.get_mut(piece as usize));
+        match slot {
+            Some(slot) if slot.is_none() => *slot = Some(result),
             _ => {
-                self.unwanted.push(result.handle);
+                self.unneeded_results.push(result.handle);
                 return;
             }
         }
-        if !self.jobs.get(&attempt).is_some_and(BatchJob::is_made) {
+        if !self.jobs.get(&attempt).is_some_and(BatchJob::is_complete) {
             return;
         }
         if let Some(job) = self.jobs.remove(&attempt) {
-            self.queue.remove(&(job.rank(), attempt));
+            self.queue.remove(&(job.priority_time(), attempt));
             let results = job.results.into_iter().flatten().collect();
             let pool = job.order.pool;
             steps.push(DispatchStep::Settle { attempt, pool, outcome: Ok(results) });
         }
     }
 
-    /// Lets a piece wait for another call, if the retry budget allows it.
-    fn put_back(
+    /// Queues a failed piece again, or fails its job if the retry budget is exhausted.
+    fn retry_piece(
         &mut self,
         attempt: AttemptId,
         piece: u32,
@@ -379,17 +399,17 @@
         if !self.jobs.contains_key(&attempt) {
             return;
         }
-        if !self.budget.spend(now) {
-            self.fail(attempt, PieceFault::Failed, steps);
+        if !self.retry_budget.spend(now) {
+            self.fail_job(attempt, PieceFault::Failed, steps);
             return;
         }
         if let Some(job) = self.jobs.get_mut(&attempt) {
-            job.put_back(piece);
-            self.queue.insert((job.rank(), attempt), ());
+            job.requeue(piece);
+            self.queue.insert((job.priority_time(), attempt), ());
         }
     }
 
-    pub(super) fn fail(
+    pub(super) fn fail_job(
         &mut self,
         attempt: AttemptId,
         fault: PieceFault,
--- a/crates/crocusdale_core/src/batching/batch_worker.rs
+++ b/crates/crocusdale_core/src/batching/batch_worker.rs
@@ -1,222 +1,244 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::room_account::RoomAccount;
+use super::result_memory::ResultMemory;
 use crate::configuration::BatchRules;
 use crate::identity::MonotonicTime;
 use crate::routing::DirectoryEntry;
 
-/// Weight of the newest call in the learned pace.
-const LEARNING_WEIGHT: f64 = 0.4;
-/// Time in which a learned pace loses most of what sets it apart from that of its pool: a slow
-/// upstream that gets no calls could not show that it has recovered.
-const UNLEARNING_TIME: f64 = 6.0;
-/// Multiple of its expected time after which a call counts as lost.
-const PATIENCE: f64 = 3.0;
-/// Shortest time beyond the expected one after which a call counts as lost. A tenth of the usual
-/// deadlines of some seconds, and more than any queue at an upstream that only one daemon calls.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(600);
-/// Pause of an upstream that failed a call; each further failure in a row doubles it.
+/// Weight of the newest call in the moving average of the slowdown.
+const SLOWDOWN_SMOOTHING: f64 = 0.4;
+/// Time constant, in seconds, with which the slowdown of an upstream returns to 1. Without the
+/// decay, a slow upstream would get no calls and could not show that it has recovered.
+const SLOWDOWN_DECAY_SECONDS: f64 = 6.0;
+/// Multiple of its expected duration after which a call counts as lost.
+const LOST_CALL_FACTOR: f64 = 3.0;
+/// Minimum time beyond its expected duration after which a call counts as lost. It is a tenth of
+/// the usual deadlines of several seconds, and longer than any queue at an upstream that only one
+/// daemon calls.
+const MIN_LOST_CALL_SLACK: Duration = Duration::from_millis(600);
+/// Pause after a failed call. Each further consecutive failure doubles it.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-/// Doublings of the pause at most.
-const PAUSE_DOUBLINGS: u32 = 4;
-/// Pause of an upstream that had no room for a call. Somebody else's call is in its place, and
-/// those take some tenths of a second.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
-/// Part of a call's pieces that may fail before its upstream counts as failing. One piece in some
-/// hundreds fails on a sound upstream.
-const FAILED_SHARE: f64 = 0.2;
-/// Pause of an address at which another process listens, until the published list says so.
+/// Maximum number of times that the failure pause is doubled.
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
+/// Pause of an upstream that had no capacity for a call. A call of another daemon occupies it,
+/// which takes some tenths of a second.
+const NO_ROOM_PAUSE: Duration = Duration::from_millis(100);
+/// Share of the pieces of a call that may fail before the upstream is paused. At a healthy
+/// upstream, one piece in several hundred fails.
+const MAX_FAILED_SHARE: f64 = 0.2;
+/// Pause of an upstream whose address belongs to another process. By its end, the published
+/// upstream list should reflect the change.
 const WRONG_PROCESS_PAUSE: Duration = Duration::from_secs(3);
 
-/// One upstream of a batched pool, as its dispatcher knows it.
+/// Load, health and speed of one upstream of a batched pool, as tracked by the dispatcher.
 #[derive(Debug)]
 pub(super) struct BatchWorker {
-    /// Identity that its process answers to.
-    pub(super) process: String,
+    /// Identifier by which the upstream's process is addressed.
+    pub(super) process_id: String,
     pub(super) address: SocketAddr,
     pub(super) zone: String,
-    /// Whether it gets new calls.
-    pub(super) staying: bool,
-    /// Calls that it works on.
-    pub(super) open: u32,
-    /// When the last of them should end.
+    /// Whether the upstream may get new calls: it is listed and not leaving.
+    pub(super) accepts_calls: bool,
+    /// Number of calls in flight to the upstream.
+    pub(super) open_calls: u32,
+    /// Expected end of the most recently started call.
     pub(super) free_at: MonotonicTime,
-    /// Time of its calls against the declared one.
-    pace: f64,
-    learned_at: MonotonicTime,
-    failures: u32,
+    /// Ratio of the observed to the declared duration of calls, as of `measured_at`. Values above 1
+    /// mean a slow upstream.
+    slowdown: f64,
+    /// Time of the last update of the slowdown.
+    measured_at: MonotonicTime,
+    consecutive_failures: u32,
+    /// Time until which no calls are sent, after failures or at the upstream's request.
     paused_until: MonotonicTime,
-    /// Time until which it wants nothing, by its own word.
-    away_until: MonotonicTime,
-    /// What it takes, if it names a rate.
-    pub(super) limit: Option<CallLimit>,
-    /// Its memory for results.
-    pub(super) room: RoomAccount,
+    /// Time until which the upstream has asked not to be called.
+    backoff_until: MonotonicTime,
+    /// Times at which calls are allowed, if the upstream has a rate limit.
+    pub(super) rate_limit: Option<CallLimit>,
+    /// Memory of the upstream that stores results.
+    pub(super) result_memory: ResultMemory,
 }
 
-/// Calls that an upstream takes which names a rate.
+/// Schedule of the calls to an upstream with a rate limit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallLimit {
-    /// When it may get the next one.
-    pub(super) from: MonotonicTime,
-    /// Time between two.
+    /// Earliest time of the next call.
+    pub(super) next_call_at: MonotonicTime,
+    /// Minimum time between two calls.
     pub(super) interval: Duration,
 }
 
 impl BatchWorker {
     pub(super) fn new(entry: &DirectoryEntry, now: MonotonicTime) -> Self {
         Self {
-            process: entry.id.clone(),
+            process_id: entry.id.clone(),
             address: entry.address,
             zone: entry.zone.clone(),
-            staying: !entry.leaving,
-            open: 0,
+            accepts_calls: !entry.leaving,
+            open_calls: 0,
             free_at: now,
-            pace: 1.0,
-            learned_at: now,
-            failures: 0,
+            slowdown: 1.0,
+            measured_at: now,
+            consecutive_failures: 0,
             paused_until: now,
-            away_until: now,
-            limit: None,
-            room: RoomAccount::default(),
+            backoff_until: now,
+            rate_limit: None,
+            result_memory: ResultMemory::default(),
         }
     }
 
-    /// Whether it can take a call now.
-    pub(super) fn is_free(&self, rules: &BatchRules, now: MonotonicTime) -> bool {
-        let idle = self.open < rules.slots.max(1) && now >= self.paused_until;
-        // One that names a rate is not asked for its room.
-        let ready = match self.limit {
-            Some(limit) => now >= limit.from,
-            None => !self.room.awaits_answer(now),
+    /// Whether a call may be sent to the upstream now.
+    pub(super) fn can_take_call(&self, rules: &BatchRules, now: MonotonicTime) -> bool {
+        let is_available = self.open_calls < rules.slots.max(1) && now >= self.paused_until;
+        // An upstream with a rate limit is not queried for its free memory.
+        let is_ready = match self.rate_limit {
+            Some(limit) => now >= limit.next_call_at,
+            None => !self.result_memory.is_awaiting_answer(now),
         };
-        self.staying && idle && ready
+        self.accepts_calls && is_available && is_ready
     }
 
-    /// Time that a call with `pieces` pieces should take here.
-    pub(super) fn expected(&self, rules: &BatchRules, pieces: u32, now: MonotonicTime) -> Duration {
-        rules.expected(pieces).mul_f64(self.pace_at(now))
+    /// Expected duration of a call with `pieces` pieces.
+    pub(super) fn expected_time(
+        &self,
+        rules: &BatchRules,
+        pieces: u32,
+        now: MonotonicTime,
+    ) -> Duration {
+        rules.expected(pieces).mul_f64(self.slowdown_at(now))
     }
 
-    /// When a call with `pieces` pieces should end that is given to it as soon as it can take one.
-    pub(super) fn end_of_next(
+    /// Expected end of a call with `pieces` pieces that is sent as soon as the upstream can take
+    /// one.
+    pub(super) fn next_call_end(
         &self,
         rules: &BatchRules,
         pieces: u32,
         now: MonotonicTime,
     ) -> MonotonicTime {
-        now + self.free_in(rules, now) + self.expected(rules, pieces, now)
+        now + self.time_until_free(rules, now) + self.expected_time(rules, pieces, now)
     }
 
-    /// Time until it can take a call.
-    pub(super) fn free_in(&self, rules: &BatchRules, now: MonotonicTime) -> Duration {
-        let busy = if self.open < rules.slots.max(1) { now } else { self.free_at };
-        let limited = self.limit.map_or(now, |limit| limit.from);
-        busy.max(self.paused_until).max(limited).since(now)
+    /// Time until the upstream can take a call.
+    pub(super) fn time_until_free(&self, rules: &BatchRules, now: MonotonicTime) -> Duration {
+        let slot_free_at = if self.open_calls < rules.slots.max(1) { now } else { self.free_at };
+        let rate_allows_at = self.rate_limit.map_or(now, |limit| limit.next_call_at);
+        slot_free_at.max(self.paused_until).max(rate_allows_at).since(now)
     }
 
-    /// Part of its time that it can work, by the rate that it names.
-    pub(super) fn capacity(&self, rules: &BatchRules, now: MonotonicTime) -> f64 {
-        let call = self.expected(rules, rules.pieces, now).as_secs_f64();
-        self.limit.map_or(1.0, |limit| (call / limit.interval.as_secs_f64()).min(1.0))
+    /// Share of its time that the upstream can work, from 0 to 1. It is below 1 only if a rate
+    /// limit is the bottleneck.
+    pub(super) fn usable_share(&self, rules: &BatchRules, now: MonotonicTime) -> f64 {
+        let full_call = self.expected_time(rules, rules.pieces, now).as_secs_f64();
+        self.rate_limit.map_or(1.0, |limit| (full_call / limit.interval.as_secs_f64()).min(1.0))
     }
 
-    /// Time after which a call with `pieces` pieces counts as lost.
-    pub(super) fn patience(&self, rules: &BatchRules, pieces: u32, now: MonotonicTime) -> Duration {
-        let expected = self.expected(rules, pieces, now);
-        expected.mul_f64(PATIENCE).max(expected + SHORTEST_PATIENCE)
+    /// Timeout after which a call with `pieces` pieces counts as lost.
+    pub(super) fn loss_timeout(
+        &self,
+        rules: &BatchRules,
+        pieces: u32,
+        now: MonotonicTime,
+    ) -> Duration {
+        let expected = self.expected_time(rules, pieces, now);
+        expected.mul_f64(LOST_CALL_FACTOR).max(expected + MIN_LOST_CALL_SLACK)
     }
 
-    pub(super) fn begin(&mut self, rules: &BatchRules, pieces: u32, now: MonotonicTime) {
-        self.free_at = now + self.expected(rules, pieces, now);
-        self.open += 1;
+    pub(super) fn start_call(&mut self, rules: &BatchRules, pieces: u32, now: MonotonicTime) {
+        self.free_at = now + self.expected_time(rules, pieces, now);
+        self.open_calls += 1;
     }
 
-    /// A call with `pieces` pieces was answered after `time`, if that can be told.
-    pub(super) fn answered(
+    /// Records that a call with `pieces` pieces was answered after `call_time`. The time is `None`
+    /// if it could not be measured.
+    pub(super) fn record_answer(
         &mut self,
         rules: &BatchRules,
         pieces: u32,
-        time: Option<Duration>,
+        call_time: Option<Duration>,
         now: MonotonicTime,
     ) {
-        if let Some(time) = time {
-            let seen = time.as_secs_f64() / rules.expected(pieces).as_secs_f64().max(0.001);
-            let pace = self.pace_at(now);
-            self.pace = pace + LEARNING_WEIGHT * (seen - pace);
-            self.learned_at = now;
+        if let Some(call_time) = call_time {
+            let observed =
+                call_time.as_secs_f64() / rules.expected(pieces).as_secs_f64().max(0.001);
+            let slowdown = self.slowdown_at(now);
+            self.slowdown = slowdown + SLOWDOWN_SMOOTHING * (observed - slowdown);
+            self.measured_at = now;
         }
-        self.failures = 0;
-        self.open = self.open.saturating_sub(1);
+        self.consecutive_failures = 0;
+        self.open_calls = self.open_calls.saturating_sub(1);
     }
 
-    /// A call with `pieces` pieces failed after `time`, if that can be told.
+    /// Records that a call with `pieces` pieces failed after `call_time`. The time is `None` if it
+    /// could not be measured.
     ///
-    /// Guards against an upstream that fails at once: it is free first each time, and would
-    /// attract every call of the pool.
-    pub(super) fn failed(
+    /// Guards against an upstream that fails immediately: it would always be the first free one,
+    /// and attract all calls of the pool.
+    pub(super) fn record_failure(
         &mut self,
         rules: &BatchRules,
         pieces: u32,
-        time: Option<Duration>,
+        call_time: Option<Duration>,
         now: MonotonicTime,
     ) {
-        if let Some(time) = time {
-            let seen = time.as_secs_f64() / rules.expected(pieces).as_secs_f64().max(0.001);
-            self.pace = self.pace_at(now).max(seen);
-            self.learned_at = now;
+        if let Some(call_time) = call_time {
+            let observed =
+                call_time.as_secs_f64() / rules.expected(pieces).as_secs_f64().max(0.001);
+            self.slowdown = self.slowdown_at(now).max(observed);
+            self.measured_at = now;
         }
-        self.open = self.open.saturating_sub(1);
-        let doublings = self.failures.min(PAUSE_DOUBLINGS);
-        self.failures += 1;
+        self.open_calls = self.open_calls.saturating_sub(1);
+        let doublings = self.consecutive_failures.min(MAX_PAUSE_DOUBLINGS);
+        self.consecutive_failures += 1;
         self.pause(FAILURE_PAUSE * 2_u32.pow(doublings), now);
     }
 
-    /// Takes note of how many pieces of a call that was answered failed.
+    /// Pauses the upstream if too many of the `pieces` pieces of an answered call `failed`.
     ///
-    /// Guards against an upstream that answers in time and fails much of its work: by its pace
-    /// alone it would look sound.
-    pub(super) fn note_failed(&mut self, failed: u32, pieces: u32, now: MonotonicTime) {
-        if f64::from(failed) > (f64::from(pieces) * FAILED_SHARE).max(1.0) {
+    /// Guards against an upstream that answers in time but fails much of its work: judged by its
+    /// speed alone, it would look healthy.
+    pub(super) fn record_failed_pieces(&mut self, failed: u32, pieces: u32, now: MonotonicTime) {
+        if f64::from(failed) > (f64::from(pieces) * MAX_FAILED_SHARE).max(1.0) {
             self.pause(FAILURE_PAUSE, now);
         }
     }
 
-    /// It had no room for a call.
-    pub(super) fn declined(&mut self, now: MonotonicTime) {
-        self.open = self.open.saturating_sub(1);
-        self.pause(FULL_PAUSE, now);
+    /// Records that the upstream had no capacity for a call.
+    pub(super) fn record_declined(&mut self, now: MonotonicTime) {
+        self.open_calls = self.open_calls.saturating_sub(1);
+        self.pause(NO_ROOM_PAUSE, now);
     }
 
-    /// It wants nothing until `until`.
-    pub(super) fn stay_away(&mut self, until: MonotonicTime) {
-        self.away_until = self.away_until.max(until);
+    /// Sends nothing to the upstream until `until`, as it has requested.
+    pub(super) fn back_off(&mut self, until: MonotonicTime) {
+        self.backoff_until = self.backoff_until.max(until);
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Whether it wants anything.
-    pub(super) fn is_away(&self, now: MonotonicTime) -> bool {
-        now < self.away_until
+    /// Whether the upstream has asked not to be called now.
+    pub(super) fn is_backing_off(&self, now: MonotonicTime) -> bool {
+        now < self.backoff_until
     }
 
-    /// Another process listens at its address.
-    pub(super) fn displaced(&mut self, now: MonotonicTime) {
-        self.open = self.open.saturating_sub(1);
+    /// Records that another process listens at the upstream's address.
+    pub(super) fn record_wrong_process(&mut self, now: MonotonicTime) {
+        self.open_calls = self.open_calls.saturating_sub(1);
         self.pause(WRONG_PROCESS_PAUSE, now);
     }
 
-    /// Its memory for results is full, against what was counted.
-    pub(super) fn overloaded(&mut self, now: MonotonicTime) {
-        self.pause(FULL_PAUSE, now);
+    /// Records that the upstream ran out of memory for results, although it should have had enough
+    /// by the dispatcher's accounting.
+    pub(super) fn record_memory_full(&mut self, now: MonotonicTime) {
+        self.pause(NO_ROOM_PAUSE, now);
     }
 
-    fn pause(&mut self, pause: Duration, now: MonotonicTime) {
-        self.paused_until = self.paused_until.max(now + pause);
+    fn pause(&mut self, duration: Duration, now: MonotonicTime) {
+        self.paused_until = self.paused_until.max(now + duration);
     }
 
-    fn pace_at(&self, now: MonotonicTime) -> f64 {
-        let age = now.since(self.learned_at).as_secs_f64();
-        1.0 + (self.pace - 1.0) * (-age / UNLEARNING_TIME).exp()
+    fn slowdown_at(&self, now: MonotonicTime) -> f64 {
+        let age = now.since(self.measured_at).as_secs_f64();
+        1.0 + (self.slowdown - 1.0) * (-age / SLOWDOWN_DECAY_SECONDS).exp()
     }
 }
--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -1,206 +1,220 @@
-//! How calls are formed from the pieces that wait in a pool.
+//! Forms batch calls from the waiting pieces of a pool.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::batch_job::BatchJob;
 use super::batch_worker::BatchWorker;
-use super::open_batch::OpenBatch;
+use super::in_flight_call::InFlightCall;
 use super::{BatchId, BatchItem, BatchOrder, BatchPool, DispatchStep};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::routing::CONNECT_PATIENCE;
 
-/// Time after which a call has fetched its inputs: ten megabytes take 8 ms at 10 Gbit/s, and a message
-/// a few. Short against a call, for the rest of which they would only lie in the way.
-const FETCH_TIME: Duration = Duration::from_millis(50);
+/// Time after the start of a call by which its inputs have been fetched. Ten megabytes take 8 ms at
+/// 10 Gbit/s, and a message a few more. It is short compared with a call, during the rest of which
+/// the inputs would only occupy memory.
+const INPUT_FETCH_TIME: Duration = Duration::from_millis(50);
 
-/// Weight of the newest call in what a usual call holds: some seconds of a pool of five upstreams.
-const FULLNESS_WEIGHT: f64 = 0.1;
+/// Weight of the newest call in the moving average of pieces per call. It averages over several
+/// seconds in a pool of five upstreams.
+const AVERAGE_PIECES_SMOOTHING: f64 = 0.1;
 
-/// Jobs in the order in which they are served, for one turn.
+/// Queued jobs in the order in which they are served during one cycle.
 #[derive(Debug)]
-struct JobOrder {
-    order: Vec<AttemptId>,
-    /// Whether more waits than all upstreams can take at once.
-    overloaded: bool,
+struct ServiceOrder {
+    attempts: Vec<AttemptId>,
+    /// Whether more pieces are waiting than all upstreams can take in one call each.
+    is_overloaded: bool,
 }
 
 impl BatchPool {
-    /// Forms calls while upstreams are free. A large pool has hundreds of upstreams and thousands
-    /// of waiting jobs: what looks at all of them is done once a turn, and only if one is free.
+    /// Forms calls as long as upstreams are free. A large pool has hundreds of upstreams and
+    /// thousands of waiting jobs, so anything that scans all of them runs once per cycle and only
+    /// if an upstream is free.
     pub(super) fn form_calls(
         &mut self,
-        next: &mut impl FnMut() -> BatchId,
+        next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
         steps: &mut Vec<DispatchStep>,
     ) {
         if self.queue.is_empty() || self.free_upstreams(now).is_empty() {
             return;
         }
-        // While more waits than all upstreams can take at once, a call that is not full is lost.
-        let at_once = self.rules.pieces.max(1) as usize * self.workers.len();
-        let jobs =
-            JobOrder { order: self.order_of_jobs(now), overloaded: self.waiting() > at_once };
+        // While more pieces are waiting than all upstreams can take at once, a call that is not
+        // full wastes capacity.
+        let piece_capacity = self.rules.pieces.max(1) as usize * self.workers.len();
+        let jobs = ServiceOrder {
+            attempts: self.service_order(now),
+            is_overloaded: self.waiting() > piece_capacity,
+        };
         loop {
             let free = self.free_upstreams(now);
-            let call = free.iter().find_map(|upstream| self.call_of(upstream, &jobs, next, now));
+            let call = free
+                .iter()
+                .find_map(|upstream| self.build_call(upstream, &jobs, next_batch_id, now));
             let Some(call) = call else { return };
             steps.push(DispatchStep::Call(call));
         }
     }
 
-    /// A call of `upstream` with the first of the jobs in `jobs` that go there.
-    fn call_of(
+    /// Builds a call to `upstream` from the first jobs in `jobs` that may go there. `None` if there
+    /// are none.
+    fn build_call(
         &mut self,
         upstream: &str,
-        jobs: &JobOrder,
-        next: &mut impl FnMut() -> BatchId,
+        jobs: &ServiceOrder,
+        next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
     ) -> Option<BatchOrder> {
-        let (items, refs, bytes) = self.fill(jobs, upstream, now);
+        let (items, item_refs, bytes) = self.take_items(jobs, upstream, now);
         if items.is_empty() {
             return None;
         }
         let pieces = u32::try_from(items.len()).unwrap_or(u32::MAX);
         let worker = self.workers.get_mut(upstream)?;
-        self.usual_pieces += FULLNESS_WEIGHT * (f64::from(pieces) - self.usual_pieces);
-        let lost_at = now + worker.patience(&self.rules, pieces, now);
-        worker.begin(&self.rules, pieces, now);
-        if let Some(limit) = &mut worker.limit {
+        self.average_pieces += AVERAGE_PIECES_SMOOTHING * (f64::from(pieces) - self.average_pieces);
+        let lost_at = now + worker.loss_timeout(&self.rules, pieces, now);
+        worker.start_call(&self.rules, pieces, now);
+        if let Some(limit) = &mut worker.rate_limit {
             self.limiter.spend(upstream);
-            limit.from = now + limit.interval;
+            limit.next_call_at = now + limit.interval;
         }
-        worker.room.reserve(bytes);
-        let (process, address) = (worker.process.clone(), worker.address);
-        let batch = next();
+        worker.result_memory.reserve(bytes);
+        let (process, address) = (worker.process_id.clone(), worker.address);
+        let batch = next_batch_id();
         let upstream = upstream.to_owned();
-        let open = OpenBatch {
+        let call = InFlightCall {
             upstream: upstream.clone(),
             address,
-            since: Some(now),
+            started_at: Some(now),
             lost_at,
-            bytes,
-            items: refs,
+            reserved_bytes: bytes,
+            items: item_refs,
         };
-        self.open.insert(batch, open);
+        self.in_flight.insert(batch, call);
         let write_by = now + CONNECT_PATIENCE;
         Some(BatchOrder { batch, upstream, process, address, items, write_by })
     }
 
-    /// Time that a call should take that is as full as calls were of late.
+    /// Expected duration of a call with the recent average number of pieces.
     ///
-    /// Whether a job can be in time is judged by it. Judged by the shortest call, jobs would go first that
-    /// come late by the pieces beside them.
-    pub(super) fn usual_call(&self) -> Duration {
-        // Calls are full of a flood's pieces, which go behind all others.
+    /// It decides whether a job can be on time. By the duration of the shortest call, jobs would
+    /// count as on time that other pieces in the same call make late.
+    pub(super) fn average_call_time(&self) -> Duration {
+        // During a flood, calls are filled with the pieces of the flood, which are served after all
+        // others and should not count.
         let is_flooded = self.jobs.values().any(|job| job.order.is_flood);
-        let pieces = if is_flooded { 1 } else { self.usual_pieces.ceil() as u32 };
+        let pieces = if is_flooded { 1 } else { self.average_pieces.ceil() as u32 };
         self.rules.expected(pieces)
     }
 
-    /// Jobs in the order in which they are served: first those that can still be in time, and those
-    /// of requests that have been worked on, by the time at which they are needed; then the others,
-    /// by priority and the end of their time.
-    pub(super) fn order_of_jobs(&self, now: MonotonicTime) -> Vec<AttemptId> {
-        let call = self.usual_call();
+    /// Jobs in the order in which they are served. Jobs that can be on time come first, sorted by
+    /// [`BatchJob::priority_time`]. Late jobs follow, those of a flood last, sorted by priority
+    /// level and expiry.
+    pub(super) fn service_order(&self, now: MonotonicTime) -> Vec<AttemptId> {
+        let call_time = self.average_call_time();
         let in_time = |attempt: &AttemptId| {
-            self.jobs.get(attempt).is_some_and(|job| job.is_ahead(now + call))
+            self.jobs.get(attempt).is_some_and(|job| job.can_meet_due(now + call_time))
         };
-        let jobs = self.queue.keys().map(|(_, attempt)| *attempt);
-        let (mut order, mut late): (Vec<AttemptId>, Vec<AttemptId>) = jobs.partition(in_time);
+        let attempts = self.queue.keys().map(|(_, attempt)| *attempt);
+        let (mut on_time, mut late): (Vec<AttemptId>, Vec<AttemptId>) = attempts.partition(in_time);
         late.sort_by_key(|attempt| {
             self.jobs
                 .get(attempt)
                 .map(|job| (job.order.is_flood, job.order.level, job.order.expires))
         });
-        order.extend(late);
-        order
+        on_time.extend(late);
+        on_time
     }
 
-    /// Free upstreams, the one that would be done first in front; without those for which it
-    /// pays to wait for a busy one that would be done sooner.
+    /// Free upstreams, sorted by the expected end of a call. Excludes those for which it is better
+    /// to wait until a busy upstream is free, because that one would finish sooner.
     fn free_upstreams(&self, now: MonotonicTime) -> Vec<String> {
         let pieces = self.rules.pieces / 2;
-        let end = |worker: &BatchWorker| worker.end_of_next(&self.rules, pieces, now);
-        let staying = self.workers.values().filter(|worker| worker.staying);
-        let Some(soonest) = staying.map(end).min() else { return Vec::new() };
-        // Half a call's time of difference is within what the pace of a call varies by.
-        let bound = soonest + self.rules.expected(pieces) / 2;
-        let free = self
-            .workers
-            .iter()
-            .filter(|(_, worker)| worker.is_free(&self.rules, now) && end(worker) <= bound);
+        let call_end = |worker: &BatchWorker| worker.next_call_end(&self.rules, pieces, now);
+        let accepting = self.workers.values().filter(|worker| worker.accepts_calls);
+        let Some(earliest_end) = accepting.map(call_end).min() else { return Vec::new() };
+        // Half of a call's duration is within the usual variation of call durations.
+        let latest_end = earliest_end + self.rules.expected(pieces) / 2;
+        let free = self.workers.iter().filter(|(_, worker)| {
+            worker.can_take_call(&self.rules, now) && call_end(worker) <= latest_end
+        });
         let mut free: Vec<(MonotonicTime, &String)> =
-            free.map(|(upstream, worker)| (end(worker), upstream)).collect();
+            free.map(|(upstream, worker)| (call_end(worker), upstream)).collect();
         free.sort_unstable();
         free.into_iter().map(|(_, upstream)| upstream.clone()).collect()
     }
 
-    /// Takes pieces out for a call of `upstream`, as many as a call and the upstream's memory for
-    /// results hold. The pieces of a job stay together unless they are more than that. A job whose
-    /// inputs or results are of another zone goes there, if it still is in time there.
-    fn fill(
+    /// Removes pieces from the queue for a call to `upstream`, as many as the call and the
+    /// upstream's memory for results can hold. The pieces of a job stay together if they fit into
+    /// one call. A job that prefers another zone, because of its inputs or its results, waits for
+    /// it as long as it can still be on time there.
+    fn take_items(
         &mut self,
-        jobs: &JobOrder,
+        jobs: &ServiceOrder,
         upstream: &str,
         now: MonotonicTime,
     ) -> (Vec<BatchItem>, Vec<(AttemptId, u32)>, u64) {
-        let limit = self.rules.pieces.max(1) as usize;
-        let (mut items, mut refs, mut bytes) = (Vec::new(), Vec::new(), 0);
-        let mut is_lone = false;
-        let Some(worker) = self.workers.get(upstream) else { return (items, refs, bytes) };
-        let (own_zone, room) = (worker.zone.clone(), worker.room.free_bytes(&self.rules));
-        let margin = self.rules.expected(self.rules.pieces / 2) / 2;
-        let zones = zone_ends(&self.workers, &self.rules, now);
-        for attempt in &jobs.order {
-            if items.len() == limit || is_lone {
+        let max_items = self.rules.pieces.max(1) as usize;
+        let (mut items, mut item_refs, mut bytes) = (Vec::new(), Vec::new(), 0);
+        let mut is_exclusive = false;
+        let Some(worker) = self.workers.get(upstream) else { return (items, item_refs, bytes) };
+        let (own_zone, free_bytes) =
+            (worker.zone.clone(), worker.result_memory.free_bytes(&self.rules));
+        let default_margin = self.rules.expected(self.rules.pieces / 2) / 2;
+        let zones = earliest_zone_ends(&self.workers, &self.rules, now);
+        for attempt in &jobs.attempts {
+            if items.len() == max_items || is_exclusive {
                 break;
             }
-            let waits = |job: &&mut BatchJob| !job.waiting.is_empty();
-            let Some(job) = self.jobs.get_mut(attempt).filter(waits) else { continue };
-            let useful = if now < job.order.due { job.order.due } else { job.order.expires };
-            let margin = job.zone_margin(margin);
-            let elsewhere = job.order.zone.as_ref().is_some_and(|zone| {
+            let has_waiting = |job: &&mut BatchJob| !job.waiting.is_empty();
+            let Some(job) = self.jobs.get_mut(attempt).filter(has_waiting) else { continue };
+            let useful_until = if now < job.order.due { job.order.due } else { job.order.expires };
+            let margin = job.zone_wait_margin(default_margin);
+            let waits_for_zone = job.order.zone.as_ref().is_some_and(|zone| {
                 let end = zones.get(zone.as_str());
-                *zone != own_zone && end.is_some_and(|end| *end + margin <= useful)
+                *zone != own_zone && end.is_some_and(|end| *end + margin <= useful_until)
             });
-            let fitting = room.saturating_sub(bytes) / job.order.result_bytes.max(1);
-            let fitting = usize::try_from(fitting).unwrap_or(usize::MAX).min(limit - items.len());
-            let whole = job.waiting.len() <= fitting || items.is_empty() || jobs.overloaded;
-            if fitting == 0 || !whole || elsewhere {
+            let max_pieces = free_bytes.saturating_sub(bytes) / job.order.result_bytes.max(1);
+            let max_pieces =
+                usize::try_from(max_pieces).unwrap_or(usize::MAX).min(max_items - items.len());
+            let can_join =
+                job.waiting.len() <= max_pieces || items.is_empty() || jobs.is_overloaded;
+            if max_pieces == 0 || !can_join || waits_for_zone {
                 continue;
             }
-            if job.goes_alone() && !items.is_empty() {
+            if job.must_run_alone() && !items.is_empty() {
                 continue;
             }
-            is_lone = job.goes_alone();
-            let taken = job.take(fitting);
+            is_exclusive = job.must_run_alone();
+            let taken = job.take_pieces(max_pieces);
             bytes += job.order.result_bytes * taken.len() as u64;
-            refs.extend(taken.iter().map(|item| (*attempt, item.piece)));
+            item_refs.extend(taken.iter().map(|item| (*attempt, item.piece)));
             items.extend(taken);
             if job.waiting.is_empty() {
-                self.queue.remove(&(job.rank(), *attempt));
+                self.queue.remove(&(job.priority_time(), *attempt));
                 if job.order.inputs_pool.is_some() {
-                    self.fetching.push_back((now + FETCH_TIME, *attempt));
+                    self.fetching_jobs.push_back((now + INPUT_FETCH_TIME, *attempt));
                 }
             }
         }
-        (items, refs, bytes)
+        (items, item_refs, bytes)
     }
 }
 
-/// When a call should end that is given to each zone as soon as one of its upstreams can take it.
-fn zone_ends<'a>(
+/// For each zone, the earliest expected end of a call that is sent as soon as one of its upstreams
+/// is free.
+fn earliest_zone_ends<'a>(
     workers: &'a BTreeMap<String, BatchWorker>,
     rules: &BatchRules,
     now: MonotonicTime,
 ) -> BTreeMap<&'a str, MonotonicTime> {
     let mut ends = BTreeMap::new();
-    for worker in workers.values().filter(|worker| worker.staying) {
-        let end = worker.end_of_next(rules, rules.pieces / 2, now);
-        let known = ends.entry(worker.zone.as_str()).or_insert(end);
-        *known = end.min(*known);
+    for worker in workers.values().filter(|worker| worker.accepts_calls) {
+        let end = worker.next_call_end(rules, rules.pieces / 2, now);
+        let earliest = ends.entry(worker.zone.as_str()).or_insert(end);
+        *earliest = end.min(*earliest);
     }
     ends
 }
--- a/crates/crocusdale_core/src/batching/crash_suspicion.rs
+++ b/crates/crocusdale_core/src/batching/crash_suspicion.rs
@@ -1,32 +1,32 @@
-//! Requests whose pieces crash the upstreams of a pool.
+//! Handling of requests whose pieces crash upstreams of a pool.
 
 use std::collections::BTreeSet;
 
-use super::open_batch::OpenBatch;
+use super::in_flight_call::InFlightCall;
 use super::{BatchPool, DispatchStep};
 use crate::identity::{AttemptId, RequestDigest};
 use crate::pipeline::PieceFault;
 
 impl BatchPool {
-    /// Gives up the pieces of requests like `digest`, under which upstreams ended.
+    /// Fails the pieces of all requests with `digest`, under which upstreams have crashed.
     pub fn end_quarantined(&mut self, digest: RequestDigest, steps: &mut Vec<DispatchStep>) {
-        let like = self.jobs.iter().filter(|(_, job)| job.order.digest == Some(digest));
-        let mut like: Vec<AttemptId> = like.map(|(attempt, _)| *attempt).collect();
-        like.sort_unstable();
-        for attempt in like {
-            self.fail(attempt, PieceFault::Quarantined, steps);
+        let matching = self.jobs.iter().filter(|(_, job)| job.order.digest == Some(digest));
+        let mut matching: Vec<AttemptId> = matching.map(|(attempt, _)| *attempt).collect();
+        matching.sort_unstable();
+        for attempt in matching {
+            self.fail_job(attempt, PieceFault::Quarantined, steps);
         }
     }
 
-    /// A call broke off: its upstream is looked at, and if it has ended, the requests of the call are
-    /// suspected.
-    pub(super) fn suspect(&mut self, open: &OpenBatch, steps: &mut Vec<DispatchStep>) {
-        let attempts: BTreeSet<AttemptId> = open.items.iter().map(|(job, _)| *job).collect();
+    /// Requests a probe of the upstream of a failed call. If the probe finds that it has crashed,
+    /// the requests of the call are suspected.
+    pub(super) fn suspect_requests(&mut self, call: &InFlightCall, steps: &mut Vec<DispatchStep>) {
+        let attempts: BTreeSet<AttemptId> = call.items.iter().map(|(job, _)| *job).collect();
         for attempt in attempts {
             let Some(job) = self.jobs.get_mut(&attempt) else { continue };
-            job.note_breaks(1);
+            job.add_suspected_crashes(1);
             let Some(digest) = job.order.digest else { continue };
-            let (upstream, address) = (open.upstream.clone(), open.address);
+            let (upstream, address) = (call.upstream.clone(), call.address);
             steps.push(DispatchStep::Suspect { digest, upstream, address });
         }
     }
--- a/crates/crocusdale_core/src/batching/in_flight_call.rs
+++ b/crates/crocusdale_core/src/batching/in_flight_call.rs
@@ -4,26 +4,30 @@
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::pipeline::ResultHandle;
 
-/// A call that has not ended.
+/// A batch call that has been sent and has not ended.
 #[derive(Debug)]
-pub(super) struct OpenBatch {
+pub(super) struct InFlightCall {
+    /// Name of the upstream.
     pub(super) upstream: String,
+    /// Address at which the upstream listens.
     pub(super) address: SocketAddr,
-    /// When it began, unless this process was paused since.
-    pub(super) since: Option<MonotonicTime>,
+    /// Start of the call. `None` if this process was paused since then, because the duration of the
+    /// call can no longer be measured.
+    pub(super) started_at: Option<MonotonicTime>,
+    /// Time at which the call counts as lost if it has not ended.
     pub(super) lost_at: MonotonicTime,
-    /// Memory that is kept for the results, in bytes.
-    pub(super) bytes: u64,
-    /// Job and piece of each item.
+    /// Memory reserved for the results, in bytes.
+    pub(super) reserved_bytes: u64,
+    /// Attempt and piece index of each item, in the order of the call.
     pub(super) items: Vec<(AttemptId, u32)>,
 }
 
-/// Results that a call made.
-pub(super) fn made_by(outcome: BatchOutcome) -> Vec<ResultHandle> {
+/// Handles of all results that a call produced.
+pub(super) fn produced_results(outcome: BatchOutcome) -> Vec<ResultHandle> {
     let BatchOutcome::Answered(items) = outcome else { return Vec::new() };
-    let made = items.into_iter().filter_map(|item| match item {
+    let handles = items.into_iter().filter_map(|item| match item {
         ItemOutcome::Made(handle) => Some(handle),
         _ => None,
     });
-    made.collect()
+    handles.collect()
 }
--- a/crates/crocusdale_core/src/batching/mod.rs
+++ b/crates/crocusdale_core/src/batching/mod.rs
@@ -1,12 +1,14 @@
-//! Calls that pieces of many requests share, formed by one dispatcher for each pool.
+//! Batching: pieces of many requests share calls to upstreams, which one dispatcher per pool forms.
 //!
-//! An upstream of a batched pool takes one call at a time, and most of a call's time is the same
-//! however many pieces it holds. Whoever sees all waiting pieces of a pool fills its calls; daemons
-//! that each form their own calls send many small ones, and soon none is in time. So the pieces of
-//! a pool go to one daemon, its dispatcher, chosen by rendezvous hashing over the live members. A large
-//! pool is cut into sections, each with its own upstreams and dispatcher. No promise rests on there being
-//! one: two dispatchers cost efficiency, a lost one is replaced by the next in rank, and a piece may be
-//! made twice.
+//! An upstream of a batched pool runs one call at a time, and most of the time of a call does not
+//! depend on its number of pieces. So calls should be full, which needs a view of all waiting
+//! pieces of the pool. If every daemon formed its own calls, they would send many small ones, and
+//! soon no result would be in time. Therefore all pieces of a pool go to one daemon, its
+//! dispatcher, chosen among the live members by rendezvous hashing.
+//!
+//! Large pools are sharded into sections, each with its own upstreams and dispatcher. Correctness
+//! does not depend on a single dispatcher: two of them only waste capacity, a failed one is
+//! replaced by the next in rank, and a piece may be processed twice.
 
 mod batch_call;
 mod batch_dispatcher;
@@ -17,13 +19,13 @@
 mod call_limits;
 mod crash_suspicion;
 mod dispatcher_choice;
-mod open_batch;
+mod in_flight_call;
 mod pool_changes;
 mod pool_forecast;
 mod pool_section;
 mod pool_waits;
+mod result_memory;
 mod result_release;
-mod room_account;
 
 pub use batch_call::{BatchId, BatchItem, BatchOrder, BatchOutcome, ItemOutcome};
 pub use batch_dispatcher::{BatchDispatcher, DispatchStep};
--- a/crates/crocusdale_core/src/batching/pool_changes.rs
+++ b/crates/crocusdale_core/src/batching/pool_changes.rs
@@ -1,4 +1,4 @@
-//! What changes around a pool: its upstreams, its dispatcher, a pause of this process.
+//! Reactions of a pool to a new upstream list, a new dispatcher, and a pause of this process.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -10,65 +10,71 @@
 use crate::routing::DirectoryEntry;
 
 impl BatchPool {
-    /// Sets the upstreams; those that are left out or leaving get no new calls.
+    /// Replaces the list of upstreams. Upstreams that are missing from it or leaving get no new
+    /// calls.
     pub fn set_upstreams<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a DirectoryEntry>,
         now: MonotonicTime,
     ) {
         for worker in self.workers.values_mut() {
-            worker.staying = false;
+            worker.accepts_calls = false;
         }
         for entry in entries {
-            let fresh = || BatchWorker::new(entry, now);
-            let worker = self.workers.entry(entry.name()).or_insert_with(fresh);
-            worker.staying = !entry.leaving;
+            let new_worker = || BatchWorker::new(entry, now);
+            let worker = self.workers.entry(entry.name()).or_insert_with(new_worker);
+            worker.accepts_calls = !entry.leaving;
         }
-        self.lose_ended_lives(now);
-        self.workers.retain(|_, worker| worker.staying || worker.open > 0);
+        self.expire_calls_of_restarted(now);
+        self.workers.retain(|_, worker| worker.accepts_calls || worker.open_calls > 0);
     }
 
-    /// Calls of a process that has started again are lost, with whatever they made.
+    /// Expires the calls to a process that has restarted under a new name. The calls and their
+    /// results are lost.
     ///
-    /// Guards against a call that nobody works on any more: if the VM of the process lost its power,
-    /// the connection stays silent, and the call's pieces would wait for its patience to end.
-    fn lose_ended_lives(&mut self, now: MonotonicTime) {
-        let staying = self.workers.values().filter(|worker| worker.staying);
-        let living: HashSet<&str> = staying.map(|worker| worker.process.as_str()).collect();
-        let has_ended = |upstream: &String| {
+    /// Guards against waiting for a call that nobody processes: if the VM of the process lost
+    /// power, its connection stays silent, and the pieces would wait until the call times out.
+    fn expire_calls_of_restarted(&mut self, now: MonotonicTime) {
+        let accepting = self.workers.values().filter(|worker| worker.accepts_calls);
+        let live_processes: HashSet<&str> =
+            accepting.map(|worker| worker.process_id.as_str()).collect();
+        let was_replaced = |upstream: &String| {
             let worker = self.workers.get(upstream);
-            worker.is_some_and(|each| !each.staying && living.contains(each.process.as_str()))
+            worker.is_some_and(|worker| {
+                !worker.accepts_calls && live_processes.contains(worker.process_id.as_str())
+            })
         };
-        for open in self.open.values_mut().filter(|open| has_ended(&open.upstream)) {
-            open.lost_at = now;
+        for call in self.in_flight.values_mut().filter(|call| was_replaced(&call.upstream)) {
+            call.lost_at = now;
         }
     }
 
-    /// This process was paused for `pause` until now. What the calls that were open then take says
-    /// nothing of their upstreams, and their answers may lie unread: they are not lost before they
-    /// have had as much time as without the pause. How overloaded the pool was is to be seen anew.
+    /// Adjusts timeouts after a pause of this process that lasted `pause` and ends now. The
+    /// durations of calls that were in flight say nothing about their upstreams, and their answers
+    /// may be waiting to be read. So these calls time out later by the length of the pause. The
+    /// overload of the pool is measured anew.
     pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
-        for open in self.open.values_mut() {
-            open.since = None;
-            open.lost_at = open.lost_at + pause;
+        for call in self.in_flight.values_mut() {
+            call.started_at = None;
+            call.lost_at = call.lost_at + pause;
         }
         self.overloaded_since = None;
-        self.full_until = None;
-        self.last_wait = None;
-        self.last_shed = Some(now);
+        self.overload_until = None;
+        self.cached_wait = None;
+        self.last_shed_at = Some(now);
     }
 
-    /// Another daemon dispatches the pool now: hands over what was in no call yet.
+    /// Returns all undispatched jobs, because another daemon now dispatches the pool.
     ///
-    /// Guards against two queues before the same upstreams: each of the two dispatchers sends its own
-    /// small calls, and these stand behind each other's where nobody sees them. With this, a rolling
-    /// restart of the whole fleet leaves nothing behind in processes that are about to end.
+    /// Guards against two queues for the same upstreams: each dispatcher would send small calls,
+    /// which then queue up at the upstreams where no dispatcher sees them. In a rolling restart of
+    /// the fleet, this also leaves no work behind in processes that are about to exit.
     pub fn hand_over(&mut self, steps: &mut Vec<DispatchStep>) {
-        let untouched = self.jobs.iter().filter(|(_, job)| job.is_untouched());
-        let mut untouched: Vec<AttemptId> = untouched.map(|(attempt, _)| *attempt).collect();
-        untouched.sort_unstable();
-        for attempt in untouched {
-            self.fail(attempt, PieceFault::Moved, steps);
+        let undispatched = self.jobs.iter().filter(|(_, job)| job.is_undispatched());
+        let mut undispatched: Vec<AttemptId> = undispatched.map(|(attempt, _)| *attempt).collect();
+        undispatched.sort_unstable();
+        for attempt in undispatched {
+            self.fail_job(attempt, PieceFault::Moved, steps);
         }
     }
 }
--- a/crates/crocusdale_core/src/batching/pool_forecast.rs
+++ b/crates/crocusdale_core/src/batching/pool_forecast.rs
@@ -1,4 +1,4 @@
-//! Forecast of the wait in a pool, and shedding of pieces that can't be served.
+//! Wait estimation and load shedding.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,157 +9,167 @@
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::pipeline::PieceFault;
 
-/// Time for which a reckoning of the wait is good: it looks at all jobs, and each call that ends
-/// asks for it several times.
-const WAIT_LIFE: Duration = Duration::from_millis(10);
-/// Pause between two looks for jobs to shed: a tenth of the time of a usual call.
+/// Time for which a computed wait is cached. The computation scans all jobs, and each call that
+/// ends asks for it several times.
+const WAIT_CACHE_TIME: Duration = Duration::from_millis(10);
+/// Minimum time between two scans for jobs to shed: a tenth of the duration of a usual call.
 const SHED_INTERVAL: Duration = Duration::from_millis(20);
-/// Time constant of the average of arrivals: some calls long, and short against a burst.
-const INFLOW_TIME: Duration = Duration::from_millis(1_500);
-/// Least part of a pool that is taken to be left for late jobs: bursts end, and with none left every late
-/// job would be refused at the beginning of one.
-const LEAST_SHARE: f64 = 0.1;
+/// Time constant of the load average. It spans several calls, and is short compared with a burst.
+const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(1_500);
+/// Minimum share of a pool's capacity that is assumed to be left for late jobs. Bursts end, and
+/// without a minimum every late job would be refused at the start of one.
+const MIN_LATE_SHARE: f64 = 0.1;
 
-/// Least number of upstreams that a pool counts as, so that each wait is finite.
-const LEAST_CAPACITY: f64 = 0.01;
+/// Minimum capacity of a pool, in upstreams. It keeps every estimated wait finite.
+const MIN_CAPACITY: f64 = 0.01;
 
-/// Rate of the work that can be in time, which goes before all late work.
+/// Exponentially decaying average of the load by jobs that can be on time. They are served before
+/// all late jobs.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct InflowMeter {
-    /// Seconds of upstreams' time, the older the less.
-    work: f64,
-    at: Option<MonotonicTime>,
+pub(super) struct LoadMeter {
+    /// Decayed sum of the submitted work, in seconds of upstream time, as of `updated_at`.
+    upstream_seconds: f64,
+    updated_at: Option<MonotonicTime>,
 }
 
-impl InflowMeter {
+impl LoadMeter {
     fn add(&mut self, work: Duration, now: MonotonicTime) {
-        self.work = self.decayed(now) + work.as_secs_f64();
-        self.at = Some(now);
+        self.upstream_seconds = self.decayed(now) + work.as_secs_f64();
+        self.updated_at = Some(now);
     }
 
-    /// Seconds of upstreams' time that come in a second.
+    /// Submitted work per second, in seconds of upstream time. It equals the number of upstreams
+    /// that the load keeps busy.
     fn rate(&self, now: MonotonicTime) -> f64 {
-        self.decayed(now) / INFLOW_TIME.as_secs_f64()
+        self.decayed(now) / LOAD_TIME_CONSTANT.as_secs_f64()
     }
 
     fn decayed(&self, now: MonotonicTime) -> f64 {
-        let age = self.at.map_or(Duration::ZERO, |at| now.since(at));
-        self.work * (-age.as_secs_f64() / INFLOW_TIME.as_secs_f64()).exp()
+        let age = self.updated_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.upstream_seconds * (-age.as_secs_f64() / LOAD_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// Wait of late work, which goes behind what can be in time.
+/// Model of the queue of late jobs, which are served after those that can be on time.
 #[derive(Clone, Copy, Debug)]
 struct LateQueue {
     /// Time until the first upstream is free.
-    first: Duration,
-    /// Upstreams, as far as what comes in leaves them to late jobs.
-    share: f64,
+    first_free_in: Duration,
+    /// Capacity that the on-time load leaves to late jobs, in upstreams.
+    capacity: f64,
 }
 
 impl LateQueue {
     fn wait(&self, work: Duration) -> Duration {
-        self.first + work.div_f64(self.share)
+        self.first_free_in + work.div_f64(self.capacity)
     }
 }
 
 impl BatchPool {
-    /// How long new pieces would wait for their call.
+    /// Expected wait of new pieces until their call starts. The result is cached for a
+    /// short time.
     #[must_use]
     pub fn expected_wait(&mut self, now: MonotonicTime) -> PoolWait {
         if let Some((wait, at)) =
-            self.last_wait.as_ref().filter(|(_, at)| now.since(*at) < WAIT_LIFE)
+            self.cached_wait.as_ref().filter(|(_, at)| now.since(*at) < WAIT_CACHE_TIME)
         {
             return wait.after(now.since(*at));
         }
         self.refresh_limits(now);
-        let mut wait = self.reckon_wait(now);
+        let mut wait = self.compute_wait(now);
         self.overloaded_since = wait.is_overloaded().then(|| self.overloaded_since.unwrap_or(now));
         wait.overloaded = self.overloaded_since.map_or(Duration::ZERO, |since| now.since(since));
-        // The forecast holds only while the pool is overloaded.
-        self.full_until = self.full_until.filter(|_| wait.is_overloaded());
-        let full = self.full_until.map_or(Duration::ZERO, |until| until.since(now));
-        wait.overloaded = wait.overloaded.max(full);
-        self.last_wait = Some((wait.clone(), now));
+        // The estimated end is valid only while the pool is overloaded.
+        self.overload_until = self.overload_until.filter(|_| wait.is_overloaded());
+        let overload_left = self.overload_until.map_or(Duration::ZERO, |until| until.since(now));
+        wait.overloaded = wait.overloaded.max(overload_left);
+        self.cached_wait = Some((wait.clone(), now));
         wait
     }
 
-    /// Takes note of pieces that were offered and can be in time.
-    pub(super) fn note_inflow(&mut self, pieces: u32, now: MonotonicTime) {
-        let work = work_of(&self.rules, pieces as usize);
-        self.inflow.add(work, now);
+    /// Adds newly submitted pieces that can be on time to the load average.
+    pub(super) fn record_on_time_load(&mut self, pieces: u32, now: MonotonicTime) {
+        let work = upstream_time(&self.rules, pieces as usize);
+        self.on_time_load.add(work, now);
     }
 
-    /// Sheds jobs that can't end before their time is over, with what waits and comes in before them.
+    /// Sheds late jobs that cannot complete before they expire, given the work that is queued and
+    /// arriving ahead of them.
     ///
-    /// Guards against callers that are refused at the end of their time, with none left to come back in.
+    /// Guards against callers that are refused only at the end of their deadline, when no time is
+    /// left for a retry.
     pub(super) fn shed_unservable(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        if self.last_shed.is_some_and(|at| now.since(at) < SHED_INTERVAL) {
+        if self.last_shed_at.is_some_and(|at| now.since(at) < SHED_INTERVAL) {
             return;
         }
-        self.last_shed = Some(now);
-        let Some(turn) = self.late_queue(now) else { return };
+        self.last_shed_at = Some(now);
+        let Some(late_queue) = self.late_queue(now) else { return };
         let shortest = self.rules.expected(1);
-        let mut ahead = Duration::ZERO;
+        let mut work_ahead = Duration::ZERO;
         let mut unservable: Vec<AttemptId> = Vec::new();
-        for attempt in self.order_of_jobs(now) {
+        for attempt in self.service_order(now) {
             let Some(job) = self.jobs.get(&attempt) else { continue };
-            let work = work_of(&self.rules, job.waiting.len());
-            let end = now + turn.wait(ahead) + shortest;
-            if !job.is_ahead(now + shortest) && end > job.order.expires {
+            let work = upstream_time(&self.rules, job.waiting.len());
+            let end = now + late_queue.wait(work_ahead) + shortest;
+            if !job.can_meet_due(now + shortest) && end > job.order.expires {
                 unservable.push(attempt);
-                self.full_until = Some(end);
-                self.last_wait = None;
+                self.overload_until = Some(end);
+                self.cached_wait = None;
             } else {
-                ahead += work;
+                work_ahead += work;
             }
         }
         for attempt in unservable {
-            self.fail(attempt, PieceFault::Late, steps);
+            self.fail_job(attempt, PieceFault::Late, steps);
         }
     }
 
-    fn reckon_wait(&self, now: MonotonicTime) -> PoolWait {
-        let Some(turn) = self.late_queue(now) else { return PoolWait::default() };
+    fn compute_wait(&self, now: MonotonicTime) -> PoolWait {
+        let Some(late_queue) = self.late_queue(now) else { return PoolWait::default() };
         let shortest = self.rules.expected(1);
-        let (mut ahead, mut late) = (0, BTreeMap::<u8, usize>::new());
+        let (mut on_time_pieces, mut late_by_level) = (0, BTreeMap::<u8, usize>::new());
         for job in self.jobs.values() {
-            if job.is_ahead(now + shortest) && !job.order.is_flood {
-                ahead += job.waiting.len();
+            if job.can_meet_due(now + shortest) && !job.order.is_flood {
+                on_time_pieces += job.waiting.len();
             } else {
-                *late.entry(job.order.level).or_default() += job.waiting.len();
+                *late_by_level.entry(job.order.level).or_default() += job.waiting.len();
             }
         }
-        let in_time = turn.first + work_of(&self.rules, ahead).div_f64(self.capacity(now));
-        let levels = 0..=late.last_key_value().map_or(0, |(level, _)| *level);
+        let in_time = late_queue.first_free_in
+            + upstream_time(&self.rules, on_time_pieces).div_f64(self.capacity(now));
+        let levels = 0..=late_by_level.last_key_value().map_or(0, |(level, _)| *level);
         let waits = levels.map(|level| {
-            let before: usize = late.range(..=level).map(|(_, pieces)| pieces).sum();
-            turn.wait(work_of(&self.rules, ahead + before))
+            let late_pieces: usize = late_by_level.range(..=level).map(|(_, pieces)| pieces).sum();
+            late_queue.wait(upstream_time(&self.rules, on_time_pieces + late_pieces))
         });
-        let call = self.usual_call();
+        let call = self.average_call_time();
         PoolWait { in_time, late: waits.collect(), overloaded: Duration::ZERO, call }
     }
 
     fn late_queue(&self, now: MonotonicTime) -> Option<LateQueue> {
-        let first = self.staying().map(|worker| worker.free_in(&self.rules, now)).min()?;
-        let upstreams = self.capacity(now);
-        let free = 1.0 - self.inflow.rate(now) / upstreams;
-        Some(LateQueue { first, share: upstreams * free.max(LEAST_SHARE) })
+        let first_free_in = self
+            .accepting_workers()
+            .map(|worker| worker.time_until_free(&self.rules, now))
+            .min()?;
+        let capacity = self.capacity(now);
+        let free_share = 1.0 - self.on_time_load.rate(now) / capacity;
+        Some(LateQueue { first_free_in, capacity: capacity * free_share.max(MIN_LATE_SHARE) })
     }
 
-    /// Upstreams, those that name a rate by the part of their time that they can work.
+    /// Capacity of the pool in upstreams. An upstream with a rate limit counts by the share of its
+    /// time that it can work.
     fn capacity(&self, now: MonotonicTime) -> f64 {
-        let parts = self.staying().map(|worker| worker.capacity(&self.rules, now));
-        parts.sum::<f64>().max(LEAST_CAPACITY)
+        let shares = self.accepting_workers().map(|worker| worker.usable_share(&self.rules, now));
+        shares.sum::<f64>().max(MIN_CAPACITY)
     }
 
-    fn staying(&self) -> impl Iterator<Item = &BatchWorker> {
-        self.workers.values().filter(|worker| worker.staying)
+    fn accepting_workers(&self) -> impl Iterator<Item = &BatchWorker> {
+        self.workers.values().filter(|worker| worker.accepts_calls)
     }
 }
 
-/// Time of one upstream that `pieces` pieces take in full calls.
-fn work_of(rules: &BatchRules, pieces: usize) -> Duration {
+/// Time for which `pieces` pieces occupy one upstream, if they are processed in full calls.
+fn upstream_time(rules: &BatchRules, pieces: usize) -> Duration {
     let calls = pieces as f64 / f64::from(rules.pieces.max(1));
     rules.call_time.mul_f64(calls) + rules.piece_time.mul_f64(pieces as f64)
 }
--- a/crates/crocusdale_core/src/batching/result_memory.rs
+++ b/crates/crocusdale_core/src/batching/result_memory.rs
@@ -5,104 +5,118 @@
 use crate::identity::MonotonicTime;
 use crate::pipeline::ResultHandle;
 
-/// Part of an upstream's memory for results that is used. Sizes of results are declared roughly.
-const ROOM_SHARE: f64 = 0.9;
-/// Time for which a call waits for the answer to the question how much is free: some round trips
-/// between availability zones, and a fifth of a call.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(40);
-/// Pause between two questions while results of others lie there. They are given up one by one.
-const QUESTION_PAUSE: Duration = Duration::from_millis(300);
+/// Usable share of an upstream's memory for results. The rest is a reserve, because declared result
+/// sizes are approximate.
+const USABLE_SHARE: f64 = 0.9;
+/// Time for which calls wait for the answer to a query of the free memory: several round trips
+/// between availability zones, and a fifth of a call's duration.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
+/// Minimum time between two queries while results of other dispatchers occupy memory. These are
+/// freed one by one.
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Memory for results of one upstream, as its dispatcher counts it.
+/// Accounting of one upstream's memory for results, at the dispatcher.
 ///
-/// Guards against calls whose results find no room: the pieces come back unmade, after the whole time of
-/// their call. A dispatcher counts what it had made itself, and asks for what the one before it left.
+/// Guards against calls whose results do not fit: the pieces would come back unprocessed after the
+/// whole duration of the call. A dispatcher accounts for the results of its own calls, and queries
+/// the upstream for the memory that results of the previous dispatcher occupy.
 #[derive(Debug, Default)]
-pub(super) struct RoomAccount {
-    /// Memory that the results of open calls will take, in bytes.
-    reserved: u64,
-    /// Results of this dispatcher, with their size and the time at which they lapse.
-    held: HashMap<ResultHandle, (u64, MonotonicTime)>,
-    /// Results of others, in bytes, and the time at which the last of them lapses.
-    foreign: Option<(u64, MonotonicTime)>,
-    /// Whether the upstream has to be asked how much is free.
-    unsure: bool,
-    /// When it was asked last.
-    asked: Option<MonotonicTime>,
+pub(super) struct ResultMemory {
+    /// Memory reserved for the results of calls in flight, in bytes.
+    reserved_bytes: u64,
+    /// Results of this dispatcher's calls, with their size in bytes and their expiry.
+    own_results: HashMap<ResultHandle, (u64, MonotonicTime)>,
+    /// Memory occupied by results of other dispatchers, in bytes, and the time by which all of them
+    /// have expired. `None` if there are none.
+    others_memory: Option<(u64, MonotonicTime)>,
+    /// Whether the free memory is unknown, so that the upstream must be queried.
+    is_unverified: bool,
+    /// Time of the last query.
+    queried_at: Option<MonotonicTime>,
 }
 
-impl RoomAccount {
-    /// Memory that is free, in bytes.
+impl ResultMemory {
+    /// Memory available for new results, in bytes.
     pub(super) fn free_bytes(&self, rules: &BatchRules) -> u64 {
-        let held: u64 = self.held.values().map(|(bytes, _)| bytes).sum();
-        let foreign = self.foreign.map_or(0, |(bytes, _)| bytes);
-        let usable = (rules.result_bytes as f64 * ROOM_SHARE) as u64;
-        usable.saturating_sub(held + self.reserved + foreign)
+        let own_bytes: u64 = self.own_results.values().map(|(bytes, _)| bytes).sum();
+        let others_bytes = self.others_memory.map_or(0, |(bytes, _)| bytes);
+        let usable_bytes = (rules.result_bytes as f64 * USABLE_SHARE) as u64;
+        usable_bytes.saturating_sub(own_bytes + self.reserved_bytes + others_bytes)
     }
 
-    /// Keeps memory for the results of a call.
+    /// Reserves memory for the results of a call.
     pub(super) fn reserve(&mut self, bytes: u64) {
-        self.reserved += bytes;
+        self.reserved_bytes += bytes;
     }
 
-    /// A call has ended for whose results `bytes` were kept.
-    pub(super) fn unreserve(&mut self, bytes: u64) {
-        self.reserved = self.reserved.saturating_sub(bytes);
+    /// Releases the reservation of a call that has ended.
+    pub(super) fn release_reservation(&mut self, bytes: u64) {
+        self.reserved_bytes = self.reserved_bytes.saturating_sub(bytes);
     }
 
-    /// A result lies there until it is given up or lapses.
-    pub(super) fn hold(&mut self, result: ResultHandle, bytes: u64, until: MonotonicTime) {
-        self.held.insert(result, (bytes, until));
+    /// Adds a result that occupies memory until it is freed or expires.
+    pub(super) fn add_result(&mut self, result: ResultHandle, bytes: u64, expires: MonotonicTime) {
+        self.own_results.insert(result, (bytes, expires));
     }
 
-    /// A result was given up.
-    pub(super) fn release(&mut self, result: &ResultHandle) {
-        self.held.remove(result);
+    /// Removes a result that has been freed.
+    pub(super) fn remove_result(&mut self, result: &ResultHandle) {
+        self.own_results.remove(result);
     }
 
-    /// Forgets results that have lapsed.
-    pub(super) fn forget_lapsed(&mut self, now: MonotonicTime) {
-        self.held.retain(|_, (_, until)| now < *until);
-        self.foreign = self.foreign.filter(|(_, until)| now < *until);
+    /// Removes results that have expired.
+    pub(super) fn remove_expired(&mut self, now: MonotonicTime) {
+        self.own_results.retain(|_, (_, expires)| now < *expires);
+        self.others_memory = self.others_memory.filter(|(_, expires)| now < *expires);
     }
 
-    /// Another dispatcher may have had results made there.
-    pub(super) fn doubt(&mut self) {
-        self.unsure = true;
-        self.asked = None;
+    /// Marks the free memory as unknown, because another dispatcher may have stored results at the
+    /// upstream.
+    pub(super) fn mark_unverified(&mut self) {
+        self.is_unverified = true;
+        self.queried_at = None;
     }
 
-    /// Whether the upstream is to be asked now how much is free; counts as asked then.
-    pub(super) fn must_ask(&mut self, now: MonotonicTime) -> bool {
-        let wants = self.unsure || self.foreign.is_some();
-        let due = self.asked.is_none_or(|asked| now.since(asked) >= QUESTION_PAUSE);
-        if wants && due {
-            self.asked = Some(now);
+    /// Returns whether the upstream must be queried for its free memory now, and if so records the
+    /// query.
+    pub(super) fn try_start_query(&mut self, now: MonotonicTime) -> bool {
+        let needs_query = self.is_unverified || self.others_memory.is_some();
+        let is_due =
+            self.queried_at.is_none_or(|queried_at| now.since(queried_at) >= QUERY_INTERVAL);
+        if needs_query && is_due {
+            self.queried_at = Some(now);
         }
-        wants && due
+        needs_query && is_due
     }
 
-    /// Whether a call should wait for the answer to that question.
-    pub(super) fn awaits_answer(&self, now: MonotonicTime) -> bool {
-        self.unsure && self.asked.is_none_or(|asked| now.since(asked) < ANSWER_PATIENCE)
+    /// Whether calls should wait for the answer to a query.
+    pub(super) fn is_awaiting_answer(&self, now: MonotonicTime) -> bool {
+        self.is_unverified
+            && self.queried_at.is_none_or(|queried_at| now.since(queried_at) < ANSWER_TIMEOUT)
     }
 
-    /// The upstream said that `free` bytes are free, or nothing. Without a word it counts as empty,
-    /// as it did before the question.
+    /// Records that `free_bytes` bytes are free at the upstream, or `None` if it did not answer.
+    /// Without an answer, its memory counts as empty, as it did before the query.
     ///
-    /// What others had made only becomes less: a later answer that says otherwise counts results
-    /// of this dispatcher that have come since.
-    pub(super) fn told(&mut self, free: Option<u64>, rules: &BatchRules, now: MonotonicTime) {
-        let first = std::mem::take(&mut self.unsure);
-        let Some(free) = free else { return };
-        let held: u64 = self.held.values().map(|(bytes, _)| bytes).sum();
-        // Results take up room from the beginning of their call.
-        let own = held + self.reserved;
-        let foreign = rules.result_bytes.saturating_sub(free).saturating_sub(own);
-        self.foreign = match self.foreign {
-            None if first => Some((foreign, now + rules.result_life)),
-            known => known.map(|(bytes, until)| (bytes.min(foreign), until)),
+    /// Results of other dispatchers only become fewer. A later answer that implies more has counted
+    /// results of this dispatcher that were stored in the meantime.
+    pub(super) fn record_free_bytes(
+        &mut self,
+        free_bytes: Option<u64>,
+        rules: &BatchRules,
+        now: MonotonicTime,
+    ) {
+        let is_first_answer = std::mem::take(&mut self.is_unverified);
+        let Some(free_bytes) = free_bytes else { return };
+        let own_bytes: u64 = self.own_results.values().map(|(bytes, _)| bytes).sum();
+        // Results occupy memory from the start of their call.
+        let accounted_bytes = own_bytes + self.reserved_bytes;
+        let others_bytes =
+            rules.result_bytes.saturating_sub(free_bytes).saturating_sub(accounted_bytes);
+        self.others_memory = match self.others_memory {
+            None if is_first_answer => Some((others_bytes, now + rules.result_life)),
+            known => known.map(|(bytes, expires)| (bytes.min(others_bytes), expires)),
         };
-        self.foreign = self.foreign.filter(|(bytes, _)| *bytes > 0);
+        self.others_memory = self.others_memory.filter(|(bytes, _)| *bytes > 0);
     }
 }
--- a/crates/crocusdale_core/src/batching/result_release.rs
+++ b/crates/crocusdale_core/src/batching/result_release.rs
@@ -1,4 +1,4 @@
-//! Results that nobody needs any more, and the memory that they take up until upstreams are told.
+//! Freeing of results that are no longer needed, and of the upstream memory that they occupy.
 
 use super::batch_worker::BatchWorker;
 use super::{BatchPool, DispatchStep};
@@ -6,36 +6,46 @@
 use crate::pipeline::{PieceSource, ResultHandle};
 
 impl BatchPool {
-    /// Nobody needs `results` any more.
+    /// Marks `results` as no longer needed. They are freed in the next cycle.
     pub fn release(&mut self, results: Vec<ResultHandle>) {
-        self.unwanted.extend(results);
+        self.unneeded_results.extend(results);
     }
 
-    /// Has unwanted results given up, and counts on those of the turn before being gone: the news
-    /// must not overtake a call that needs their room. Returns whether there were any.
+    /// Requests that unneeded results be freed, and counts the memory of those from the previous
+    /// cycle as free. The delay makes sure that a call which needs the memory does not overtake the
+    /// message that frees it. Returns whether there were results in either cycle.
     pub fn turn_unwanted(&mut self, steps: &mut Vec<DispatchStep>) -> bool {
-        let told = std::mem::replace(&mut self.told, std::mem::take(&mut self.unwanted));
-        // What lies at an upstream that names a rate lapses: it takes calls instead of this news.
-        let limited = |worker: &&BatchWorker| worker.limit.is_some();
-        let spared = self.workers.values().filter(limited).map(|worker| worker.address).collect();
-        for worker in self.workers.values_mut().filter(|worker| worker.limit.is_none()) {
-            for result in &told {
-                worker.room.release(result);
+        let freed_before =
+            std::mem::replace(&mut self.freed_results, std::mem::take(&mut self.unneeded_results));
+        // Results at an upstream with a rate limit are left to expire, because its requests are
+        // spent on calls.
+        let is_limited = |worker: &&BatchWorker| worker.rate_limit.is_some();
+        let spared =
+            self.workers.values().filter(is_limited).map(|worker| worker.address).collect();
+        for worker in self.workers.values_mut().filter(|worker| worker.rate_limit.is_none()) {
+            for result in &freed_before {
+                worker.result_memory.remove_result(result);
             }
         }
-        if !self.told.is_empty() {
-            steps.push(DispatchStep::Free { results: self.told.clone(), spared });
+        if !self.freed_results.is_empty() {
+            steps.push(DispatchStep::Free { results: self.freed_results.clone(), spared });
         }
-        !self.told.is_empty() || !told.is_empty()
+        !self.freed_results.is_empty() || !freed_before.is_empty()
     }
 
-    /// Gives up the inputs of jobs that were fetched.
+    /// Frees the inputs of jobs once their upstreams have fetched them.
     ///
-    /// An upstream fetches them at the beginning of a call, and the memory of their maker bounds how full
-    /// the calls of the pool before are. If the call fails, its pieces find their inputs gone, and the
-    /// request's steps are begun anew.
-    pub(super) fn free_fetched(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        while let Some((_, attempt)) = self.fetching.pop_front_if(|(at, _)| *at <= now) {
+    /// An upstream fetches inputs at the start of a call. The memory of the upstreams that produced
+    /// them limits how full the calls of the preceding pool can be. If the call fails, its pieces
+    /// find their inputs gone, and the steps of the request are restarted.
+    pub(super) fn free_fetched_inputs(
+        &mut self,
+        now: MonotonicTime,
+        steps: &mut Vec<DispatchStep>,
+    ) {
+        while let Some((_, attempt)) =
+            self.fetching_jobs.pop_front_if(|(fetched_at, _)| *fetched_at <= now)
+        {
             let job = self.jobs.get(&attempt).filter(|job| job.waiting.is_empty());
             let Some(order) = job.map(|job| &job.order) else { continue };
             if let (Some(pool), PieceSource::Results(results)) = (&order.inputs_pool, &order.source)
