--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -35,13 +35,13 @@
 
 /// Action that the dispatcher requests from its daemon.
 #[derive(Debug)]
-pub enum DispatchStep {
+pub enum DispatchAction {
     /// Send a batch call.
     Call(BatchOrder),
     /// Cancel a batch call and close its connection.
     Cancel(BatchId),
     /// Report the outcome of a step's pieces to the daemon that submitted them.
-    Settle {
+    ReportOutcome {
         /// Attempt that the pieces belong to.
         attempt: AttemptId,
         /// Section of the pool that processed the pieces.
@@ -57,16 +57,16 @@
         results: Vec<ResultHandle>,
     },
     /// Free results, except those stored at upstreams with a rate limit.
-    Free {
+    FreeResults {
         /// Results to free.
         results: Vec<ResultHandle>,
         /// Addresses of the upstreams with a rate limit. Their requests are spent on calls, so
         /// their results expire instead.
-        spared: Vec<SocketAddr>,
+        excluded: Vec<SocketAddr>,
     },
     /// Probe an upstream after a failed call. If the upstream has crashed, suspect a request of
     /// that call.
-    Suspect {
+    ProbeUpstream {
         /// Digest that the request shares with its retries.
         digest: RequestDigest,
         /// Name of the upstream.
@@ -75,7 +75,7 @@
         address: SocketAddr,
     },
     /// Query an upstream for its free memory for results.
-    AskRoom {
+    QueryFreeMemory {
         /// Name of the upstream.
         upstream: String,
         /// Address at which the upstream listens.
@@ -83,11 +83,11 @@
     },
 }
 
-impl DispatchStep {
+impl DispatchAction {
     /// Reports that the pieces of `attempt` have failed with `fault`.
     #[must_use]
     pub fn fail(attempt: AttemptId, pool: &str, fault: PieceFault) -> Self {
-        Self::Settle { attempt, pool: pool.to_owned(), outcome: Err(fault) }
+        Self::ReportOutcome { attempt, pool: pool.to_owned(), outcome: Err(fault) }
     }
 }
 
@@ -116,7 +116,7 @@
         directory: &UpstreamDirectory,
         away: &HashMap<String, MonotonicTime>,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         for (name, stage) in declarations.stages() {
             let PoolKind::Batch(rules) = stage.kind else { continue };
@@ -141,7 +141,7 @@
         for (upstream, until) in away {
             self.stay_away(upstream, *until);
         }
-        self.turn(now, steps);
+        self.turn(now, actions);
     }
 
     /// Removes idle sections that are not part of their pool's current section count.
@@ -189,24 +189,24 @@
         order: PieceOrder,
         ends: usize,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let name = order.pool.clone();
         if !self.pools.contains_key(&name) {
             self.open_unlisted_section(&name, now);
         }
         let Some(pool) = self.pools.get_mut(&name) else {
-            steps.push(DispatchStep::fail(order.attempt, &name, PieceFault::NoUpstream));
+            actions.push(DispatchAction::fail(order.attempt, &name, PieceFault::NoUpstream));
             return;
         };
-        pool.offer(order, ends, now, steps);
-        self.advance_section(&name, now, steps);
+        pool.offer(order, ends, now, actions);
+        self.advance_section(&name, now, actions);
     }
 
     /// Fails the pieces of all requests with `digest`, under which upstreams have crashed.
-    pub fn end_quarantined(&mut self, digest: RequestDigest, steps: &mut Vec<DispatchStep>) {
+    pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         for pool in self.pools.values_mut() {
-            pool.end_quarantined(digest, steps);
+            pool.end_quarantined(digest, actions);
         }
     }
 
@@ -226,15 +226,16 @@
 
     /// Requests that unneeded results be freed, and forms calls that use the memory of those freed
     /// before.
-    pub fn turn_unwanted(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    pub fn turn_unwanted(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
             if let Some(pool) = self.pools.get_mut(&name) {
-                pool.free_fetched_inputs(now, steps);
+                pool.free_fetched_inputs(now, actions);
             }
-            let has_freed = self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(steps));
+            let has_freed =
+                self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(actions));
             if has_freed {
-                self.advance_section(&name, now, steps);
+                self.advance_section(&name, now, actions);
             }
         }
     }
@@ -245,13 +246,13 @@
         batch: BatchId,
         outcome: BatchOutcome,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let Some(name) = self.call_sections.remove(&batch) else { return };
         if let Some(pool) = self.pools.get_mut(&name) {
-            pool.answered(batch, outcome, now, steps);
+            pool.answered(batch, outcome, now, actions);
         }
-        self.advance_section(&name, now, steps);
+        self.advance_section(&name, now, actions);
     }
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
@@ -261,7 +262,7 @@
         upstream: &str,
         free: Option<u64>,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let owners = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
         let names: Vec<String> = owners
@@ -271,7 +272,7 @@
             })
             .collect();
         for name in names {
-            self.advance_section(&name, now, steps);
+            self.advance_section(&name, now, actions);
         }
     }
 
@@ -304,18 +305,18 @@
     }
 
     /// Returns the undispatched pieces of the section `pool`, which another daemon now dispatches.
-    pub fn hand_over(&mut self, pool: &str, steps: &mut Vec<DispatchStep>) {
+    pub fn hand_over(&mut self, pool: &str, actions: &mut Vec<DispatchAction>) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.hand_over(steps);
+            pool.hand_over(actions);
         }
     }
 
     /// Handles timeouts of all sections, and forms calls.
-    pub fn turn(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    pub fn turn(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         self.close_sections();
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
-            self.advance_section(&name, now, steps);
+            self.advance_section(&name, now, actions);
         }
     }
 
@@ -340,7 +341,12 @@
         self.pools.values().all(BatchPool::is_idle)
     }
 
-    fn advance_section(&mut self, name: &str, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn advance_section(
+        &mut self,
+        name: &str,
+        now: MonotonicTime,
+        actions: &mut Vec<DispatchAction>,
+    ) {
         let Some(pool) = self.pools.get_mut(name) else { return };
         let (last_id, calls) = (&mut self.last_batch_id, &mut self.call_sections);
         let mut next_batch_id = || {
@@ -348,14 +354,14 @@
             calls.insert(BatchId(*last_id), name.to_owned());
             BatchId(*last_id)
         };
-        let first_new = steps.len();
+        let first_new = actions.len();
         if self.is_paused {
-            pool.expire(now, steps);
+            pool.expire(now, actions);
         } else {
-            pool.turn(&mut next_batch_id, now, steps);
+            pool.turn(&mut next_batch_id, now, actions);
         }
-        for step in &steps[first_new..] {
-            if let DispatchStep::Cancel(batch) = step {
+        for action in &actions[first_new..] {
+            if let DispatchAction::Cancel(batch) = action {
                 self.call_sections.remove(batch);
             }
         }
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -5,7 +5,7 @@
 use super::batch_worker::BatchWorker;
 use super::in_flight_call::{InFlightCall, produced_results};
 use super::pool_forecast::LoadMeter;
-use super::{BatchId, BatchOutcome, DispatchStep, ItemOutcome, PoolWait};
+use super::{BatchId, BatchOutcome, DispatchAction, ItemOutcome, PoolWait};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::pipeline::{PieceFault, PieceOrder, PlacedResult, ResultHandle};
@@ -134,26 +134,26 @@
         order: PieceOrder,
         ends: usize,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let attempt = order.attempt;
         self.note_activity(order.repeated, now);
         if order.pieces == 0 {
             let pool = order.pool;
-            steps.push(DispatchStep::Settle { attempt, pool, outcome: Ok(Vec::new()) });
+            actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(Vec::new()) });
             return;
         }
         // Another dispatcher may already have processed these pieces, so they count as retries.
         if order.repeated {
             if !(0..order.pieces).all(|_| self.retry_budget.spend(now)) {
-                steps.push(DispatchStep::fail(attempt, &order.pool, PieceFault::Failed));
+                actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
             }
         } else {
             self.retry_budget.earn(now);
         }
         if !self.workers.values().any(|worker| worker.accepts_calls) {
-            steps.push(DispatchStep::fail(attempt, &order.pool, PieceFault::NoUpstream));
+            actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::NoUpstream));
             return;
         }
         let mut job = BatchJob::new(order);
@@ -219,7 +219,7 @@
         batch: BatchId,
         outcome: BatchOutcome,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let Some(call) = self.in_flight.remove(&batch) else {
             self.release(produced_results(outcome));
@@ -247,7 +247,7 @@
                     );
                 }
                 for ((job, piece), item) in call.items.iter().zip(items) {
-                    self.finish_item((*job, *piece), item, &call.upstream, &zone, now, steps);
+                    self.finish_item((*job, *piece), item, &call.upstream, &zone, now, actions);
                 }
             }
             outcome => {
@@ -259,11 +259,11 @@
                     }
                 }
                 if matches!(outcome, BatchOutcome::Broken) {
-                    self.suspect_requests(&call, steps);
+                    self.suspect_requests(&call, actions);
                 }
                 self.release(produced_results(outcome));
                 for (job, piece) in call.items {
-                    self.retry_piece(job, piece, now, steps);
+                    self.retry_piece(job, piece, now, actions);
                 }
             }
         }
@@ -274,27 +274,27 @@
         &mut self,
         next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         self.refresh_limits(now);
-        self.expire(now, steps);
+        self.expire(now, actions);
         for worker in self.workers.values_mut() {
             worker.result_memory.remove_expired(now);
         }
         if !self.queue.is_empty() {
-            self.query_free_memory(now, steps);
+            self.query_free_memory(now, actions);
         }
-        self.form_calls(next_batch_id, now, steps);
+        self.form_calls(next_batch_id, now, actions);
     }
 
     /// Cancels calls that have timed out, and fails jobs that cannot complete in time.
-    pub fn expire(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
-        self.cancel_lost_calls(now, steps);
-        self.fail_late_jobs(now, steps);
-        self.shed_unservable(now, steps);
+    pub fn expire(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
+        self.cancel_lost_calls(now, actions);
+        self.fail_late_jobs(now, actions);
+        self.shed_unservable(now, actions);
     }
 
-    fn query_free_memory(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn query_free_memory(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         // An upstream with a rate limit is not queried, because its requests are spent on calls.
         let queryable = self.workers.iter_mut().filter(|(_, worker)| {
             worker.accepts_calls && !worker.is_backing_off(now) && worker.rate_limit.is_none()
@@ -302,28 +302,28 @@
         for (upstream, worker) in queryable {
             if worker.result_memory.try_start_query(now) {
                 let (upstream, address) = (upstream.clone(), worker.address);
-                steps.push(DispatchStep::AskRoom { upstream, address });
+                actions.push(DispatchAction::QueryFreeMemory { upstream, address });
             }
         }
     }
 
-    fn cancel_lost_calls(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn cancel_lost_calls(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         let lost = self.in_flight.iter().filter(|(_, call)| now >= call.lost_at);
         let lost: Vec<BatchId> = lost.map(|(batch, _)| *batch).collect();
         for batch in lost {
-            steps.push(DispatchStep::Cancel(batch));
-            self.answered(batch, BatchOutcome::Broken, now, steps);
+            actions.push(DispatchAction::Cancel(batch));
+            self.answered(batch, BatchOutcome::Broken, now, actions);
         }
     }
 
-    fn fail_late_jobs(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    fn fail_late_jobs(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         let shortest = self.rules.expected(1);
         let late = self.queue.keys().filter(|(_, attempt)| {
             self.jobs.get(attempt).is_none_or(|job| now + shortest > job.order.expires)
         });
         let late: Vec<AttemptId> = late.map(|(_, attempt)| *attempt).collect();
         for attempt in late {
-            self.fail_job(attempt, PieceFault::Late, steps);
+            self.fail_job(attempt, PieceFault::Late, actions);
         }
     }
 
@@ -334,7 +334,7 @@
         upstream: &str,
         zone: &str,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         match outcome {
             ItemOutcome::Made(handle) => {
@@ -347,16 +347,16 @@
                     );
                 }
                 let result = PlacedResult { handle, zone: zone.to_owned() };
-                self.record_result(attempt, piece, result, steps);
+                self.record_result(attempt, piece, result, actions);
             }
-            ItemOutcome::Late => self.fail_job(attempt, PieceFault::Late, steps),
-            ItemOutcome::InputGone => self.fail_job(attempt, PieceFault::InputGone, steps),
-            ItemOutcome::Failed => self.retry_piece(attempt, piece, now, steps),
+            ItemOutcome::Late => self.fail_job(attempt, PieceFault::Late, actions),
+            ItemOutcome::InputGone => self.fail_job(attempt, PieceFault::InputGone, actions),
+            ItemOutcome::Failed => self.retry_piece(attempt, piece, now, actions),
             ItemOutcome::NoRoom => {
                 if let Some(worker) = self.workers.get_mut(upstream) {
                     worker.record_memory_full(now);
                 }
-                self.retry_piece(attempt, piece, now, steps);
+                self.retry_piece(attempt, piece, now, actions);
             }
         }
     }
@@ -366,7 +366,7 @@
         attempt: AttemptId,
         piece: u32,
         result: PlacedResult,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         let job = self.jobs.get_mut(&attempt);
         let slot = job.and_then(|job| job.results.get_mut(piece as usize));
@@ -384,7 +384,7 @@
             self.queue.remove(&(job.priority_time(), attempt));
             let results = job.results.into_iter().flatten().collect();
             let pool = job.order.pool;
-            steps.push(DispatchStep::Settle { attempt, pool, outcome: Ok(results) });
+            actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(results) });
         }
     }
 
@@ -394,13 +394,13 @@
         attempt: AttemptId,
         piece: u32,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         if !self.jobs.contains_key(&attempt) {
             return;
         }
         if !self.retry_budget.spend(now) {
-            self.fail_job(attempt, PieceFault::Failed, steps);
+            self.fail_job(attempt, PieceFault::Failed, actions);
             return;
         }
         if let Some(job) = self.jobs.get_mut(&attempt) {
@@ -413,10 +413,10 @@
         &mut self,
         attempt: AttemptId,
         fault: PieceFault,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         if let Some(job) = self.jobs.get(&attempt) {
-            steps.push(DispatchStep::fail(attempt, &job.order.pool, fault));
+            actions.push(DispatchAction::fail(attempt, &job.order.pool, fault));
             self.withdraw(attempt);
         }
     }
--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -6,7 +6,7 @@
 use super::batch_job::BatchJob;
 use super::batch_worker::BatchWorker;
 use super::in_flight_call::InFlightCall;
-use super::{BatchId, BatchItem, BatchOrder, BatchPool, DispatchStep};
+use super::{BatchId, BatchItem, BatchOrder, BatchPool, DispatchAction};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::routing::CONNECT_PATIENCE;
@@ -36,7 +36,7 @@
         &mut self,
         next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         if self.queue.is_empty() || self.free_upstreams(now).is_empty() {
             return;
@@ -54,7 +54,7 @@
                 .iter()
                 .find_map(|upstream| self.build_call(upstream, &jobs, next_batch_id, now));
             let Some(call) = call else { return };
-            steps.push(DispatchStep::Call(call));
+            actions.push(DispatchAction::Call(call));
         }
     }
 
--- a/crates/crocusdale_core/src/batching/mod.rs
+++ b/crates/crocusdale_core/src/batching/mod.rs
@@ -28,7 +28,7 @@
 mod result_release;
 
 pub use batch_call::{BatchId, BatchItem, BatchOrder, BatchOutcome, ItemOutcome};
-pub use batch_dispatcher::{BatchDispatcher, DispatchStep};
+pub use batch_dispatcher::{BatchDispatcher, DispatchAction};
 pub use batch_pool::BatchPool;
 pub use dispatcher_choice::DispatcherChoice;
 pub use pool_section::PoolSection;
--- a/crates/crocusdale_core/src/batching/pool_changes.rs
+++ b/crates/crocusdale_core/src/batching/pool_changes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::batch_worker::BatchWorker;
-use super::{BatchPool, DispatchStep};
+use super::{BatchPool, DispatchAction};
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::pipeline::PieceFault;
 use crate::routing::DirectoryEntry;
@@ -69,12 +69,12 @@
     /// Guards against two queues for the same upstreams: each dispatcher would send small calls,
     /// which then queue up at the upstreams where no dispatcher sees them. In a rolling restart of
     /// the fleet, this also leaves no work behind in processes that are about to exit.
-    pub fn hand_over(&mut self, steps: &mut Vec<DispatchStep>) {
+    pub fn hand_over(&mut self, actions: &mut Vec<DispatchAction>) {
         let undispatched = self.jobs.iter().filter(|(_, job)| job.is_undispatched());
         let mut undispatched: Vec<AttemptId> = undispatched.map(|(attempt, _)| *attempt).collect();
         undispatched.sort_unstable();
         for attempt in undispatched {
-            self.fail_job(attempt, PieceFault::Moved, steps);
+            self.fail_job(attempt, PieceFault::Moved, actions);
         }
     }
 }
--- a/crates/crocusdale_core/src/batching/pool_forecast.rs
+++ b/crates/crocusdale_core/src/batching/pool_forecast.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::batch_worker::BatchWorker;
-use super::{BatchPool, DispatchStep, PoolWait};
+use super::{BatchPool, DispatchAction, PoolWait};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::pipeline::PieceFault;
@@ -98,7 +98,11 @@
     ///
     /// Guards against callers that are refused only at the end of their deadline, when no time is
     /// left for a retry.
-    pub(super) fn shed_unservable(&mut self, now: MonotonicTime, steps: &mut Vec<DispatchStep>) {
+    pub(super) fn shed_unservable(
+        &mut self,
+        now: MonotonicTime,
+        actions: &mut Vec<DispatchAction>,
+    ) {
         if self.last_shed_at.is_some_and(|at| now.since(at) < SHED_INTERVAL) {
             return;
         }
@@ -120,7 +124,7 @@
             }
         }
         for attempt in unservable {
-            self.fail_job(attempt, PieceFault::Late, steps);
+            self.fail_job(attempt, PieceFault::Late, actions);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/result_release.rs
+++ b/crates/crocusdale_core/src/batching/result_release.rs
@@ -1,7 +1,7 @@
 //! Freeing of results that are no longer needed, and of the upstream memory that they occupy.
 
 use super::batch_worker::BatchWorker;
-use super::{BatchPool, DispatchStep};
+use super::{BatchPool, DispatchAction};
 use crate::identity::MonotonicTime;
 use crate::pipeline::{PieceSource, ResultHandle};
 
@@ -14,13 +14,13 @@
     /// Requests that unneeded results be freed, and counts the memory of those from the previous
     /// cycle as free. The delay makes sure that a call which needs the memory does not overtake the
     /// message that frees it. Returns whether there were results in either cycle.
-    pub fn turn_unwanted(&mut self, steps: &mut Vec<DispatchStep>) -> bool {
+    pub fn turn_unwanted(&mut self, actions: &mut Vec<DispatchAction>) -> bool {
         let freed_before =
             std::mem::replace(&mut self.freed_results, std::mem::take(&mut self.unneeded_results));
         // Results at an upstream with a rate limit are left to expire, because its requests are
         // spent on calls.
         let is_limited = |worker: &&BatchWorker| worker.rate_limit.is_some();
-        let spared =
+        let excluded =
             self.workers.values().filter(is_limited).map(|worker| worker.address).collect();
         for worker in self.workers.values_mut().filter(|worker| worker.rate_limit.is_none()) {
             for result in &freed_before {
@@ -28,7 +28,10 @@
             }
         }
         if !self.freed_results.is_empty() {
-            steps.push(DispatchStep::Free { results: self.freed_results.clone(), spared });
+            actions.push(DispatchAction::FreeResults {
+                results: self.freed_results.clone(),
+                excluded,
+            });
         }
         !self.freed_results.is_empty() || !freed_before.is_empty()
     }
@@ -41,7 +44,7 @@
     pub(super) fn free_fetched_inputs(
         &mut self,
         now: MonotonicTime,
-        steps: &mut Vec<DispatchStep>,
+        actions: &mut Vec<DispatchAction>,
     ) {
         while let Some((_, attempt)) =
             self.fetching_jobs.pop_front_if(|(fetched_at, _)| *fetched_at <= now)
@@ -51,7 +54,7 @@
             if let (Some(pool), PieceSource::Results(results)) = (&order.inputs_pool, &order.source)
             {
                 let (pool, results) = (pool.clone(), results.clone());
-                steps.push(DispatchStep::FreeInputs { pool, results });
+                actions.push(DispatchAction::FreeInputs { pool, results });
             }
         }
     }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -1,6 +1,6 @@
 use super::core_state::CoreState;
 use super::{Command, CounterName};
-use crate::batching::{BatchId, BatchOutcome, DispatchStep, DispatcherChoice, PoolSection};
+use crate::batching::{BatchId, BatchOutcome, DispatchAction, DispatcherChoice, PoolSection};
 use crate::identity::{AttemptId, MonotonicTime, stable_hash};
 use crate::pipeline::{
     AttemptEvent, PieceFault, PieceOrder, PlacedResult, ResultHandle, ShardStep,
@@ -61,7 +61,7 @@
         let mut dispatch_steps = Vec::new();
         if order.digest.is_some_and(|digest| self.quarantine_left(digest, now).is_some()) {
             let fault = PieceFault::Quarantined;
-            dispatch_steps.push(DispatchStep::fail(order.attempt, &order.pool, fault));
+            dispatch_steps.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let ends = order.digest.map_or(0, |digest| lock(&self.crashes).ends(digest));
             lock(&self.dispatcher).offer(order, ends, now, &mut dispatch_steps);
@@ -184,35 +184,35 @@
     /// Carries out what the dispatcher wants.
     pub(super) fn run_dispatch(
         &self,
-        dispatch_steps: Vec<DispatchStep>,
+        dispatch_steps: Vec<DispatchAction>,
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
         out: &mut Vec<Command>,
     ) {
         // Calls go out before anything is told of the one that ended: until then their upstream
         // stands idle.
-        let (calls, others): (Vec<DispatchStep>, Vec<DispatchStep>) =
-            dispatch_steps.into_iter().partition(|step| matches!(step, DispatchStep::Call(_)));
+        let (calls, others): (Vec<DispatchAction>, Vec<DispatchAction>) =
+            dispatch_steps.into_iter().partition(|step| matches!(step, DispatchAction::Call(_)));
         for step in calls.into_iter().chain(others) {
             match step {
-                DispatchStep::Call(order) => {
+                DispatchAction::Call(order) => {
                     out.push(Command::Count(CounterName::BatchCalls));
                     out.push(Command::CallBatch(order));
                 }
-                DispatchStep::Cancel(batch) => out.push(Command::CancelBatch(batch)),
-                DispatchStep::Settle { attempt, pool, outcome } => {
+                DispatchAction::Cancel(batch) => out.push(Command::CancelBatch(batch)),
+                DispatchAction::ReportOutcome { attempt, pool, outcome } => {
                     self.settle(attempt, &pool, outcome, now, steps, out);
                 }
-                DispatchStep::FreeInputs { pool, results } => {
+                DispatchAction::FreeInputs { pool, results } => {
                     self.free_results(&pool, results, out)
                 }
-                DispatchStep::Free { results, spared } => {
-                    out.push(Command::FreeResults { results, spared });
+                DispatchAction::FreeResults { results, excluded } => {
+                    out.push(Command::FreeResults { results, spared: excluded });
                 }
-                DispatchStep::Suspect { digest, upstream, address } => {
+                DispatchAction::ProbeUpstream { digest, upstream, address } => {
                     self.suspect(digest, upstream, address, out);
                 }
-                DispatchStep::AskRoom { upstream, address } => {
+                DispatchAction::QueryFreeMemory { upstream, address } => {
                     out.push(Command::Count(CounterName::RoomQuestions));
                     out.push(Command::AskRoom { upstream, address });
                 }
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crocusdale_core::batching::{
-    BatchDispatcher, BatchId, BatchOrder, BatchOutcome, DispatchStep, ItemOutcome,
+    BatchDispatcher, BatchId, BatchOrder, BatchOutcome, DispatchAction, ItemOutcome,
 };
 use crocusdale_core::configuration::{
     BatchRules, Declarations, DeclarationsBuilder, PoolKind, StageRules,
@@ -139,17 +139,17 @@
         attempt
     }
 
-    pub fn take(&mut self, steps: Vec<DispatchStep>) {
+    pub fn take(&mut self, steps: Vec<DispatchAction>) {
         for step in steps {
             match step {
-                DispatchStep::Call(order) => self.calls.push(order),
-                DispatchStep::Cancel(batch) => self.cancelled.push(batch),
-                DispatchStep::Settle { attempt, outcome, .. } => {
+                DispatchAction::Call(order) => self.calls.push(order),
+                DispatchAction::Cancel(batch) => self.cancelled.push(batch),
+                DispatchAction::ReportOutcome { attempt, outcome, .. } => {
                     self.settled.push((attempt, outcome));
                 }
-                DispatchStep::Free { .. } | DispatchStep::Suspect { .. } => {}
-                DispatchStep::FreeInputs { results, .. } => self.fetched.extend(results),
-                DispatchStep::AskRoom { upstream, .. } => {
+                DispatchAction::FreeResults { .. } | DispatchAction::ProbeUpstream { .. } => {}
+                DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
+                DispatchAction::QueryFreeMemory { upstream, .. } => {
                     self.asked.push(upstream.clone());
                     if self.free_room.is_some() {
                         self.tell_room(&upstream, self.free_room);
