--- a/crates/crocusdale_core/src/routing/cold_limit.rs
+++ b/crates/crocusdale_core/src/routing/cold_limit.rs
@@ -1,4 +1,4 @@
-//! How many requests an upstream gets while it is cold.
+//! Limits how many requests an upstream gets during its cold start.
 
 use std::time::Duration;
 
@@ -7,18 +7,20 @@
 use crate::identity::MonotonicTime;
 use crate::sync::lock;
 
-/// Time within which a daemon sends no more than its share of a second's requests. A request is written
-/// up to [`CONNECT_PATIENCE`] after its upstream was chosen, so that two that are chosen further apart
-/// than this are written more than a second apart.
+/// Length of the sliding window in which a daemon sends no more than its share of one second's
+/// requests. A request is written up to [`CONNECT_PATIENCE`] after its upstream was chosen. The
+/// window is longer than a second by that time, so that requests in different windows are written
+/// more than a second apart.
 pub const SHARE_WINDOW: Duration =
     Duration::from_millis(1_000 + CONNECT_PATIENCE.as_millis() as u64);
 
-/// How far an upstream may be pressed beyond the rate that it names for its cold start.
+/// Tolerance for the load on a cold upstream, above the rate that its pool declares for cold
+/// starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimits {
-    /// Requests in one second, as a multiple of that rate.
+    /// Requests per second, as a multiple of the declared rate.
     pub overshoot: f64,
-    /// Requests in one second besides.
+    /// Requests per second that are allowed on top of the multiple.
     pub slack: f64,
 }
 
@@ -29,10 +31,11 @@
 }
 
 impl ColdLimits {
-    /// Requests in one second that an upstream may get from all daemons, if it names `requests_per_s`.
+    /// Number of requests that all daemons together may send to a cold upstream in one second, if
+    /// its pool declares `requests_per_s`. At least 1.
     #[must_use]
     pub fn requests(self, requests_per_s: f64) -> u32 {
-        // Never 0: an upstream that gets nothing is of no use to anybody.
+        // At 0 the upstream would never get a request.
         (requests_per_s * self.overshoot + self.slack).floor().max(1.0) as u32
     }
 }
@@ -40,9 +43,9 @@
 impl UpstreamRouter {
     /// Whether this daemon may send one more request to the upstream at `position` now.
     ///
-    /// Guards against the crash of an upstream that has just started: it has the least load, so that it
-    /// would be the next choice of every daemon at one time. What is cold, or may be, gets no more than the
-    /// daemons' shares together.
+    /// Guards against overloading an upstream that has just started. It has the least load, so that
+    /// every daemon would choose it at the same time, and it would crash. An upstream that is cold,
+    /// or may be, gets no more than the sum of the daemons' shares.
     pub(super) fn is_within_share(
         &self,
         routed: &RoutedPool,
@@ -59,7 +62,7 @@
         state.sent_since(now, SHARE_WINDOW) < allowed as usize
     }
 
-    /// Counts a request to an upstream with `state`, if its pool has cold starts.
+    /// Records a request to an upstream, if its pool has cold starts.
     pub(super) fn count_send(routed: &RoutedPool, state: &mut UpstreamState, now: MonotonicTime) {
         if routed.cold.is_some() {
             state.note_send(now, SHARE_WINDOW);
--- a/crates/crocusdale_core/src/routing/cold_upstreams.rs
+++ b/crates/crocusdale_core/src/routing/cold_upstreams.rs
@@ -3,26 +3,28 @@
 
 use crate::identity::MonotonicTime;
 
-/// Change of the end of a cold start, beyond which it is news: below it, the platform's delays differ.
+/// Smallest extension of a cold start that counts as a change. Below this, the difference comes
+/// from varying delays of the platform.
 const RENEWAL: Duration = Duration::from_millis(300);
 
-/// An upstream that has started of late, and takes requests at a low rate only.
+/// An upstream in its cold start, which takes requests only at a low rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ColdUpstream {
-    /// Name of its life.
+    /// Name of the upstream, which is unique to this run of its process.
     pub name: String,
-    /// Time for which it stays cold at most.
+    /// Longest remaining time of the cold start.
     pub left: Duration,
 }
 
-/// Published upstreams that are cold, by what they publish of themselves.
+/// Published upstreams in their cold start, with the end that each of them reports.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ColdUpstreams {
     until: HashMap<String, MonotonicTime>,
 }
 
 impl ColdUpstreams {
-    /// Takes what an upstream published by `now`. Returns whether it is cold for longer than was known.
+    /// Records a cold start that an upstream reported by `now`. Returns whether its end is later
+    /// than the recorded one by a significant time.
     pub(super) fn note(&mut self, cold: ColdUpstream, now: MonotonicTime) -> bool {
         if cold.left.is_zero() {
             return false;
@@ -35,12 +37,12 @@
         is_news
     }
 
-    /// End of the cold start of `upstream`, if it is known to be cold.
+    /// End of the cold start of `upstream`, or `None` if no cold start was reported.
     pub(super) fn end(&self, upstream: &str) -> Option<MonotonicTime> {
         self.until.get(upstream).copied()
     }
 
-    /// All that are cold at `now`, for a peer.
+    /// All upstreams that are cold at `now`, for sending to a peer.
     pub(super) fn snapshot(&self, now: MonotonicTime) -> Vec<ColdUpstream> {
         let cold = self.until.iter().filter(|(_, until)| **until > now);
         let told = |(name, until): (&String, &MonotonicTime)| ColdUpstream {
--- a/crates/crocusdale_core/src/routing/zone_evacuations.rs
+++ b/crates/crocusdale_core/src/routing/zone_evacuations.rs
@@ -5,16 +5,16 @@
 /// An evacuated availability zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneEvacuation {
-    /// Position of the request to evacuate it.
+    /// Store position at which the operator's request was written.
     pub written: StorePosition,
-    /// Availability zone.
+    /// Name of the availability zone.
     pub zone: String,
 }
 
-/// Availability zones whose upstreams get no new work until the operator takes that back.
+/// Availability zones whose upstreams get no new work until the operator ends the evacuation.
 ///
-/// The store holds one item for each of them, so that a reading names all zones that are evacuated, and
-/// a zone that it leaves out is open again.
+/// The store holds one item for each evacuated zone. Each reading lists all of them, so that a zone
+/// that isn't listed is no longer evacuated.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ZoneEvacuations {
     zones: BTreeMap<String, EvacuationRecord>,
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug)]
 struct EvacuationRecord {
     written: StorePosition,
-    /// End of the wait for an item that a store lacks which came back from an older copy.
+    /// Time until which the zone stays evacuated although the store, restored from an older copy,
+    /// lacks its item. `None` if no time limit applies.
     lapses: Option<MonotonicTime>,
 }
 
@@ -33,12 +34,12 @@
         self.zones.contains_key(zone)
     }
 
-    /// Names of the evacuated zones, in order.
+    /// Names of the evacuated zones, in ascending order.
     pub(super) fn names(&self) -> impl Iterator<Item = &str> {
         self.zones.keys().map(String::as_str)
     }
 
-    /// All evacuated zones, for a peer.
+    /// All evacuated zones, for sending to a peer.
     pub(super) fn snapshot(&self) -> Vec<ZoneEvacuation> {
         let zones = self.zones.iter();
         zones
@@ -46,9 +47,9 @@
             .collect()
     }
 
-    /// Takes the zones that a reading names. With `grace`, the store has come back from an older copy, and
-    /// a zone that is missing stays evacuated until then: the operator writes again what the copy lacks.
-    /// Returns whether a zone was added or removed.
+    /// Replaces the evacuated zones with the listed ones. A `grace` time is given if the store was
+    /// restored from an older copy: zones that aren't listed stay evacuated until then, so that the
+    /// operator's tool can write the lost items again. Returns whether a zone was added or removed.
     pub(super) fn replace(
         &mut self,
         listed: Vec<ZoneEvacuation>,
@@ -68,7 +69,7 @@
         changed
     }
 
-    /// Opens the zones that were waited for until `now`. Returns whether there were any.
+    /// Ends the evacuations whose time limit has passed by `now`. Returns whether there were any.
     pub(super) fn drop_lapsed(&mut self, now: MonotonicTime) -> bool {
         let before = self.zones.len();
         self.zones.retain(|_, record| record.lapses.is_none_or(|lapses| now < lapses));
