--- a/crates/crocusdale_core/src/routing/engine_choice.rs
+++ b/crates/crocusdale_core/src/routing/engine_choice.rs
@@ -1,4 +1,4 @@
-//! Which model engine gets a request.
+//! Chooses the model engine for a request.
 
 use std::sync::atomic::Ordering;
 
@@ -9,23 +9,25 @@
 use crate::pipeline::EngineDemand;
 use crate::sync::lock;
 
-/// Backlog of this daemon at one engine beyond the least one, in prompt tokens, above which the next
-/// engine in rank is taken: about two large prompts that are still to be read.
+/// Prompt tokens by which this daemon's backlog at an engine may exceed the smallest backlog in the
+/// pool. Above this, the engine with the next rank is used. The value equals about two large
+/// prompts that are still to be processed.
 const BACKLOG_BOUND: u64 = 20_000;
-/// Weight of the average over all engines, in requests of this daemon: with few requests at an engine,
-/// their number says little of what the other daemons have there.
+/// Weight of the pool-wide average in an estimate for one engine, in requests of this daemon. With
+/// few requests at an engine, their number says little about the load from other daemons.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Part of an engine's free slots that one subject may fill, as arrivals are uneven.
+/// Fraction of an engine's free slots that requests with one prompt prefix may fill. The rest
+/// absorbs uneven arrivals.
 const SUBJECT_SHARE: f64 = 0.5;
 
-/// What all daemons together are guessed to have at the engines of a pool.
+/// Estimated load that all daemons together put on the engines of a pool.
 #[derive(Clone, Copy, Debug)]
 struct FleetGuess {
-    /// Other daemons that give the engines work.
+    /// Number of other daemons that send work to the engines.
     others: f64,
-    /// This daemon's requests at one engine, on average.
+    /// Average number of this daemon's requests in flight at one engine.
     own_mean: f64,
-    /// Tokens that one of its requests holds, on average.
+    /// Average number of tokens that one request of this daemon holds in engine memory.
     tokens: f64,
 }
 
@@ -41,18 +43,21 @@
         }
     }
 
-    /// Requests of the other daemons at an engine with `own` of this one.
+    /// Estimated number of requests from other daemons at an engine with `own` requests of this
+    /// daemon.
     ///
-    /// What this daemon has at an engine is a small sample of what all have there. Taken for the
-    /// others' too, one request of a daemon among eighty would stand for eighty and fill every
-    /// engine; so the average over all engines weighs in, the more the smaller the sample is.
+    /// This daemon's requests at an engine are a small sample of the total. Extrapolated alone, one
+    /// request of one daemon among eighty would count as eighty requests, and every engine would
+    /// seem full. The estimate therefore includes the average over all engines, with more weight
+    /// the smaller the sample is.
     fn others_at(&self, own: u64) -> f64 {
         let mean = self.own_mean;
         let each = mean * (PRIOR_WEIGHT + own as f64) / (PRIOR_WEIGHT + mean);
         self.others * each
     }
 
-    /// Engines over which a subject spreads that gets `part` of the requests.
+    /// Number of engines over which to spread the requests with one prompt prefix, which make up
+    /// the fraction `traffic_share` of all requests. Between 1 and `engines`.
     fn copies(&self, part: f64, slots: u32, engines: usize) -> usize {
         let at_each = (self.others + 1.0) * self.own_mean;
         let about_it = at_each * engines as f64 * part;
@@ -62,30 +67,33 @@
     }
 }
 
-/// An engine that could take a request.
+/// An engine that may be chosen for a request.
 #[derive(Clone, Copy, Debug)]
 struct EngineCandidate {
     position: usize,
-    /// Rank for the subject of the request.
+    /// Rendezvous hash of the engine and the request's shared prompt prefix. The highest rank is
+    /// preferred.
     rank: u64,
-    /// Work of this daemon before the request, in prompt tokens.
+    /// Work of this daemon that is queued at the engine, in prompt tokens.
     backlog: u64,
-    /// Tokens of the request that would have to be read.
+    /// Prompt tokens of the request that the engine's cache is not expected to hold.
     unread: u64,
-    /// Tokens of this daemon's requests in its memory.
+    /// Tokens that requests of this daemon hold in the engine's memory.
     held: u64,
-    /// Requests of this daemon there.
+    /// Requests of this daemon in flight at the engine.
     in_flight: u64,
 }
 
 impl UpstreamRouter {
-    /// The engine of the highest rank for the prompt's subject whose load is bounded; where all are
-    /// beyond the bound, the one with the least work before the request.
+    /// Chooses the engine with the highest rank for the request's prompt prefix that has capacity
+    /// for the request. If no engine has capacity, chooses the one with the fewest prompt tokens to
+    /// process before and for the request.
     ///
-    /// Requests with the same subject find the same engine wherever they come in, without a word
-    /// between daemons, so that what they share is read once. A subject that gets much of the
-    /// traffic has several engines, and each daemon begins with another of them: a daemon of a large
-    /// fleet has too few of its requests to see that an engine is full of them.
+    /// All daemons rank the engines alike without communication, so that requests with the same
+    /// prefix reach the same engine, and the prefix is processed once. A prefix with much traffic
+    /// is spread over several engines, and each daemon starts with a different one of them.
+    /// Otherwise that engine could overflow: a daemon of a large fleet sends too few of the
+    /// requests to detect that the engine is full.
     pub(super) fn choose_engine(
         &self,
         routed: &RoutedPool,
@@ -116,7 +124,8 @@
         ranked.or_else(cheapest).map(|each| each.position)
     }
 
-    /// Zone of the engine to which a request with `demand` would go now.
+    /// Availability zone of the engine that the request would be sent to now. `None` if its stage
+    /// has no model engines or if none can be chosen.
     #[must_use]
     pub fn engine_zone(&self, request: &SlotRequest, now: MonotonicTime) -> Option<&str> {
         let routed = self.pools.get(&request.stage)?;
--- a/crates/crocusdale_core/src/routing/subject_tally.rs
+++ b/crates/crocusdale_core/src/routing/subject_tally.rs
@@ -3,14 +3,15 @@
 
 use crate::identity::MonotonicTime;
 
-/// Length of one period of counting. Two of them hold some tens of requests of one daemon of a large
-/// fleet, enough to tell a part of a tenth of all, and pass soon after a subject has cooled down.
+/// Length of one counting period. Two periods cover some tens of requests at one daemon of a large
+/// fleet, enough to detect a share of a tenth of the traffic. They are short enough for the share
+/// to drop soon after the traffic does.
 const PERIOD: Duration = Duration::from_secs(5);
-/// Requests about one subject below which nothing is said of its part: one or two of some tens come
-/// together by chance.
+/// Number of requests for a prefix below which its traffic share counts as zero: one or two among
+/// some tens occur by chance.
 const LEAST_COUNT: u32 = 4;
 
-/// How often each subject was asked for of late, at one daemon.
+/// Counts the recent requests of this daemon for each shared prompt prefix.
 #[derive(Debug, Default)]
 pub struct SubjectTally {
     now: Counts,
@@ -25,7 +26,7 @@
 }
 
 impl SubjectTally {
-    /// Counts a request about `subject`.
+    /// Counts a request with the prompt prefix `prefix`.
     pub fn count(&mut self, subject: u64, now: MonotonicTime) {
         let age = self.since.map_or(PERIOD, |since| now.since(since));
         if age >= PERIOD {
@@ -37,8 +38,8 @@
         *self.now.subjects.entry(subject).or_default() += 1;
     }
 
-    /// Part of the requests that are about `subject`, from 0 to 1; 0 for one that is not seen to get
-    /// more than others.
+    /// Fraction of the recent requests that have the prompt prefix `prefix`, from 0 to 1. Zero if
+    /// too few requests were counted.
     #[must_use]
     pub fn part_of(&self, subject: u64) -> f64 {
         let count_in = |counts: &Counts| counts.subjects.get(&subject).copied().unwrap_or_default();
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream of a pool a request goes to.
+//! Chooses the upstream of a pool for a request.
 
 use std::sync::atomic::Ordering;
 
@@ -11,12 +11,14 @@
 use crate::rate_limiting::RateUse;
 use crate::sync::lock;
 
-/// Upstreams that are looked at in each zone before the whole pool is.
+/// Number of upstreams that are sampled at random before a whole list is searched.
 const SAMPLES: usize = 2;
 
 impl UpstreamRouter {
-    /// Looks at a few of the own zone, then of the others, then at all; when every one that could
-    /// serve is ejected, takes an ejected one, so that ejection never closes a pool.
+    /// Chooses the cheapest usable upstream. Samples the daemon's own availability zone, searches
+    /// all of that zone, and then does the same for the other zones. If every upstream of the pool
+    /// is ejected, leaving or backing off, chooses an ejected one, so that ejections alone never
+    /// block a whole pool.
     pub(super) fn choose(
         &self,
         routed: &RoutedPool,
@@ -46,7 +48,9 @@
             })
     }
 
-    /// The next upstream of the pool that isn't leaving, whatever is known of it.
+    /// Round-robin choice, used by the baseline policy. Skips upstreams that are leaving, that
+    /// asked to back off, that are over their request rate or that are in a region that the request
+    /// doesn't allow. Ignores failures and load.
     fn next_in_turn(
         &self,
         routed: &RoutedPool,
@@ -79,8 +83,8 @@
         usable.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, position)| position)
     }
 
-    /// Cost of the upstream at `position` if it may be chosen; with `healthy`, only if nothing speaks
-    /// against it.
+    /// Cost of the upstream at `position`, or `None` if it can't be chosen. With `require_healthy`,
+    /// an ejected upstream or one that recently declined an attempt can't be chosen either.
     pub(super) fn cost_if_usable(
         &self,
         routed: &RoutedPool,
