--- a/crates/crocusdale_core/src/routing/pool_wait.rs
+++ b/crates/crocusdale_core/src/routing/pool_wait.rs
@@ -1,4 +1,4 @@
-//! When the upstreams of a pool want the next request.
+//! Estimates when the upstreams of a pool accept the next request.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,27 +11,30 @@
 use crate::rate_limiting::{RateUse, TokenWait};
 use crate::sync::lock;
 
-/// Time before its deadline at which a request must have its place: the pause between two looks at waiting
-/// work, and a short answer.
+/// Time before its deadline at which a request must reach an upstream. Covers the interval between
+/// two checks of the queue and a short answer.
 const PLACE_MARGIN: Duration = Duration::from_millis(250);
 
-/// When a pool can take requests of this daemon.
+/// When the upstreams of a pool accept requests of this daemon.
 #[derive(Clone, Debug)]
 pub(super) enum PoolOpening {
-    /// Once an upstream has room, for which no time is known.
+    /// An upstream accepts requests as soon as a slot is free. The time of that is unknown.
     Open,
-    /// At these times: each upstream has turned the daemon away, or names a rate.
+    /// At the times of the schedule. Every upstream limits its request rate or has asked this
+    /// daemon to back off.
     Scheduled(TokenSchedule),
-    /// Not for this daemon, as others have all places. Of these, the next comes in this time.
+    /// Not at all: other daemons hold all shares of the upstreams' request rates. The duration is
+    /// the shortest interval between two requests of all daemons to one of the upstreams.
     Elsewhere(Duration),
-    /// Never: there is no upstream.
+    /// Never: no upstream can be used.
     Never,
 }
 
-/// Times at which upstreams take one more request of this daemon, from now on.
+/// Ascending times from now at which the pool's upstreams accept one more request of this daemon.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TokenSchedule {
-    /// Next time of each upstream, with the time between two.
+    /// For each upstream, its next time and the interval between two requests. The earliest comes
+    /// first.
     next: BinaryHeap<Reverse<(Duration, Duration)>>,
 }
 
@@ -53,8 +56,8 @@
 }
 
 impl PoolOpening {
-    /// Time until a request gets a place before which `waiting` others do, or when a caller should come
-    /// back, if that can be told.
+    /// Time until an upstream accepts a request behind `queued` others, or the time after which a
+    /// caller should retry. `None` if the time is unknown.
     fn wait(self, waiting: usize) -> Option<Duration> {
         match self {
             Self::Open | Self::Never => None,
@@ -65,10 +68,10 @@
 }
 
 impl UpstreamRouter {
-    /// Whether the upstream at `position` may get a request that has not waited.
+    /// Whether the upstream at `position` may get a request that has not been queued.
     ///
-    /// Guards against requests that wait until their deadline while later ones take each place: those that
-    /// wait get it first.
+    /// Guards against starvation of queued requests: newer requests would take every token of a
+    /// rate-limited upstream, and the queued ones would wait until their deadline.
     pub(super) fn is_within_rate(
         &self,
         routed: &RoutedPool,
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Time after which an upstream wants requests like this again, if none does now.
+    /// Time after which a request like this may be retried. `None` if an upstream accepts it now or
+    /// if the time is unknown.
     #[must_use]
     pub fn away_for(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
@@ -91,7 +95,7 @@
         opening.wait(lock(&routed.pool).waiting()).filter(|wait| !wait.is_zero())
     }
 
-    /// Whether any upstream of the pool could serve `request` before its deadline.
+    /// Whether any upstream of the pool is expected to accept `request` before its deadline.
     pub(super) fn is_servable(
         &self,
         routed: &RoutedPool,
@@ -109,8 +113,8 @@
         }
     }
 
-    /// Time after which a request for `stage` that has not begun should come back, if the rates that the
-    /// upstreams of its pool name leave it no place before `deadline`.
+    /// Time after which a new request for `stage` should be retried, if the request rates of the
+    /// pool's upstreams don't allow it before `deadline`. `None` if the request can be admitted.
     #[must_use]
     pub fn refused_for(
         &self,
@@ -129,8 +133,9 @@
         (is_elsewhere || now + wait + PLACE_MARGIN >= deadline).then_some(wait)
     }
 
-    /// Takes out attempts that wait and can't have a place before their deadline, each with the time after
-    /// which there is one: rates have fallen, or more urgent attempts have come.
+    /// Removes queued attempts that can't be sent before their deadline, each with the time after
+    /// which to retry it. This happens when upstreams lower their request rates or when more urgent
+    /// attempts arrive.
     #[must_use]
     pub fn take_unservable(&self, now: MonotonicTime) -> Vec<(SlotRequest, Duration)> {
         let mut taken = Vec::new();
@@ -177,7 +182,8 @@
             };
             match self.limiter.wait(name, RateUse::Shared, now) {
                 TokenWait::Unlimited if away.is_zero() => return PoolOpening::Open,
-                // Once it wants requests again, it takes all that wait.
+                // After its backoff, an upstream without a rate limit accepts all queued requests
+                // at once.
                 TokenWait::Unlimited => schedule.add(away, Duration::ZERO),
                 TokenWait::For { wait, interval } => schedule.add(away.max(wait), interval),
                 TokenWait::NoShare { interval } => {
--- a/crates/crocusdale_core/src/routing/stage_pool.rs
+++ b/crates/crocusdale_core/src/routing/stage_pool.rs
@@ -8,59 +8,61 @@
 use crate::pipeline::EngineDemand;
 use crate::retry::RetryBudget;
 
-/// Attempts that one pool lets wait at most.
+/// Maximum number of attempts in the queue of one pool.
 const WAITING_LIMIT: usize = 8_192;
 
-/// Weight of the newest answer in what is learned.
+/// Weight of the newest sample in an exponential moving average.
 const LEARNING_WEIGHT: f64 = 0.1;
 
 /// An attempt that needs an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Call that the attempt serves.
+    /// Call that the attempt belongs to.
     pub call: CallId,
-    /// Branch of the pipeline's current step.
+    /// Index of the branch in the pipeline's current step.
     pub branch: usize,
-    /// Stage, which names the pool.
+    /// Stage to run, which names the pool.
     pub stage: String,
-    /// Priority level, 0 goes first.
+    /// Priority level. Attempts with level 0 are served first.
     pub level: u8,
-    /// Deadline of the request.
+    /// Deadline of the caller's request.
     pub deadline: MonotonicTime,
-    /// Upstreams that already failed it.
+    /// Names of the upstreams at which earlier attempts of the call failed.
     pub tried: Vec<String>,
-    /// What it asks of a model engine.
+    /// Prompt and token counts for a model engine. `None` for other upstreams.
     pub demand: Option<Arc<EngineDemand>>,
-    /// What the request has in common with its repeats.
+    /// Digest of the request, which is equal for its repetitions.
     pub digest: RequestDigest,
-    /// Regions in which it may be worked on.
+    /// Regions in which the request may be processed.
     pub homes: HomeRegions,
 }
 
-/// What waits for one pool, most urgent first.
+/// Queue of the attempts that wait for one pool, most urgent first, with the pool's latency
+/// statistics.
 #[derive(Debug, Default)]
 pub struct StagePool {
     waiting: BTreeMap<(u8, MonotonicTime, u64), SlotRequest>,
     arrivals: u64,
-    /// Learned time of an answer.
+    /// Moving average of the answer time. `None` before the first answer.
     learned: Option<Duration>,
-    /// Learned time between two answers while work waits, which is what a place in the queue costs.
+    /// Moving average of the time between two answers while attempts are queued. Each queued
+    /// attempt adds this to the wait of those behind it.
     pace: Option<Duration>,
     last_answer: Option<MonotonicTime>,
-    /// Retries that the pool still allows.
+    /// Budget for retries in the pool.
     pub budget: RetryBudget,
-    /// How often each subject was asked for of late, if the pool has model engines.
+    /// Recent requests per prompt prefix, counted only for pools of model engines.
     pub subjects: SubjectTally,
 }
 
 impl StagePool {
-    /// Number of attempts that wait.
+    /// Number of queued attempts.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Lets `request` wait; returns whether there is room for it.
+    /// Adds `request` to the queue. Returns `false` if the queue is full.
     pub fn wait(&mut self, request: SlotRequest) -> bool {
         if self.waiting.len() >= WAITING_LIMIT {
             return false;
@@ -70,7 +72,7 @@
         true
     }
 
-    /// Learns from an answer that took `time`.
+    /// Records an answer that took `time`.
     pub fn learn(&mut self, time: Duration, now: MonotonicTime) {
         self.learned = Some(mix(self.learned, time));
         if let Some(last) = self.last_answer.filter(|_| !self.waiting.is_empty()) {
@@ -79,8 +81,8 @@
         self.last_answer = Some(now);
     }
 
-    /// Time that a new attempt of `level` would need, its wait behind work of its level and of more
-    /// urgent ones included.
+    /// Expected time that a new attempt with priority `level` needs. Includes the wait behind
+    /// queued attempts of the same and of more urgent levels.
     #[must_use]
     pub fn expected_time(&self, level: u8) -> Duration {
         let before = self.waiting.range(..(level.saturating_add(1), MonotonicTime::default(), 0));
@@ -89,8 +91,8 @@
         self.learned.unwrap_or_default() + wait
     }
 
-    /// Takes out the most urgent attempt that has not tried `upstream`, and may be worked on in its
-    /// `region`.
+    /// Removes and returns the most urgent attempt that has not failed at `upstream` and may be
+    /// processed in its `region`.
     pub fn next_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
         let mut urgent = self.waiting.iter();
         let rank = urgent.find(|(_, request)| {
@@ -100,8 +102,8 @@
         self.waiting.remove(&rank)
     }
 
-    /// Takes out the attempts that can't have one of `places` before their deadline, which are times after
-    /// `from` in order, or `None` where there is none.
+    /// Removes the attempts that get none of `slots` before their deadline. The slots are ascending
+    /// times after `from`, with `None` once there are no more.
     pub fn take_unservable(
         &mut self,
         mut places: impl Iterator<Item = Option<Duration>>,
@@ -119,7 +121,7 @@
         unservable.iter().filter_map(|rank| self.waiting.remove(rank)).collect()
     }
 
-    /// Takes out everything that waits for `call`.
+    /// Removes all queued attempts of `call`.
     pub fn withdraw(&mut self, call: CallId, level: u8, deadline: MonotonicTime) {
         let range = (level, deadline, 0)..=(level, deadline, u64::MAX);
         let ranks: Vec<_> =
