--- a/crates/crocusdale_core/src/routing/peer_directory.rs
+++ b/crates/crocusdale_core/src/routing/peer_directory.rs
@@ -5,48 +5,49 @@
 use super::zone_evacuations::ZoneEvacuation;
 use crate::identity::StorePosition;
 
-/// A list of published upstreams as another daemon knows it.
+/// A list of published upstreams, or its recent changes, as received from another daemon.
 #[derive(Clone, Debug, Default)]
 pub struct PeerDirectory {
-    /// Position up to which everything has been read.
+    /// Store position up to which the sender has read all changes.
     pub position: StorePosition,
-    /// The upstreams, or those of them that changed.
+    /// All upstreams in a full list, or only the changed ones.
     pub entries: Vec<PeerEntry>,
-    /// Upstreams that are gone, if only changes are told; `None` if all upstreams are.
+    /// Upstreams that were removed since the requested position. `None` in a full list, where every
+    /// upstream that isn't listed is gone.
     pub removed: Option<Vec<PeerRemoval>>,
-    /// The evacuated availability zones.
+    /// All evacuated availability zones, in a full list and in a list of changes.
     pub evacuations: Vec<ZoneEvacuation>,
-    /// The upstreams that are cold.
+    /// Upstreams in their cold start.
     pub cold: Vec<ColdUpstream>,
-    /// How old the list was at the teller, with the revision of the configuration that it had in force.
+    /// Age of the sender's list, with the revision of its configuration. `None` if it is unknown.
     pub age: Option<ListAge>,
 }
 
-/// How old what a daemon knows of the platform is.
+/// Age of a daemon's data from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListAge {
-    /// Time since it was last known to be the latest.
+    /// Time since the list and the configuration were last known to be current.
     pub age: Duration,
     /// Revision of the configuration in force.
     pub revision: u64,
 }
 
-/// An upstream of a [`PeerDirectory`].
+/// A published upstream in a [`PeerDirectory`].
 #[derive(Clone, Debug)]
 pub struct PeerEntry {
-    /// Position of its last change.
+    /// Store position of the entry's last write.
     pub written: StorePosition,
-    /// What the platform publishes, or published.
+    /// The entry as the platform publishes it, or last published it.
     pub entry: DirectoryEntry,
-    /// Time for which it is still waited for, if the platform has not listed it since it is back.
+    /// Remaining time until the sender removes the entry. `None` if the platform still lists it.
     pub lapses_in: Option<Duration>,
 }
 
 /// An upstream that is no longer published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRemoval {
-    /// Position of a list that lacks it.
+    /// Store position of a list that doesn't contain the upstream.
     pub position: StorePosition,
-    /// Identity of the process.
+    /// ID of the upstream's process.
     pub id: String,
 }
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -9,38 +9,39 @@
 use super::zone_evacuations::{ZoneEvacuation, ZoneEvacuations};
 use crate::identity::{MonotonicTime, StorePosition};
 
-/// Time for which an entry is waited for that a store lacks which came back from an older copy. Its process
-/// writes it again with its next heartbeat, within two seconds at most.
+/// Time for which entries that are missing after a restore are kept. A store that was restored from
+/// an older copy lacks the entries written since. Their processes write them again with their next
+/// heartbeat, within two seconds at most.
 pub(crate) const RESTORE_GRACE: Duration = Duration::from_millis(2_500);
-/// Time for which it is remembered that a process said that it leaves. It is gone long before.
+/// Time for which a leaving notice is remembered. The process has ended long before.
 const TOLD_LIFE: Duration = Duration::from_secs(600);
 
 /// One process of an upstream, as the platform publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// Identity of the process. A process may start again under the one that it had.
+    /// ID of the process. A restarted process may use the same ID.
     pub id: String,
-    /// When the process started, in milliseconds since the Unix epoch, if the platform says it. Tells
-    /// its lives apart.
+    /// Start time of the process, in milliseconds since the Unix epoch. Distinguishes the runs of a
+    /// process that restarts under its ID. `None` if the platform doesn't publish it.
     pub born: Option<u64>,
-    /// Pool that it belongs to.
+    /// Name of the stage pool that the process serves.
     pub pool: String,
-    /// Where it listens.
+    /// Address on which the process accepts requests.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it takes at one time.
+    /// Number of requests that the process serves concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the process has announced that it is leaving.
     pub leaving: bool,
 }
 
 impl DirectoryEntry {
-    /// Name under which one life of the process is known, unlike that of any other.
+    /// Name that is unique to this run of the process.
     ///
-    /// Guards against a process that starts again under its id: it holds nothing of what the one
-    /// before it held, and whatever was learned or believed of that one (open calls, room, pace,
-    /// cached prompts, ejection, leaving) would be taken for its own.
+    /// Guards against taking a restarted process for the earlier one with the same ID. The new
+    /// process shares no state with the old one, so that recorded open calls, free memory, latency,
+    /// cached prompts, ejection and leaving notice don't apply to it.
     #[must_use]
     pub fn name(&self) -> String {
         match self.born {
@@ -50,82 +51,87 @@
     }
 }
 
-/// A published upstream as it was last read or heard of.
+/// A published upstream, as the daemon last read it or received it from a peer.
 #[derive(Clone, Debug)]
 struct ListedUpstream {
-    /// Position of its last change, its heartbeats included.
+    /// Store position of the entry's last write, including heartbeats.
     written: StorePosition,
-    /// Position of its last change that matters to routing.
+    /// Store position of the last write that affects routing.
     changed: StorePosition,
     entry: DirectoryEntry,
 }
 
-/// Upstreams that the platform publishes, as far as this daemon has read or heard.
+/// Published upstreams, as this daemon has read them or received them from peers.
 ///
-/// Each entry keeps the position of its last change, so that what a peer tells late never goes
-/// before what was read since.
+/// Each entry keeps the store position of its last write, so that a delayed message from a peer
+/// never overwrites a newer reading.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamDirectory {
-    /// Position up to which everything has been read.
+    /// Store position up to which all changes have been read.
     position: StorePosition,
-    /// Position at which the store was first read in its present era: what was written up to there may
-    /// be older than what was known before.
+    /// Store position of the first reading in the present era. Entries written up to here may be
+    /// older than those known before the store was restored from a copy.
     restored_at: StorePosition,
-    /// Position of the first list, or of the first one in the present era: what changed since is known.
+    /// Store position of the first list in the present era. All changes since then are known.
     complete_since: StorePosition,
-    /// Position of the last change that matters to routing.
+    /// Store position of the last change that affects routing.
     changed: StorePosition,
     entries: BTreeMap<String, ListedUpstream>,
-    /// Removed upstreams with the position of their removal and their last life.
+    /// Removed upstreams by process ID, with the store position of the removal and the last known
+    /// start time.
     removed: BTreeMap<String, (StorePosition, Option<u64>)>,
-    /// Upstreams that are missing from the list since it is back, until when they are waited for.
+    /// Upstreams that are missing from the latest list, with the time until which their entries are
+    /// kept.
     missing: BTreeMap<String, MonotonicTime>,
-    /// Whether any were given up since the last whole list: a peer may know that they are back.
+    /// Whether a missing entry was removed after its time limit, since the last full list. A peer
+    /// may know that the upstream is listed again.
     gave_up: bool,
-    /// Where processes listened that have started again since this was last asked.
+    /// Addresses of processes that have restarted since the last call of `take_restarted`.
     restarted: Vec<SocketAddr>,
-    /// Names of processes that said themselves, or to a peer, that they leave, with the time of the news.
+    /// Names of processes that are leaving, by their own notice or by a peer's message, with the
+    /// time at which this daemon received it.
     told_leaving: HashMap<String, MonotonicTime>,
     evacuations: ZoneEvacuations,
     cold: ColdUpstreams,
 }
 
 impl UpstreamDirectory {
-    /// Position up to which everything has been read.
+    /// Store position up to which all changes have been read.
     #[must_use]
     pub fn position(&self) -> StorePosition {
         self.position
     }
 
-    /// Position of the last change that matters to routing.
+    /// Store position of the last change that affects routing.
     #[must_use]
     pub fn changed(&self) -> StorePosition {
         self.changed
     }
 
-    /// Whether the list was ever read or heard.
+    /// Whether a list has been read or received from a peer.
     #[must_use]
     pub fn is_known(&self) -> bool {
         !self.position.is_none()
     }
 
-    /// Published upstreams.
+    /// All published upstreams, including those that get no new work.
     pub fn entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries.values().map(|listed| &listed.entry)
     }
 
-    /// Published upstreams that may get new work: those that neither leave nor stand in an evacuated
-    /// availability zone.
+    /// Published upstreams that may get new work: those that are not leaving and not in an
+    /// evacuated availability zone.
     pub fn staying(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries().filter(|entry| !entry.leaving && !self.evacuations.contains(&entry.zone))
     }
 
-    /// Names of the evacuated availability zones, in order.
+    /// Names of the evacuated availability zones, in ascending order.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
         self.evacuations.names()
     }
 
-    /// Takes the upstreams that are cold, as published by `now`. Returns whether that matters to routing.
+    /// Records the cold starts that upstreams reported by `now`. Returns whether the change affects
+    /// routing.
     pub fn note_cold(&mut self, cold: Vec<ColdUpstream>, now: MonotonicTime) -> bool {
         let mut is_news = false;
         for each in cold {
@@ -137,15 +143,16 @@
         is_news
     }
 
-    /// End of the cold start of the upstream named `name`, if it is known to be cold.
+    /// End of the cold start of the upstream `name`, or `None` if no cold start was reported.
     #[must_use]
     pub fn cold_until(&self, name: &str) -> Option<MonotonicTime> {
         self.cold.end(name)
     }
 
-    /// Takes the evacuated availability zones that a reading at `position` names, before its upstreams.
-    /// With `grace`, it is the first one after the store came back from an older copy, and a zone that it
-    /// lacks stays evacuated until then. Returns whether that matters to routing.
+    /// Replaces the evacuated availability zones with those of a reading at `position`, before its
+    /// upstreams are replaced. A `grace` time is given for the first reading after the store was
+    /// restored from an older copy: zones that it lacks stay evacuated until that time. Returns
+    /// whether the change affects routing.
     pub fn replace_evacuations(
         &mut self,
         position: impl Into<StorePosition>,
@@ -163,13 +170,14 @@
         changed
     }
 
-    /// Takes the news that the process named `name` leaves, from itself or a peer. Returns whether that
-    /// matters to routing.
+    /// Records that the process `name` is leaving, by its own notice or by a peer's message.
+    /// Returns whether the change affects routing.
     ///
-    /// Guards against calls of a process that has said in an answer that it leaves while the platform,
-    /// which knows nothing of it yet, lists it as one that stays: it shows as requests that reach a
-    /// leaving upstream for as long as the platform is away. The news holds for each list of before and
-    /// after, and outlives the entry, which may lapse and come back; a later life has another name.
+    /// Guards against requests to a process that has announced in an answer that it is leaving,
+    /// while the platform still lists it as staying. Without the record, it would get requests for
+    /// as long as the platform is unreachable. The notice overrides all older and newer lists, and
+    /// is kept when the entry expires and returns. A later run of the process has another name, so
+    /// that the notice doesn't apply to it.
     pub fn note_leaving(&mut self, name: &str, now: MonotonicTime) -> bool {
         self.told_leaving.retain(|_, told| now.since(*told) < TOLD_LIFE);
         self.told_leaving.insert(name.to_owned(), now);
@@ -178,23 +186,23 @@
         !std::mem::replace(&mut entry.leaving, true)
     }
 
-    /// Number of upstreams that are missing from the list and waited for.
+    /// Number of upstreams that are missing from the list and still kept.
     #[must_use]
     pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
 
-    /// Whether the upstream named `name` has given notice.
+    /// Whether the published upstream `name` is leaving.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
         self.entries().any(|entry| entry.leaving && entry.name() == name)
     }
 
-    /// Takes a whole list, read at `position`, with the revision of each entry's last change. With
-    /// `grace`, it is the first one after a time in which none could be read, and entries may have lapsed
-    /// meanwhile, or the first one after the store came back from an older copy, which may lack entries:
-    /// what is missing from it is waited for until then. Returns whether anything changed that matters to
-    /// routing.
+    /// Replaces the list with a full one, read at `position`, with the revision of each entry's
+    /// last write. A `grace` time is given for the first list after a period in which none could be
+    /// read, when entries may have expired, and for the first list after the store was restored
+    /// from an older copy, which may lack entries. Missing entries are then kept until that time.
+    /// Returns whether the change affects routing.
     pub fn replace(
         &mut self,
         position: impl Into<StorePosition>,
@@ -236,19 +244,20 @@
         changed
     }
 
-    /// Takes the list of a peer. Returns whether anything changed that matters to routing.
+    /// Merges a list from a peer. Returns whether the change affects routing.
     ///
-    /// Guards against a gone upstream that is passed on as a listed one: a peer that waits for entries
-    /// which may have lapsed has them in its list, and drops them later by itself, at no revision of
-    /// its own. Daemons that rely on its reading sent requests to such an upstream 2.4 s after it
-    /// had left. What the peer waits for is waited for here, and no longer than there.
+    /// Guards against a missing upstream that a peer passes on as a listed one. A peer keeps such
+    /// an entry in its list for a limited time and then removes it without a new store revision.
+    /// Daemons that relied on the peer's list sent requests to an upstream 2.4 s after it had left.
+    /// This daemon therefore keeps the entry no longer than the peer does.
     pub fn merge(&mut self, list: PeerDirectory, now: MonotonicTime) -> bool {
-        // Changes say nothing of what a reading has found missing since they were asked for.
+        // A list of changes doesn't cover the entries that a reading has found missing since the
+        // list was requested.
         let is_useless = list.removed.is_some() && !self.knows_all();
         if list.position < self.position || is_useless {
             return false;
         }
-        // The peer may never have heard of what was read here before the store came back from a copy.
+        // After a restore, the peer may never have received entries that this daemon read before.
         let is_restored = self.is_known() && list.position.era > self.position.era;
         let grace = is_restored.then_some(now + RESTORE_GRACE);
         let lapsing = list.entries.iter();
@@ -276,7 +285,7 @@
         changed
     }
 
-    /// Takes what changed since the position up to which everything is known here.
+    /// Applies the changes since the position up to which this daemon has read all changes.
     fn take_changes(
         &mut self,
         position: StorePosition,
@@ -294,7 +303,8 @@
         changed
     }
 
-    /// Drops upstreams and evacuations that were waited for long enough. Returns whether there were any.
+    /// Removes missing upstreams and evacuations whose time limit has passed. Returns whether any
+    /// were removed.
     pub fn drop_missing(&mut self, now: MonotonicTime) -> bool {
         let over = self.missing.iter().filter(|(_, until)| now >= **until);
         let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
@@ -311,14 +321,14 @@
         opened || !over.is_empty()
     }
 
-    /// Where processes listened that have started again since the last call: connections that are
-    /// left to them are broken, or silent if their VM lost its power.
+    /// Returns the addresses of processes that have restarted since the last call, and clears them.
+    /// Remaining connections to these addresses are broken, or silent if the VM lost power.
     #[must_use]
     pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// All that is known, for a peer that lacks it.
+    /// The full list, for a peer that has none or an outdated one.
     #[must_use]
     pub fn snapshot(&self, now: MonotonicTime) -> PeerDirectory {
         let entries = self.entries.iter().map(|(id, listed)| self.told(id, listed, now)).collect();
@@ -332,10 +342,11 @@
         }
     }
 
-    /// What a peer lacks that knows everything up to `known`.
+    /// Changes since the position `known`, up to which the peer has read all changes. The full list
+    /// if the changes since then are not all known.
     ///
-    /// Guards against fleets whose links are full of lists: each daemon fetches the list whenever one
-    /// upstream of thousands has changed.
+    /// Guards against full network links: if every change of one upstream among thousands caused
+    /// each daemon to fetch the full list, the lists would fill the links.
     #[must_use]
     pub fn changes_since(&self, known: StorePosition, now: MonotonicTime) -> PeerDirectory {
         if known < self.complete_since || known.era != self.position.era {
@@ -357,14 +368,15 @@
         }
     }
 
-    /// Position up to which a peer need not tell anything.
+    /// Store position up to which a peer may omit changes. Zero if a full list is needed.
     #[must_use]
     pub fn known_to_peers(&self) -> StorePosition {
         if self.knows_all() { self.position } else { StorePosition::default() }
     }
 
-    /// Whether everything up to the position is known. An entry that is waited for, or was given up, may be
-    /// back without a change that a peer would tell.
+    /// Whether the list is complete up to its position. While an entry is missing, or after one was
+    /// removed because its time limit passed, the entry may return without a change that a peer
+    /// would send.
     fn knows_all(&self) -> bool {
         self.missing.is_empty() && !self.gave_up
     }
@@ -388,7 +400,8 @@
         if known.is_some_and(|known| known.written > written) {
             return false;
         }
-        // What an earlier life wrote may reach the platform behind what a later one wrote.
+        // A write from an earlier run of the process may reach the platform after one from a later
+        // run.
         let last_life = known.map(|known| known.entry.born);
         let last_life = last_life.max(self.removed.get(&entry.id).map(|(_, born)| *born));
         if last_life.is_some_and(|last| entry.born < last) {
@@ -399,7 +412,8 @@
         if let Some(ended) = known.filter(|known| known.entry.born < entry.born) {
             self.restarted.push(ended.entry.address);
         }
-        // A process that leaves never stays after all: news from before its notice came late.
+        // A leaving process never stays after all: an entry that says so was written before its
+        // notice.
         let leaves =
             known.is_some_and(|known| known.entry.leaving && known.entry.born == entry.born);
         let leaves = leaves || self.told_leaving.contains_key(&entry.name());
@@ -416,7 +430,8 @@
         changed
     }
 
-    /// An upstream is no longer published. One that had given notice is gone for good.
+    /// Handles an upstream that the latest list lacks. With a `grace` time, its entry is kept until
+    /// then, unless the process had announced that it was leaving.
     fn lose(&mut self, id: &str, position: StorePosition, grace: Option<MonotonicTime>) -> bool {
         let leaving = self.entries.get(id).is_some_and(|listed| listed.entry.leaving);
         match grace.filter(|_| !leaving) {
@@ -431,12 +446,12 @@
         }
     }
 
-    /// Whether an entry is of a process that was gone before the store came back from an older copy,
-    /// and only stands in that copy.
+    /// Whether an entry belongs to a process that had ended before the store was restored, and
+    /// appears only because the restored copy is older.
     ///
-    /// Guards against calls of processes that have left or crashed within the seconds that the store
-    /// lost: it lists them as they were, for as long as their leases last. One that lives after all
-    /// renews its entry, which is written after the copy.
+    /// Guards against requests to processes that left or crashed in the seconds that the store
+    /// lost. The restored store lists them until their leases expire. A process that is still
+    /// running renews its entry with a heartbeat, which is written after the restore.
     fn is_resurrected(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
         self.removed.get(&entry.id).is_some_and(|(removed, born)| {
             removed.era < written.era && written <= self.restored_at && entry.born <= *born
--- a/crates/crocusdale_core/src/routing/upstream_notice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_notice.rs
@@ -2,21 +2,22 @@
 
 use crate::rate_limiting::RateNotice;
 
-/// What an upstream says of itself in an answer, whatever it answers.
+/// Status that an upstream reports about itself in the headers of an answer, with any status code.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamNotice {
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// Time for which it wants nothing more from this daemon, if it turned a request away.
+    /// Time for which the upstream wants no more requests from this daemon. `None` if it did not
+    /// reject a request.
     pub stay_away: Option<Duration>,
-    /// Time for which it stays cold at most, if it has started of late.
+    /// Longest remaining time of the upstream's cold start. `None` if it reports no cold start.
     pub cold: Option<Duration>,
-    /// Requests that it takes from all daemons together.
+    /// Request rate that the upstream accepts from all daemons together.
     pub rate: RateNotice,
 }
 
 impl UpstreamNotice {
-    /// Whether it says anything.
+    /// Whether the notice reports nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
