--- a/crates/crocusdale_core/src/routing/mod.rs
+++ b/crates/crocusdale_core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets an attempt.
+//! Chooses the upstream for each attempt.
 
 mod cold_limit;
 mod cold_upstreams;
--- a/crates/crocusdale_core/src/routing/router_update.rs
+++ b/crates/crocusdale_core/src/routing/router_update.rs
@@ -1,4 +1,4 @@
-//! How a router is made for other declarations or another list of upstreams.
+//! Builds a router for changed declarations or a changed list of upstreams.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -14,8 +14,8 @@
 use crate::sync::lock;
 
 impl UpstreamRouter {
-    /// A router for `declarations` and the upstreams of `directory` at `now`, which keeps what `self`
-    /// knows of upstreams and pools that stay.
+    /// Builds a router for `declarations` and the upstreams of `directory` at `now`. State of
+    /// upstreams and pools that remain is carried over from `self`.
     #[must_use]
     pub fn reconfigured(
         &self,
@@ -50,7 +50,8 @@
     fn add_pool(&self, router: &mut Self, stage: &str, rules: &StageRules, pool: &[usize]) {
         let engine = match rules.kind {
             PoolKind::Engine(rules) => Some(rules),
-            // Calls of batched pools are formed by their dispatcher.
+            // The dispatcher of a batched pool forms its calls, so that the pool needs no queue
+            // here.
             PoolKind::Batch(_) => return,
             PoolKind::Plain => None,
         };
@@ -83,7 +84,8 @@
         );
     }
 
-    /// What is known of a published upstream. One that no list has named before may have started of late.
+    /// State of a published upstream. An upstream that no earlier list contained may have started
+    /// recently, and is marked so.
     fn published_state(
         &self,
         rules: &UpstreamRules,
@@ -114,13 +116,13 @@
 
     fn known_state(&self, rules: &UpstreamRules) -> Option<Arc<Mutex<UpstreamState>>> {
         let known = self.upstream(&rules.name)?;
-        // Under another address stands another process, of which nothing is known.
+        // Another address means another process, for which the recorded state isn't valid.
         (known.rules.address == rules.address).then(|| Arc::clone(&known.state))
     }
 }
 
-/// Rules of the published upstreams of the pool `stage` that may get new work. What the others work on
-/// is not touched.
+/// Rules for those published upstreams of the pool `stage` that may get new work. Attempts that run
+/// at the other upstreams continue.
 fn published<'a>(
     stage: &'a str,
     rules: &'a StageRules,
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -17,35 +17,38 @@
 use crate::retry::RetryLimits;
 use crate::sync::lock;
 
-/// Different beginnings among engines that daemons may have: more than any subject has engines.
+/// Number of different offsets that daemons draw from when they choose among the engines of a
+/// prompt prefix. Larger than the number of engines of any prefix.
 const SPREADS: usize = 1 << 16;
 
-/// Time from the choice of an upstream in which a connection to it is opened, after which nothing of
-/// the attempt may be written any more. Far above the few milliseconds between zones, and short enough
-/// for another upstream to be tried; an opening packet that was lost is sent again only after a second.
+/// Timeout for opening a connection, counted from the choice of the upstream. Nothing of the
+/// attempt may be written after it. It is far above the few milliseconds between zones, and short
+/// enough to try another upstream: a lost SYN packet is sent again only after a second.
 pub const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
-/// Retries that the baseline makes, whatever fails.
+/// Number of retries under the baseline policy, which has no retry budget.
 const BLIND_RETRIES: usize = 3;
 
-/// Chooses upstreams for attempts; each pool and each upstream has its own lock.
+/// Chooses upstreams for attempts. Each pool and each upstream has its own lock.
 #[derive(Debug)]
 pub struct UpstreamRouter {
     pub(super) zone: String,
     pub(super) random: Mutex<SmallRng>,
     pub(super) policy: RoutingPolicy,
-    /// Daemons that give the same upstreams work, this one among them.
+    /// Number of daemons that send work to the same upstreams, including this one.
     pub(super) daemons: AtomicUsize,
-    /// Sets this daemon apart from the others where each should begin with another engine.
+    /// Random offset at which this daemon starts among the engines of a prompt prefix, so that
+    /// daemons start with different engines.
     pub(super) spread: usize,
     pub(super) retries: RetryLimits,
     pub(super) cold_limits: ColdLimits,
     pub(super) regions: RegionMap,
-    /// Upstreams that have named a rate, and this daemon's share of what they and cold ones take.
+    /// Request rates that upstreams have announced, and this daemon's share of these rates and of
+    /// the cold-start limits.
     pub(super) limiter: Arc<RateLimiter>,
     pub(super) turn: AtomicUsize,
-    /// Whether no upstream may be chosen, because it is not known which ones stay.
+    /// Whether all choices are suspended, because the list of upstreams may be outdated.
     pub(super) held: AtomicBool,
-    /// Whether a list of published upstreams was known when this router was made.
+    /// Whether a list of published upstreams was known when this router was built.
     pub(super) has_list: bool,
     pub(super) upstreams: Vec<RoutedUpstream>,
     pub(super) positions: HashMap<String, usize>,
@@ -64,32 +67,34 @@
     pub(super) near: Vec<usize>,
     pub(super) far: Vec<usize>,
     pub(super) engine: Option<EngineRules>,
-    /// How its upstreams start, if they are cold at first.
+    /// Duration and request rate of a cold start. `None` if upstreams of this pool have full
+    /// capacity from the start.
     pub(super) cold: Option<ColdRules>,
-    /// Connections that one upstream takes from all daemons, if it is declared.
+    /// Number of connections that one upstream accepts from all daemons together. `None` if it is
+    /// not declared.
     pub(super) connections: Option<u32>,
     pub(super) pool: Arc<Mutex<StagePool>>,
 }
 
-/// An upstream that an attempt may use.
+/// The upstream that was chosen for an attempt, with the data for calling it.
 #[derive(Clone, Debug)]
 pub struct SlotGrant {
     /// The attempt.
     pub request: SlotRequest,
     /// Name of the upstream.
     pub upstream: String,
-    /// Identity that its process answers to.
+    /// Expected identity of the process. An answer from another process is rejected.
     pub process: String,
-    /// Where it listens.
+    /// Address on which the upstream accepts requests.
     pub address: SocketAddr,
-    /// Shortest time in which it has answered of late.
+    /// Shortest recent answer time of the upstream. Zero if it is unknown or not tracked.
     pub fastest: Duration,
-    /// Idle connections that this daemon may keep to it.
+    /// Maximum number of idle connections that this daemon may keep open to the upstream.
     pub kept_connections: usize,
 }
 
 impl UpstreamRouter {
-    /// A router without upstreams, for a daemon in `zone`.
+    /// A router without upstreams, for a daemon in the availability zone `zone`.
     #[must_use]
     pub fn new(zone: &str, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Sets how many retries the daemons may make together.
+    /// Sets the retry limits for all daemons together.
     #[must_use]
     pub fn retries(mut self, limits: RetryLimits) -> Self {
         self.retries = limits;
@@ -127,21 +132,21 @@
         self
     }
 
-    /// Sets what knows the upstreams that have named a rate.
+    /// Sets the limiter with the request rates that upstreams have announced.
     #[must_use]
     pub fn limiter(mut self, limiter: Arc<RateLimiter>) -> Self {
         self.limiter = limiter;
         self
     }
 
-    /// Sets how far cold upstreams may be pressed.
+    /// Sets the tolerance for the load on cold upstreams.
     #[must_use]
     pub fn cold_limits(mut self, limits: ColdLimits) -> Self {
         self.cold_limits = limits;
         self
     }
 
-    /// Sets how many daemons give the same upstreams work, this one among them.
+    /// Sets the number of daemons that send work to the same upstreams, including this one.
     pub fn set_daemons(&self, daemons: usize) {
         let daemons = daemons.max(1);
         if self.daemons.swap(daemons, Ordering::Relaxed) != daemons {
@@ -151,45 +156,46 @@
         }
     }
 
-    /// Sets whether no upstream may be chosen; returns whether that is new.
+    /// Suspends or resumes all choices. Returns whether the state has changed.
     pub fn hold(&self, held: bool) -> bool {
         self.held.swap(held, Ordering::Relaxed) != held
     }
 
-    /// Whether no upstream may be chosen.
+    /// Whether all choices are suspended.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.held.load(Ordering::Relaxed)
     }
 
-    /// Takes what the VM list says of leaving VMs.
+    /// Marks upstreams on VMs that the VM list shows as leaving.
     pub fn take_roster(&self, roster: &VmRoster) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
     }
 
-    /// Takes the news that an upstream is leaving. Returns whether it was new.
+    /// Records that an upstream is leaving. Returns whether that was unknown.
     pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
         upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
     }
 
-    /// `upstream` wants nothing from this daemon until `until`.
+    /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
     pub fn stay_away(&self, upstream: &str, until: MonotonicTime) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).stay_away(until);
         }
     }
 
-    /// Takes the news that the process `life` answers behind `upstream`, and stays.
+    /// Records that the process `life` serves `upstream` and is not leaving.
     pub fn greet(&self, upstream: &str, life: &str) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).greet(life);
         }
     }
 
-    /// Whether a first attempt may become another one at the same stage.
+    /// Takes one retry from the retry budget of the request's pool. Returns `false` if the budget
+    /// is exhausted. The baseline policy allows a fixed number of retries instead.
     #[must_use]
     pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
@@ -198,8 +204,8 @@
         self.pools.get(&request.stage).is_some_and(|routed| lock(&routed.pool).budget.spend(now))
     }
 
-    /// Time that a new request would need for the stages of `steps`, the waits for their upstreams
-    /// included, as far as it was learned.
+    /// Expected time that a new request with priority `level` needs for the stages of `plan`,
+    /// including the waits in their queues. Stages without measured answers count as zero.
     #[must_use]
     pub fn estimate(&self, plan: &StagePlan, level: u8) -> Duration {
         if self.policy == RoutingPolicy::Baseline {
@@ -211,12 +217,13 @@
         })
     }
 
-    /// Finds an upstream for `request`, or lets it wait for one.
+    /// Chooses an upstream for `request`, or queues the request if all upstreams are busy, which
+    /// returns `Ok(None)`.
     ///
     /// # Errors
     ///
-    /// Returns the request if its pool is gone, empty or its queue full, or if no upstream of it wants
-    /// anything before the request's deadline.
+    /// Returns the request if its pool doesn't exist or is empty, if the queue is full, or if no
+    /// upstream of the pool accepts requests before the request's deadline.
     pub fn acquire(
         &self,
         request: SlotRequest,
@@ -239,7 +246,8 @@
         if lock(&routed.pool).wait(request.clone()) { Ok(None) } else { Err(request) }
     }
 
-    /// Takes back the slot of an ended attempt and hands it to the most urgent one that waits.
+    /// Releases the slot of an ended attempt, and assigns free slots to the most urgent queued
+    /// attempts.
     pub fn release(
         &self,
         upstream: &str,
@@ -263,7 +271,7 @@
         self.serve_waiting(&upstream.pools, now)
     }
 
-    /// The first event of the answer to `call` came.
+    /// Records the first event of the answer to `call`.
     pub fn flowing(&self, upstream: &str, call: CallId) {
         if let Some(upstream) = self.upstream(upstream)
             && let Some(engine) = &mut lock(&upstream.state).engine
@@ -272,7 +280,7 @@
         }
     }
 
-    /// Hands free slots of the pools `stages` to attempts that wait.
+    /// Assigns free slots in the pools of `stages` to queued attempts.
     #[must_use]
     pub fn serve_waiting(&self, stages: &[String], now: MonotonicTime) -> Vec<SlotGrant> {
         let mut grants = Vec::new();
@@ -290,27 +298,27 @@
         grants
     }
 
-    /// Hands free slots of every pool to attempts that wait.
+    /// Assigns free slots in all pools to queued attempts.
     #[must_use]
     pub fn serve_all_waiting(&self, now: MonotonicTime) -> Vec<SlotGrant> {
         let stages: Vec<String> = self.pools.keys().cloned().collect();
         self.serve_waiting(&stages, now)
     }
 
-    /// Takes out everything that waits at `stage` for the call of `request`.
+    /// Removes the queued attempts of the request's call from the queue of its stage.
     pub fn withdraw(&self, request: &SlotRequest) {
         if let Some(routed) = self.pools.get(&request.stage) {
             lock(&routed.pool).withdraw(request.call, request.level, request.deadline);
         }
     }
 
-    /// What the state dump shows.
+    /// Summaries of all upstreams for the state dump.
     #[must_use]
     pub fn summaries(&self, now: MonotonicTime) -> Vec<UpstreamSummary> {
         self.upstreams.iter().map(|upstream| lock(&upstream.state).summary(now)).collect()
     }
 
-    /// Attempts that wait, by stage.
+    /// Number of queued attempts by stage, in ascending order of stage names.
     #[must_use]
     pub fn waiting(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
@@ -324,7 +332,8 @@
         self.positions.get(name).map(|position| &self.upstreams[*position])
     }
 
-    /// Region of the upstream at `position`, if it is known.
+    /// Region of the upstream at `position`. `None` if its availability zone has no configured
+    /// region.
     pub(super) fn region_of(&self, position: usize) -> Option<&str> {
         self.regions.region(&self.upstreams[position].rules.zone)
     }
@@ -340,7 +349,8 @@
             match (&mut state.engine, &request.demand) {
                 (Some(engine), Some(demand)) => {
                     engine.begin(request.call, demand, now);
-                    // Its answers are streams of any length, so the shortest says nothing.
+                    // Engines answer with streams of any length, so that the shortest answer time
+                    // is not informative.
                     Duration::ZERO
                 }
                 _ if self.policy == RoutingPolicy::Adaptive => state.fastest(),
@@ -359,11 +369,13 @@
         }
     }
 
-    /// Idle connections that this daemon may keep to each upstream of `stage`.
+    /// Maximum number of idle connections that this daemon may keep open to each upstream of
+    /// `stage`.
     ///
-    /// Guards against upstreams that are full of idle connections: they reset the next one that is
-    /// opened, with a request on it that nobody may repeat. All daemons keep half of what an upstream
-    /// takes; the other half is for connections in use.
+    /// Guards against upstreams whose connection limit is used up by idle connections. Such an
+    /// upstream resets the next new connection, and the request on it may not be safe to repeat.
+    /// All daemons together keep up to half of the limit idle; the other half remains for
+    /// connections in use.
     fn kept_connections(&self, stage: &str) -> usize {
         let declared = self.pools.get(stage).and_then(|routed| routed.connections);
         let daemons = self.daemons.load(Ordering::Relaxed).max(1);
