--- a/crates/crocusdale_core/src/rate_limiting/limit_record.rs
+++ b/crates/crocusdale_core/src/rate_limiting/limit_record.rs
@@ -2,15 +2,16 @@
 
 use super::RequestRate;
 
-/// What a daemon tells others of the rate that an upstream takes.
+/// Gossip message about the request rate that an upstream accepts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitRecord {
-    /// Name of the upstream's life.
+    /// Name of the upstream, which is unique to this run of its process.
     pub upstream: String,
-    /// Grows with each change that a daemon hears of the upstream.
+    /// Version of the record, which a daemon increases with each new rate that it receives from the
+    /// upstream.
     pub version: u64,
-    /// The rate, or `None` if the upstream has ceased to name one.
+    /// Request rate, or `None` if the upstream no longer announces a limit.
     pub rate: Option<RequestRate>,
-    /// Time since the teller knows that.
+    /// Time since the sender last knew the rate to be valid.
     pub age: Duration,
 }
--- a/crates/crocusdale_core/src/rate_limiting/mod.rs
+++ b/crates/crocusdale_core/src/rate_limiting/mod.rs
@@ -1,8 +1,9 @@
-//! Upstreams that name how many requests a second they take from all daemons together.
+//! Rate limits for upstreams that announce how many requests per second they accept from all
+//! daemons together.
 //!
-//! Each daemon keeps to a part of the rate by itself, so that no two of them have to agree on anything
-//! when a request is sent. What one hears is told to the others, so that those that have not called the
-//! upstream keep to it too, and learn when the limit has ended.
+//! Each daemon computes its share of the rate locally, so that daemons need no agreement when they
+//! send a request. A daemon that receives a new rate in an answer gossips it to the others. Daemons
+//! that have not called the upstream thereby apply the limit too, and learn when it has ended.
 
 mod limit_record;
 mod rate_limiter;
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -11,15 +11,18 @@
 use crate::identity::MonotonicTime;
 use crate::sync::lock;
 
-/// Time for which a limit is remembered of which no daemon hears anything any more.
+/// Time after which a limit is forgotten if no daemon confirms it.
 const LIMIT_LIFE: Duration = Duration::from_secs(600);
-/// Upstreams that are remembered: all of a large fleet, and more could not be told in one message.
+/// Maximum number of recorded limits. Enough for all upstreams of a large fleet; more would not fit
+/// into one gossip message.
 const LIMITS_MOST: usize = 1_024;
 
-/// Upstreams that have named a rate, by the name of their life, and what this daemon may send them.
+/// Request rates that upstreams have announced, and the token buckets for this daemon's shares of
+/// them.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
-    /// Upstreams that name a rate now, so that nothing is locked while there are none.
+    /// Number of upstreams with a limit, kept outside the lock so that nothing is locked while it
+    /// is zero.
     limited: AtomicUsize,
     table: Mutex<LimitTable>,
 }
@@ -28,25 +31,27 @@
 struct LimitTable {
     share: RateShare,
     limits: HashMap<String, UpstreamLimit>,
-    /// Upstreams of which others have to be told.
+    /// Names of the upstreams whose record must still be sent to the other daemons.
     untold: BTreeSet<String>,
 }
 
-/// What the state dump shows of an upstream that names a rate.
+/// Summary of a rate-limited upstream in the state dump.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LimitSummary {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// Requests a second that it takes from all daemons together.
+    /// Request rate that the upstream accepts from all daemons together, in requests per second.
     pub requests_per_s: f64,
-    /// Requests a second that this daemon may send as one of all daemons.
+    /// This daemon's share of the rate, in requests per second.
     pub share_per_s: f64,
-    /// Requests of this daemon since it learned the rate.
+    /// Number of requests that this daemon has sent since it learned of the limit.
     pub sent: u64,
 }
 
 impl RateLimiter {
-    /// Takes what the answer to a request that was sent at `sent` says of its upstream.
+    /// Records what an answer of `upstream` says about its request rate. The answer belongs to a
+    /// request that was sent at `sent`. Returns the change, or `None` if the known rate stays
+    /// valid.
     pub fn hear(
         &self,
         upstream: &str,
@@ -67,7 +72,8 @@
         change
     }
 
-    /// Takes what another daemon tells; returns what changed.
+    /// Merges a record from another daemon. Returns the change, or `None` if the known rate stays
+    /// valid.
     pub fn take(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
         let mut table = lock(&self.table);
         if record.age >= LIMIT_LIFE {
@@ -81,37 +87,38 @@
         change
     }
 
-    /// Sets this daemon's share of what upstreams take from all daemons together.
+    /// Sets this daemon's share of all rate limits and cold-start limits.
     pub fn set_share(&self, share: RateShare) {
         lock(&self.table).share = share;
     }
 
-    /// Number of daemons that share, this one among them.
+    /// Number of daemons that share the limits, including this one.
     #[must_use]
     pub fn sharing_daemons(&self) -> usize {
         lock(&self.table).share.daemons()
     }
 
-    /// Requests that this daemon may send to an upstream with `hash` of `requests` from all daemons.
+    /// Number of requests that this daemon may send, of `requests` from all daemons, to an upstream
+    /// whose name has the hash `hash`.
     #[must_use]
     pub fn share_of(&self, hash: u64, requests: u32) -> u32 {
         lock(&self.table).share.of(hash, requests)
     }
 
-    /// Whether any upstream names a rate.
+    /// Whether any upstream has a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
         self.limited.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether `upstream` names a rate.
+    /// Whether `upstream` has a rate limit.
     #[must_use]
     pub fn is_limited(&self, upstream: &str) -> bool {
         self.has_limits()
             && lock(&self.table).limits.get(upstream).is_some_and(|limit| limit.rate().is_some())
     }
 
-    /// Time until `upstream` may get a request.
+    /// Time until this daemon may send `upstream` a request.
     #[must_use]
     pub fn wait(&self, upstream: &str, rate_use: RateUse, now: MonotonicTime) -> TokenWait {
         if !self.has_limits() {
@@ -129,7 +136,7 @@
         TokenWait::For { wait: limit.bucket.wait(quota), interval }
     }
 
-    /// Whether `upstream` may get a request now.
+    /// Whether this daemon may send `upstream` a request now.
     #[must_use]
     pub fn allows(&self, upstream: &str, rate_use: RateUse, now: MonotonicTime) -> bool {
         match self.wait(upstream, rate_use, now) {
@@ -139,7 +146,7 @@
         }
     }
 
-    /// Counts a request to `upstream`.
+    /// Takes a token for a request to `upstream`, if it has a rate limit.
     pub fn spend(&self, upstream: &str) {
         if self.has_limits()
             && let Some(limit) = lock(&self.table).limits.get_mut(upstream)
@@ -149,13 +156,13 @@
         }
     }
 
-    /// Whether others have to be told of anything.
+    /// Whether any record must still be sent to the other daemons.
     #[must_use]
     pub fn has_untold(&self) -> bool {
         !lock(&self.table).untold.is_empty()
     }
 
-    /// What others have not been told.
+    /// Returns the records that must still be sent to the other daemons, and marks them as sent.
     #[must_use]
     pub fn take_untold(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let mut table = lock(&self.table);
@@ -164,20 +171,21 @@
         untold.iter().filter_map(record).collect()
     }
 
-    /// All that is known.
+    /// All records, for a daemon whose digest differs.
     #[must_use]
     pub fn records(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let table = lock(&self.table);
         table.limits.iter().map(|(upstream, limit)| limit.record(upstream, now)).collect()
     }
 
-    /// Same for two daemons that know the same, 0 for one that knows nothing.
+    /// Digest of all records. Equal for two daemons with equal records, and 0 without records.
     #[must_use]
     pub fn digest(&self) -> u64 {
         lock(&self.table).limits.values().fold(0, |digest, limit| digest ^ limit.digest())
     }
 
-    /// Forgets what no daemon hears of any more. Returns whether there was anything.
+    /// Forgets limits that no daemon has confirmed for their time to live. Returns whether there
+    /// were any.
     pub fn forget(&self, now: MonotonicTime) -> bool {
         let mut table = lock(&self.table);
         let before = table.limits.len();
@@ -186,7 +194,7 @@
         table.limits.len() < before
     }
 
-    /// What the state dump shows, by upstream.
+    /// Summaries of all rate-limited upstreams for the state dump, in ascending order of names.
     #[must_use]
     pub fn summaries(&self) -> Vec<LimitSummary> {
         let table = lock(&self.table);
@@ -219,7 +227,7 @@
         self.limits.entry(upstream.to_owned()).or_insert_with(|| UpstreamLimit::new(upstream, now))
     }
 
-    /// Forgets one upstream: of those whose limit has ended, if there are any, the oldest.
+    /// Removes one limit: the oldest ended one, or the oldest of all if none has ended.
     fn make_room(&mut self, now: MonotonicTime) {
         let rank = |limit: &UpstreamLimit| (limit.rate().is_none(), limit.age(now));
         let last = self.limits.iter().max_by_key(|(upstream, limit)| (rank(limit), *upstream));
--- a/crates/crocusdale_core/src/rate_limiting/rate_notice.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_notice.rs
@@ -1,13 +1,14 @@
 use super::RequestRate;
 
-/// What an answer says of the requests that its upstream takes from all daemons together.
+/// Content of an answer's header about the upstream's request rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateNotice {
-    /// It names no rate.
+    /// The answer has no such header: the upstream has no limit.
     #[default]
     Unlimited,
-    /// It names a rate.
+    /// The upstream accepts this request rate.
     Limited(RequestRate),
-    /// It names something that is no rate, or another process answered.
+    /// The header is malformed or the answer came from another process. The known limit stays
+    /// valid.
     Unreadable,
 }
--- a/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
@@ -3,40 +3,41 @@
 use super::{RateShare, RequestRate};
 use crate::routing::CONNECT_PATIENCE;
 
-/// Length of the windows in which all requests to a limited upstream are counted.
+/// Length of the sliding windows in which the requests to a rate-limited upstream are bounded.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Requests in a window, as a multiple of what the rate allows.
+/// Bound for the requests in a window, as a multiple of what the rate allows.
 const LIMIT_OVERSHOOT: f64 = 1.5;
-/// Requests in a window besides.
+/// Requests per window that are allowed on top of the multiple.
 pub const LIMIT_SLACK: f64 = 5.0;
-/// Least rate at which an upstream is called, in requests a second: one that takes nothing must still be
-/// asked whether that has ended.
+/// Lowest rate at which an upstream is called, in requests per second. An upstream with a rate of
+/// zero still gets probe requests, to detect when its limit ends.
 const TRIAL_RATE: f64 = 0.1;
 
-/// Who sends requests to a limited upstream.
+/// Which daemons send requests to a rate-limited upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateUse {
-    /// Every daemon, its share of them.
+    /// All daemons, each with its share of the rate.
     Shared,
-    /// The one dispatcher of the upstream's pool.
+    /// Only the dispatcher of the upstream's pool, with the whole rate.
     Sole,
 }
 
-/// Part of an upstream's rate that one daemon may use.
+/// Share of an upstream's request rate that one daemon may use.
 ///
-/// A window holds no more than the depths of all daemons and what comes in meanwhile, for as long as the
-/// window and the delay of a write last. The depths come from what the bound leaves beyond the rate, so
-/// that the rate itself is used whole.
+/// The number of requests in a window is at most the sum of all bucket depths, plus the tokens that
+/// all daemons gain during the window and the delay of a write. The depths use the margin between
+/// the rate and the bound, so that the full rate stays available.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateQuota {
-    /// Requests that may be sent at one moment.
+    /// Depth of the token bucket: number of requests that may be sent at once.
     pub depth: u32,
-    /// Requests a second.
+    /// Fill rate of the token bucket, in tokens per second.
     pub per_second: f64,
 }
 
 impl RateQuota {
-    /// Quota at an upstream with `hash` that takes `rate`, if there is any.
+    /// Quota at an upstream that accepts `rate` and whose name has the hash `hash`. `None` if this
+    /// daemon has no share.
     #[must_use]
     pub fn new(rate: RequestRate, hash: u64, share: &RateShare, rate_use: RateUse) -> Option<Self> {
         let per_second = rate.per_second().max(TRIAL_RATE);
@@ -50,7 +51,7 @@
     }
 }
 
-/// Requests that all daemons together may send at one moment.
+/// Number of requests that all daemons together may send at once.
 fn burst_seats(per_second: f64) -> u32 {
     let window = LIMIT_WINDOW.as_secs_f64();
     let steady = (window + CONNECT_PATIENCE.as_secs_f64()) * per_second;
@@ -58,7 +59,7 @@
     (allowed - steady).floor() as u32
 }
 
-/// Time between two requests at `rate`, as the daemons together send them.
+/// Interval between two requests to an upstream that accepts `rate`, from all daemons together.
 pub(super) fn fleet_interval(rate: RequestRate) -> Duration {
     Duration::from_secs_f64(1.0 / rate.per_second().max(TRIAL_RATE))
 }
--- a/crates/crocusdale_core/src/rate_limiting/rate_share.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_share.rs
@@ -1,10 +1,11 @@
 use crate::identity::stable_hash;
 
-/// One daemon's share of the requests that a cold upstream may get from all daemons in one second.
+/// One daemon's share of a number of requests that all daemons together may send to an upstream.
 ///
-/// With few daemons each has an equal part. With more daemons than requests, each upstream has a subset of
-/// them that may send one each, by rendezvous hashing. A daemon that knows fewer others than there are
-/// would rank too high, so that one which has just started has no share until it knows them.
+/// If there are at least as many requests as daemons, each daemon has an equal share. Otherwise,
+/// rendezvous hashing selects for each upstream the daemons that may send one request each. A
+/// daemon that knows only some of the others could rank itself too high, so that a daemon that has
+/// just started has no share until it knows them.
 #[derive(Clone, Debug, Default)]
 pub struct RateShare {
     own: u64,
@@ -13,26 +14,29 @@
 }
 
 impl RateShare {
-    /// Share of the daemon on the VM `own` among `others`, which it knows or has known of late.
+    /// Share of the daemon on the VM `own`. The names of the VMs of all current and recent daemons
+    /// are in `others`.
     #[must_use]
     pub fn new<'a>(own: &str, others: impl Iterator<Item = &'a str>) -> Self {
         let others = others.filter(|vm| *vm != own).map(daemon_hash).collect();
         Self { own: daemon_hash(own), others, withheld: false }
     }
 
-    /// Withholds the share, because others may not know this daemon, or it them.
+    /// Sets whether the share is withheld, because this daemon and the others may not know each
+    /// other yet. A withheld share is zero.
     #[must_use]
     pub fn withheld(self, withheld: bool) -> Self {
         Self { withheld, ..self }
     }
 
-    /// Number of daemons that share, this one among them.
+    /// Number of daemons that share the requests, including this one.
     #[must_use]
     pub fn daemons(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// Requests that this daemon may send within a second to an upstream with `hash` that takes `limit`.
+    /// Number of requests that this daemon may send, of `limit` from all daemons, to an upstream
+    /// whose name has the hash `hash`.
     #[must_use]
     pub fn of(&self, hash: u64, limit: u32) -> u32 {
         if self.withheld {
@@ -52,7 +56,7 @@
     stable_hash(&[vm])
 }
 
-/// Mixes two hashes (the finalizer of splitmix64).
+/// Mixes two hashes with the finalizer of splitmix64.
 fn pair_hash(daemon: u64, upstream: u64) -> u64 {
     let mut mixed = daemon ^ upstream.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/crocusdale_core/src/rate_limiting/request_rate.rs
+++ b/crates/crocusdale_core/src/rate_limiting/request_rate.rs
@@ -1,16 +1,17 @@
 use std::fmt;
 
-/// Thousandths of a request per request.
+/// Number of thousandths in one request.
 const SCALE: f64 = 1_000.0;
 
-/// Requests a second, exact to a thousandth.
+/// Rate in requests per second, with a resolution of a thousandth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestRate {
     thousandths: u32,
 }
 
 impl RequestRate {
-    /// A rate of `per_second` requests a second, rounded down; `None` if that is no rate.
+    /// Converts requests per second, rounded down to a thousandth. `None` for a negative or
+    /// non-finite value, or one above the range.
     #[must_use]
     pub fn from_per_second(per_second: f64) -> Option<Self> {
         let thousandths = (per_second * SCALE).floor();
@@ -18,19 +19,19 @@
         is_rate.then_some(Self { thousandths: thousandths as u32 })
     }
 
-    /// A rate of `thousandths` of a request a second.
+    /// Converts thousandths of a request per second.
     #[must_use]
     pub const fn from_thousandths(thousandths: u32) -> Self {
         Self { thousandths }
     }
 
-    /// The rate in thousandths of a request a second.
+    /// Rate in thousandths of a request per second.
     #[must_use]
     pub const fn thousandths(self) -> u32 {
         self.thousandths
     }
 
-    /// Requests a second.
+    /// Rate in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.thousandths) / SCALE
--- a/crates/crocusdale_core/src/rate_limiting/token_bucket.rs
+++ b/crates/crocusdale_core/src/rate_limiting/token_bucket.rs
@@ -3,54 +3,55 @@
 use super::RateQuota;
 use crate::identity::MonotonicTime;
 
-/// Absorbs what the sum of many small parts of a token is off.
+/// Tolerance for rounding errors when many small fractions of a token are added up.
 const ROUNDING: f64 = 1e-9;
 
-/// Requests that a daemon may send an upstream, filled at the rate of its quota.
+/// Token bucket for the requests of this daemon to one upstream, filled at the rate of its quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
     tokens: f64,
     filled: MonotonicTime,
 }
 
-/// When a daemon may send an upstream its next request.
+/// When this daemon may send its next request to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TokenWait {
-    /// The upstream names no rate.
+    /// At any time: the upstream has no rate limit.
     Unlimited,
-    /// In this time, and then one each interval.
+    /// After a wait, and then once per interval.
     For {
         /// Time until the next request.
         wait: Duration,
-        /// Time between two.
+        /// Time between two requests.
         interval: Duration,
     },
-    /// Not at all, as other daemons have the places. All of them together send one each interval.
+    /// Never: other daemons hold all shares of the rate. All daemons together send one request per
+    /// interval.
     NoShare {
-        /// Time between two requests of all daemons.
+        /// Time between two requests from all daemons together.
         interval: Duration,
     },
 }
 
 impl TokenBucket {
-    /// An empty bucket: what the daemon sent before it heard of the rate is not known.
+    /// An empty bucket, because the requests sent before the limit was known were not counted.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self { tokens: 0.0, filled: now }
     }
 
-    /// Adds what has come in by `now`.
+    /// Adds the tokens gained until `now`, up to the depth of `quota`.
     pub(super) fn fill(&mut self, quota: RateQuota, now: MonotonicTime) {
         let gained = now.since(self.filled).as_secs_f64() * quota.per_second;
         self.tokens = (self.tokens + gained).min(f64::from(quota.depth));
         self.filled = self.filled.max(now);
     }
 
-    /// Takes one token out.
+    /// Takes one token. The bucket may become negative.
     pub(super) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Time until there is a token, if nothing is spent before.
+    /// Time until a token is available, if none is taken before.
     pub(super) fn wait(&self, quota: RateQuota) -> Duration {
         let lacking = (1.0 - self.tokens - ROUNDING).max(0.0);
         Duration::from_secs_f64(lacking / quota.per_second)
--- a/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
+++ b/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
@@ -4,45 +4,48 @@
 use super::{LimitRecord, RateNotice, RequestRate};
 use crate::identity::{MonotonicTime, stable_hash};
 
-/// What is added to the time of this process, so that news of before its start have a time too.
+/// Offset that is added to the clock of this process, so that records from before its start have
+/// non-negative times.
 const EPOCH: Duration = Duration::from_secs(3_600);
-/// Longest time for which news of another daemon are under way.
+/// Maximum delay of a gossip message between daemons.
 const NEWS_TIME: Duration = Duration::from_secs(1);
-/// Change of a rate that others are told, as a part of what they were told before.
+/// Relative change of a rate above which the new rate is gossiped.
 const TOLD_CHANGE: f64 = 0.1;
 
-/// What changed for an upstream.
+/// Change of an upstream's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// It takes this many requests a second.
+    /// The upstream now accepts this request rate.
     Limited(RequestRate),
-    /// It takes any number again, and got this many requests from this daemon meanwhile.
+    /// The limit has ended. The value is the number of requests that this daemon sent under it.
     Ended(u64),
 }
 
-/// What one daemon knows of the rate that an upstream takes.
+/// What this daemon knows about the request rate that one upstream accepts.
 #[derive(Debug)]
 pub(super) struct UpstreamLimit {
-    /// Orders what daemons hear of the upstream.
+    /// Version of the record. A record with a higher version replaces this one.
     version: u64,
     rate: Option<RequestRate>,
-    /// Rate of this version, as others know it.
+    /// Rate in the record with this version, as other daemons know it. Small changes of the rate
+    /// are not gossiped.
     told: Option<RequestRate>,
-    /// When this daemon learned that.
+    /// Time at which this daemon learned the rate.
     learned: MonotonicTime,
-    /// When an answer to this daemon last named a rate.
+    /// Time of the last answer to this daemon that announced a rate.
     named: Option<MonotonicTime>,
-    /// When it was last known to be so, in the time of this process and [`EPOCH`].
+    /// Time at which the rate was last known to be valid, on the clock of this process plus
+    /// [`CLOCK_OFFSET`].
     confirmed: MonotonicTime,
     pub(super) bucket: TokenBucket,
     /// Hash of the upstream's name.
     pub(super) hash: u64,
-    /// Requests of this daemon since it learned the rate.
+    /// Number of requests that this daemon has sent since it learned of the limit.
     pub(super) sent: u64,
 }
 
 impl UpstreamLimit {
-    /// An upstream of which nothing is known.
+    /// A limit without a known rate.
     pub(super) fn new(upstream: &str, now: MonotonicTime) -> Self {
         Self {
             version: 0,
@@ -57,16 +60,16 @@
         }
     }
 
-    /// Rate that the upstream takes, if it names one.
+    /// Request rate that the upstream accepts, or `None` without a limit.
     pub(super) fn rate(&self) -> Option<RequestRate> {
         self.rate
     }
 
-    /// Takes what the answer to a request that was sent at `sent` says; returns what changed, and whether
-    /// others have to know.
+    /// Records what an answer says about the rate. The answer belongs to a request that was sent at
+    /// `sent`. Returns the change, and whether the record must be gossiped.
     ///
-    /// Answers overtake each other. One that allows more than what is known counts only if its request was
-    /// sent after that was learned.
+    /// Answers may arrive out of order. An answer with a higher rate or without a limit is used
+    /// only if its request was sent after the known rate was learned.
     pub(super) fn hear(
         &mut self,
         notice: RateNotice,
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Takes what another daemon tells; returns what changed, and whether others have to know.
+    /// Merges a record from another daemon. Returns the change, and whether the own record must be
+    /// gossiped.
     pub(super) fn take(
         &mut self,
         record: &LimitRecord,
@@ -110,7 +114,8 @@
         if !is_newer {
             return (None, false);
         }
-        // An answer to this daemon may have named a rate after the one without a rate that the other saw.
+        // This daemon may have received an answer with a rate after the other daemon received the
+        // one without. Gossip may be delayed, so that a rate announced within that delay is kept.
         let ended = MonotonicTime::from_start(since.saturating_sub(NEWS_TIME));
         let is_doubtful = self.named.is_some_and(|named| named + EPOCH > ended);
         if record.rate.is_none() && self.rate.is_some() && is_doubtful {
@@ -128,18 +133,18 @@
         (change, false)
     }
 
-    /// What others are told.
+    /// Record for sending to other daemons.
     pub(super) fn record(&self, upstream: &str, now: MonotonicTime) -> LimitRecord {
         let age = (now + EPOCH).since(self.confirmed);
         LimitRecord { upstream: upstream.to_owned(), version: self.version, rate: self.told, age }
     }
 
-    /// Time since it was last known to be so.
+    /// Time since the rate was last known to be valid.
     pub(super) fn age(&self, now: MonotonicTime) -> Duration {
         (now + EPOCH).since(self.confirmed)
     }
 
-    /// Same for two daemons that have been told the same.
+    /// Digest of the record. Equal for two daemons with equal records.
     pub(super) fn digest(&self) -> u64 {
         let rate = self.told.map_or_else(String::new, |rate| rate.thousandths().to_string());
         stable_hash(&[&self.hash.to_string(), &self.version.to_string(), &rate])
@@ -157,12 +162,12 @@
     }
 }
 
-/// Whether `rate` is so far from `told` that others have to know.
+/// Whether `rate` differs enough from the gossiped rate to be gossiped.
 fn differs(told: RequestRate, rate: RequestRate) -> bool {
     (told.per_second() - rate.per_second()).abs() > TOLD_CHANGE * told.per_second()
 }
 
-/// Whether an upstream that takes `rate` takes less than one that takes `other`.
+/// Whether `rate` is a tighter limit than `other`. `None` stands for no limit.
 fn is_stricter(rate: Option<RequestRate>, other: Option<RequestRate>) -> bool {
     match (rate, other) {
         (Some(rate), Some(other)) => rate < other,
