--- a/crates/crocusdale_core/src/retry/mod.rs
+++ b/crates/crocusdale_core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! When an attempt may be repeated.
+//! Limits how many attempts may be retried.
 
 mod retry_budget;
 
--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -2,25 +2,26 @@
 
 use crate::identity::MonotonicTime;
 
-/// Share of a retry that each first attempt earns, unless set.
+/// Default number of retries that each first attempt adds to the budget.
 const EARNED: f64 = 0.1;
-/// Retries that may be saved up, unless set.
+/// Default maximum number of retries in the budget.
 const SAVED: f64 = 10.0;
-/// Part of a bound that the daemons use up by themselves. The rest covers news that is late: how
-/// many daemons there are, and a budget that a daemon lost with its process.
+/// Fraction of the limits that the daemons use. The rest covers delayed knowledge of the number of
+/// daemons, and budgets that were lost when a daemon restarted.
 const USED: f64 = 0.8;
 
-/// How many retries all daemons may make together at one pool.
+/// Limits for the retries of all daemons together in one pool.
 ///
-/// The bound is one of a sliding window: in each window, `ratio` retries for each first attempt and
-/// `reserve` besides.
+/// They apply to a sliding window: each window allows `ratio` retries per first attempt, plus
+/// `reserve` retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Retries for each first attempt.
+    /// Number of retries per first attempt.
     pub ratio: f64,
-    /// Retries of one window that need no first attempts, of all daemons together.
+    /// Number of retries per window that need no first attempts, for all daemons together. Infinite
+    /// if the reserve is not limited.
     pub reserve: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -31,32 +32,33 @@
 }
 
 impl RetryLimits {
-    /// Budget of one of `daemons` daemons.
+    /// Budget of one daemon among `daemons`.
     #[must_use]
     pub fn budget(self, daemons: usize) -> RetryBudget {
         let mut budget = RetryBudget { limits: self, ..RetryBudget::default() };
         budget.share(daemons);
         if self.reserve.is_finite() {
-            // The process before this one may just have spent the reserve of the window.
+            // An earlier process of this daemon may have spent the window's reserve just before it
+            // ended.
             budget.saved = 0.0;
         }
         budget
     }
 }
 
-/// Bounds retries by the number of first attempts.
+/// Limits the number of retries in proportion to the number of first attempts.
 ///
-/// Guards against retries that amplify an outage: a fixed count of retries multiplies the load on
-/// a pool just when all of its attempts fail. Here at most a share of the attempts is a retry, apart
-/// from a small reserve, whatever fails. Each daemon has its part of the reserve, so that the bound
-/// holds for all of them without a word between them.
+/// Guards against retries that amplify an outage. With a fixed number of retries per request, the
+/// load on a pool would multiply just when all its attempts fail. With the budget, retries are
+/// limited to a fraction of the attempts, plus a small reserve. Each daemon has a fixed part of the
+/// reserve, so that the limit holds for all daemons without communication.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
     saved: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of retries in the budget.
     most: f64,
-    /// Retries that the reserve adds a second.
+    /// Number of retries that the reserve adds per second.
     refill: f64,
     last: Option<MonotonicTime>,
 }
@@ -69,8 +71,8 @@
 }
 
 impl RetryBudget {
-    /// Divides the reserve among `daemons` daemons. Half of it may be saved up, the other half
-    /// comes back over a window, so that no window sees more than the whole.
+    /// Divides the reserve among `daemons` daemons. Half of a daemon's part may be saved up, and
+    /// the other half is added over one window, so that no window gets more than the whole part.
     pub fn share(&mut self, daemons: usize) {
         if self.limits.reserve.is_finite() {
             let reserve = self.limits.reserve * USED / daemons.max(1) as f64;
@@ -80,13 +82,13 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the retries that a first attempt earns.
     pub fn earn(&mut self, now: MonotonicTime) {
         self.refill(now);
         self.saved = (self.saved + self.limits.ratio * USED).min(self.most);
     }
 
-    /// Takes the right to one retry, if there is any.
+    /// Takes one retry from the budget. Returns `false` if less than one is left.
     #[must_use]
     pub fn spend(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
@@ -98,7 +100,8 @@
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        // Nothing was spent before the first use, since the start of the process.
+        // Nothing was spent before the first call, so that the budget has grown since the process
+        // started.
         let since = self.last.map_or(now.since_start(), |last| now.since(last));
         self.last = Some(now);
         self.saved = (self.saved + self.refill * since.as_secs_f64()).min(self.most);
