--- a/crates/crocusdale_core/src/orders/engine_order.rs
+++ b/crates/crocusdale_core/src/orders/engine_order.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// What an engine works as.
+/// Role of a model engine in serving requests.
 #[derive(
     Clone,
     Copy,
@@ -16,26 +16,27 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum EngineRole {
-    /// Serves whole requests.
+    /// Serves whole requests: processes the prompt and generates the answer.
     #[default]
     Generate,
-    /// Fills caches for others.
+    /// Processes prompts and fills the caches that other engines decode from.
     Prefill,
-    /// Continues from caches of others.
+    /// Generates answers from caches that other engines have filled.
     Decode,
 }
 
-/// An order to one engine, derived from the declarations alone: daemons that have the same revision
-/// in force give the same order, on whichever side of a partition they are.
+/// Desired state of one model engine. It is derived from the declarations alone, so that daemons
+/// with the same revision send the same order, even on different sides of a network partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing number: the revision that the order was derived from.
+    /// Fencing token: the revision that the order was derived from. Engines reject an order with a
+    /// lower one.
     pub fence: u64,
-    /// Model to load.
+    /// Name of the model to load.
     pub model: String,
     /// Version of the model.
     pub version: String,
-    /// Adapter to load beside it.
+    /// Adapter to load with the model, or `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
     /// Role of the engine.
@@ -44,7 +45,7 @@
 }
 
 impl EngineOrder {
-    /// Whether an engine that holds `held` already has what this order asks for.
+    /// Whether an engine that holds the order `held` needs no change, apart from the fencing token.
     #[must_use]
     pub fn is_fulfilled_by(&self, held: &Self) -> bool {
         let content = |order: &Self| Self { fence: 0, ..order.clone() };
--- a/crates/crocusdale_core/src/orders/mod.rs
+++ b/crates/crocusdale_core/src/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines: what they must hold, and who tells them.
+//! Desired state of model engines: the order that each must fulfil and the daemon that sends it.
 
 mod engine_order;
 mod order_keeper;
--- a/crates/crocusdale_core/src/orders/order_keeper.rs
+++ b/crates/crocusdale_core/src/orders/order_keeper.rs
@@ -5,44 +5,46 @@
 use crate::identity::stable_hash;
 use crate::membership::{MemberStatus, MemberView, VmRoster};
 
-/// Decides which engines this daemon keeps in order, and what it tells them.
+/// Reconciles model engines with the declarations: chooses the engines that this daemon manages,
+/// and compares the order that each of them holds with the desired one.
 ///
-/// Each engine has one keeper at a time, as far as membership can tell: in a partition there may be
-/// two. Guards against an order that undoes a newer one: it shows as an engine that falls back to
-/// an older model. Engines that honour the fencing number refuse such an order themselves. From
-/// one that ignores it the keeper reads what it holds first and leaves a newer order alone, so
-/// that only an order between another keeper's reading and writing can be undone.
+/// Each engine is managed by one daemon, as far as membership is known. In a network partition
+/// there may be two. Guards against an order that replaces a newer one, after which the engine
+/// would return to an older model. Engines that check the fencing token reject such an order. For
+/// other engines, the daemon reads the held order first and leaves a newer one unchanged. A newer
+/// order can then be lost only if another daemon writes it between this daemon's read and write.
 #[derive(Debug)]
 pub struct OrderKeeper<'a> {
     declarations: &'a Declarations,
     revision: u64,
 }
 
-/// What a keeper does about an engine.
+/// What to do about a model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Nothing: it holds what it must.
+    /// Nothing: the engine already fulfils its order, or no order applies to it.
     Nothing,
-    /// Nothing: it holds the order of a later revision than the one in force here.
+    /// Nothing: the engine holds an order with a later revision than the one in force in this
+    /// daemon.
     Newer,
-    /// Give it this order.
+    /// Send the engine this order.
     Give {
-        /// Where the engine listens.
+        /// Address on which the engine accepts requests.
         address: SocketAddr,
-        /// The order.
+        /// Order to send.
         order: EngineOrder,
     },
 }
 
 impl<'a> OrderKeeper<'a> {
-    /// Keeps engines in order by `declarations`, in force as `revision`.
+    /// Reconciles engines with `declarations`, which are in force as `revision`.
     #[must_use]
     pub fn new(declarations: &'a Declarations, revision: u64) -> Self {
         Self { declarations, revision }
     }
 
-    /// Engines that this daemon keeps: by rendezvous hashing over the daemons that it takes to be
-    /// reachable and to stay.
+    /// Engines that this daemon manages. Each engine is assigned by rendezvous hashing to one of
+    /// the daemons that are reachable and not leaving, as this daemon sees them.
     pub fn kept<'b>(
         &'b self,
         roster: &'b VmRoster,
@@ -63,7 +65,8 @@
         )
     }
 
-    /// What the engine `upstream` must hold.
+    /// Address of the engine `upstream` and the order that it must fulfil. `None` if no placement
+    /// applies to it.
     #[must_use]
     pub fn order_for(&self, upstream: &str) -> Option<(SocketAddr, EngineOrder)> {
         let rules = self.declarations.upstreams().iter().find(|rules| rules.name == upstream)?;
@@ -71,7 +74,8 @@
         Some((rules.address, EngineOrder { fence: self.revision, ..placement.order.clone() }))
     }
 
-    /// Decides about the engine `upstream`, which says that it holds `held`.
+    /// Decides what to do about the engine `upstream`, which reports that it holds the order
+    /// `held`.
     #[must_use]
     pub fn decide(&self, upstream: &str, held: &EngineOrder) -> OrderStep {
         match self.order_for(upstream) {
