--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -14,7 +14,7 @@
 /// heartbeat, within two seconds at most.
 pub(crate) const RESTORE_GRACE: Duration = Duration::from_millis(2_500);
 /// Time for which a leaving notice is remembered. The process has ended long before.
-const TOLD_LIFE: Duration = Duration::from_secs(600);
+const LEAVING_NOTICE_TTL: Duration = Duration::from_secs(600);
 
 /// One process of an upstream, as the platform publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
     position: StorePosition,
     /// Store position of the first reading in the present era. Entries written up to here may be
     /// older than those known before the store was restored from a copy.
-    restored_at: StorePosition,
+    restore_position: StorePosition,
     /// Store position of the first list in the present era. All changes since then are known.
     complete_since: StorePosition,
     /// Store position of the last change that affects routing.
@@ -85,12 +85,12 @@
     missing: BTreeMap<String, MonotonicTime>,
     /// Whether a missing entry was removed after its time limit, since the last full list. A peer
     /// may know that the upstream is listed again.
-    gave_up: bool,
+    has_expired_missing: bool,
     /// Addresses of processes that have restarted since the last call of `take_restarted`.
     restarted: Vec<SocketAddr>,
     /// Names of processes that are leaving, by their own notice or by a peer's message, with the
     /// time at which this daemon received it.
-    told_leaving: HashMap<String, MonotonicTime>,
+    leaving_notices: HashMap<String, MonotonicTime>,
     evacuations: ZoneEvacuations,
     cold: ColdUpstreams,
 }
@@ -133,20 +133,20 @@
     /// Records the cold starts that upstreams reported by `now`. Returns whether the change affects
     /// routing.
     pub fn note_cold(&mut self, cold: Vec<ColdUpstream>, now: MonotonicTime) -> bool {
-        let mut is_news = false;
-        for each in cold {
-            is_news |= self.cold.note(each, now);
+        let mut has_changed = false;
+        for upstream in cold {
+            has_changed |= self.cold.record(upstream, now);
         }
-        if is_news {
+        if has_changed {
             self.changed = self.changed.max(self.position);
         }
-        is_news
+        has_changed
     }
 
     /// End of the cold start of the upstream `name`, or `None` if no cold start was reported.
     #[must_use]
     pub fn cold_until(&self, name: &str) -> Option<MonotonicTime> {
-        self.cold.end(name)
+        self.cold.end_time(name)
     }
 
     /// Replaces the evacuated availability zones with those of a reading at `position`, before its
@@ -179,8 +179,8 @@
     /// is kept when the entry expires and returns. A later run of the process has another name, so
     /// that the notice doesn't apply to it.
     pub fn note_leaving(&mut self, name: &str, now: MonotonicTime) -> bool {
-        self.told_leaving.retain(|_, told| now.since(*told) < TOLD_LIFE);
-        self.told_leaving.insert(name.to_owned(), now);
+        self.leaving_notices.retain(|_, received| now.since(*received) < LEAVING_NOTICE_TTL);
+        self.leaving_notices.insert(name.to_owned(), now);
         let mut entries = self.entries.values_mut().map(|listed| &mut listed.entry);
         let Some(entry) = entries.find(|entry| entry.name() == name) else { return false };
         !std::mem::replace(&mut entry.leaving, true)
@@ -210,11 +210,12 @@
         grace: Option<MonotonicTime>,
     ) -> bool {
         let position: StorePosition = position.into();
-        let placed = |(revision, entry)| (StorePosition { era: position.era, revision }, entry);
-        self.replace_placed(position, entries.into_iter().map(placed).collect(), grace)
+        let with_position =
+            |(revision, entry)| (StorePosition { era: position.era, revision }, entry);
+        self.replace_positioned(position, entries.into_iter().map(with_position).collect(), grace)
     }
 
-    fn replace_placed(
+    fn replace_positioned(
         &mut self,
         position: StorePosition,
         entries: Vec<(StorePosition, DirectoryEntry)>,
@@ -223,9 +224,9 @@
         if position < self.position {
             return false;
         }
-        self.gave_up = false;
+        self.has_expired_missing = false;
         if self.is_known() && position.era > self.position.era {
-            self.restored_at = position;
+            self.restore_position = position;
         }
         if position.era > self.complete_since.era || self.complete_since.is_none() {
             self.complete_since = position;
@@ -235,10 +236,10 @@
         let unlisted: Vec<String> = unlisted.cloned().collect();
         let mut changed = false;
         for id in unlisted {
-            changed |= self.lose(&id, position, grace);
+            changed |= self.handle_unlisted(&id, position, grace);
         }
         for (written, entry) in entries {
-            changed |= self.put(written, entry);
+            changed |= self.upsert(written, entry);
         }
         self.position = position;
         changed
@@ -253,40 +254,42 @@
     pub fn merge(&mut self, list: PeerDirectory, now: MonotonicTime) -> bool {
         // A list of changes doesn't cover the entries that a reading has found missing since the
         // list was requested.
-        let is_useless = list.removed.is_some() && !self.knows_all();
-        if list.position < self.position || is_useless {
+        let is_unusable_delta = list.removed.is_some() && !self.is_complete();
+        if list.position < self.position || is_unusable_delta {
             return false;
         }
         // After a restore, the peer may never have received entries that this daemon read before.
         let is_restored = self.is_known() && list.position.era > self.position.era;
         let grace = is_restored.then_some(now + RESTORE_GRACE);
-        let lapsing = list.entries.iter();
-        let lapsing = lapsing.filter_map(|each| Some((each.entry.id.clone(), each.lapses_in?)));
-        let lapsing: Vec<_> = lapsing
+        let expiring = list.entries.iter();
+        let expiring =
+            expiring.filter_map(|entry| Some((entry.entry.id.clone(), entry.lapses_in?)));
+        let expiring: Vec<_> = expiring
             .map(|(id, left)| {
                 let until = now + left;
                 let known = self.missing.get(&id).copied();
                 (id, known.map_or(until, |known| known.min(until)))
             })
             .collect();
-        let entries = list.entries.into_iter().map(|each| (each.written, each.entry)).collect();
+        let entries =
+            list.entries.into_iter().map(|listed| (listed.written, listed.entry)).collect();
         let (position, cold) = (list.position, list.cold);
         let mut changed = self.replace_evacuations(position, list.evacuations, grace);
         changed |= match list.removed {
-            None => self.replace_placed(position, entries, grace),
-            Some(removed) => self.take_changes(position, entries, removed),
+            None => self.replace_positioned(position, entries, grace),
+            Some(removed) => self.apply_changes(position, entries, removed),
         };
         if position == self.position {
-            let held = |id: &String| self.entries.contains_key(id);
-            let lapsing: Vec<_> = lapsing.into_iter().filter(|(id, _)| held(id)).collect();
-            self.missing.extend(lapsing);
+            let is_listed = |id: &String| self.entries.contains_key(id);
+            let expiring: Vec<_> = expiring.into_iter().filter(|(id, _)| is_listed(id)).collect();
+            self.missing.extend(expiring);
             changed |= self.note_cold(cold, now);
         }
         changed
     }
 
     /// Applies the changes since the position up to which this daemon has read all changes.
-    fn take_changes(
+    fn apply_changes(
         &mut self,
         position: StorePosition,
         entries: Vec<(StorePosition, DirectoryEntry)>,
@@ -297,7 +300,7 @@
             changed |= self.remove(&removal.id, removal.position);
         }
         for (written, entry) in entries {
-            changed |= self.put(written, entry);
+            changed |= self.upsert(written, entry);
         }
         self.position = position;
         changed
@@ -306,19 +309,19 @@
     /// Removes missing upstreams and evacuations whose time limit has passed. Returns whether any
     /// were removed.
     pub fn drop_missing(&mut self, now: MonotonicTime) -> bool {
-        let over = self.missing.iter().filter(|(_, until)| now >= **until);
-        let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
-        for id in &over {
+        let expired = self.missing.iter().filter(|(_, until)| now >= **until);
+        let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
+        for id in &expired {
             self.missing.remove(id);
             let position = self.position;
             self.remove(id, position);
         }
-        self.gave_up |= !over.is_empty();
-        let opened = self.evacuations.drop_lapsed(now);
-        if opened {
+        self.has_expired_missing |= !expired.is_empty();
+        let has_ended_evacuations = self.evacuations.remove_expired(now);
+        if has_ended_evacuations {
             self.changed = self.changed.max(self.position);
         }
-        opened || !over.is_empty()
+        has_ended_evacuations || !expired.is_empty()
     }
 
     /// Returns the addresses of processes that have restarted since the last call, and clears them.
@@ -331,7 +334,8 @@
     /// The full list, for a peer that has none or an outdated one.
     #[must_use]
     pub fn snapshot(&self, now: MonotonicTime) -> PeerDirectory {
-        let entries = self.entries.iter().map(|(id, listed)| self.told(id, listed, now)).collect();
+        let entries =
+            self.entries.iter().map(|(id, listed)| self.to_peer_entry(id, listed, now)).collect();
         PeerDirectory {
             position: self.position,
             entries,
@@ -353,14 +357,14 @@
             return self.snapshot(now);
         }
         let entries = self.entries.iter();
-        let news =
-            entries.filter(|(id, each)| each.changed > known || self.missing.contains_key(*id));
+        let recent =
+            entries.filter(|(id, listed)| listed.changed > known || self.missing.contains_key(*id));
         let removed = self.removed.iter().filter(|(_, (position, _))| *position > known);
         let removed =
             removed.map(|(id, (position, _))| PeerRemoval { position: *position, id: id.clone() });
         PeerDirectory {
             position: self.position,
-            entries: news.map(|(id, listed)| self.told(id, listed, now)).collect(),
+            entries: recent.map(|(id, listed)| self.to_peer_entry(id, listed, now)).collect(),
             removed: Some(removed.collect()),
             evacuations: self.evacuations.snapshot(),
             cold: self.cold.snapshot(now),
@@ -371,17 +375,17 @@
     /// Store position up to which a peer may omit changes. Zero if a full list is needed.
     #[must_use]
     pub fn known_to_peers(&self) -> StorePosition {
-        if self.knows_all() { self.position } else { StorePosition::default() }
+        if self.is_complete() { self.position } else { StorePosition::default() }
     }
 
     /// Whether the list is complete up to its position. While an entry is missing, or after one was
     /// removed because its time limit passed, the entry may return without a change that a peer
     /// would send.
-    fn knows_all(&self) -> bool {
-        self.missing.is_empty() && !self.gave_up
+    fn is_complete(&self) -> bool {
+        self.missing.is_empty() && !self.has_expired_missing
     }
 
-    fn told(&self, id: &str, listed: &ListedUpstream, now: MonotonicTime) -> PeerEntry {
+    fn to_peer_entry(&self, id: &str, listed: &ListedUpstream, now: MonotonicTime) -> PeerEntry {
         PeerEntry {
             written: listed.written,
             entry: listed.entry.clone(),
@@ -389,41 +393,41 @@
         }
     }
 
-    fn put(&mut self, written: StorePosition, entry: DirectoryEntry) -> bool {
+    fn upsert(&mut self, written: StorePosition, entry: DirectoryEntry) -> bool {
         if self.removed.get(&entry.id).is_some_and(|(removed, _)| *removed > written) {
             return false;
         }
-        if self.is_resurrected(written, &entry) {
+        if self.is_restored_after_removal(written, &entry) {
             return false;
         }
-        let known = self.entries.get(&entry.id);
-        if known.is_some_and(|known| known.written > written) {
+        let recorded = self.entries.get(&entry.id);
+        if recorded.is_some_and(|recorded| recorded.written > written) {
             return false;
         }
         // A write from an earlier run of the process may reach the platform after one from a later
         // run.
-        let last_life = known.map(|known| known.entry.born);
-        let last_life = last_life.max(self.removed.get(&entry.id).map(|(_, born)| *born));
-        if last_life.is_some_and(|last| entry.born < last) {
+        let last_start = recorded.map(|recorded| recorded.entry.born);
+        let last_start = last_start.max(self.removed.get(&entry.id).map(|(_, born)| *born));
+        if last_start.is_some_and(|last| entry.born < last) {
             return false;
         }
         self.missing.remove(&entry.id);
-        let known = self.entries.get(&entry.id);
-        if let Some(ended) = known.filter(|known| known.entry.born < entry.born) {
+        let recorded = self.entries.get(&entry.id);
+        if let Some(ended) = recorded.filter(|recorded| recorded.entry.born < entry.born) {
             self.restarted.push(ended.entry.address);
         }
         // A leaving process never stays after all: an entry that says so was written before its
         // notice.
-        let leaves =
-            known.is_some_and(|known| known.entry.leaving && known.entry.born == entry.born);
-        let leaves = leaves || self.told_leaving.contains_key(&entry.name());
-        let late = leaves && !entry.leaving;
-        let changed = !late && known.is_none_or(|known| known.entry != entry);
-        let last_change = known.map_or(written, |known| known.changed);
+        let is_leaving = recorded
+            .is_some_and(|recorded| recorded.entry.leaving && recorded.entry.born == entry.born);
+        let is_leaving = is_leaving || self.leaving_notices.contains_key(&entry.name());
+        let is_outdated = is_leaving && !entry.leaving;
+        let changed = !is_outdated && recorded.is_none_or(|recorded| recorded.entry != entry);
+        let last_change = recorded.map_or(written, |recorded| recorded.changed);
         if changed {
             self.changed = self.changed.max(written);
         }
-        let entry = DirectoryEntry { leaving: entry.leaving || leaves, ..entry };
+        let entry = DirectoryEntry { leaving: entry.leaving || is_leaving, ..entry };
         let last_change = if changed { written } else { last_change };
         let listed = ListedUpstream { written, changed: last_change, entry };
         self.entries.insert(listed.entry.id.clone(), listed);
@@ -432,9 +436,14 @@
 
     /// Handles an upstream that the latest list lacks. With a `grace` time, its entry is kept until
     /// then, unless the process had announced that it was leaving.
-    fn lose(&mut self, id: &str, position: StorePosition, grace: Option<MonotonicTime>) -> bool {
-        let leaving = self.entries.get(id).is_some_and(|listed| listed.entry.leaving);
-        match grace.filter(|_| !leaving) {
+    fn handle_unlisted(
+        &mut self,
+        id: &str,
+        position: StorePosition,
+        grace: Option<MonotonicTime>,
+    ) -> bool {
+        let was_leaving = self.entries.get(id).is_some_and(|listed| listed.entry.leaving);
+        match grace.filter(|_| !was_leaving) {
             Some(until) => {
                 if self.entries.contains_key(id) {
                     self.missing.entry(id.to_owned()).or_insert(until);
@@ -452,9 +461,9 @@
     /// Guards against requests to processes that left or crashed in the seconds that the store
     /// lost. The restored store lists them until their leases expire. A process that is still
     /// running renews its entry with a heartbeat, which is written after the restore.
-    fn is_resurrected(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
+    fn is_restored_after_removal(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
         self.removed.get(&entry.id).is_some_and(|(removed, born)| {
-            removed.era < written.era && written <= self.restored_at && entry.born <= *born
+            removed.era < written.era && written <= self.restore_position && entry.born <= *born
         })
     }
 
@@ -462,12 +471,12 @@
         let born = self.entries.get(id).and_then(|listed| listed.entry.born);
         let last = self.removed.get(id).and_then(|(_, born)| *born);
         self.removed.insert(id.to_owned(), (position, born.max(last)));
-        let known = self.entries.get(id).is_some_and(|listed| listed.written <= position);
-        if known {
+        let is_removed = self.entries.get(id).is_some_and(|listed| listed.written <= position);
+        if is_removed {
             self.entries.remove(id);
             self.missing.remove(id);
             self.changed = self.changed.max(position);
         }
-        known
+        is_removed
     }
 }
--- a/crates/crocusdale_core/src/routing/zone_evacuations.rs
+++ b/crates/crocusdale_core/src/routing/zone_evacuations.rs
@@ -25,7 +25,7 @@
     written: StorePosition,
     /// Time until which the zone stays evacuated although the store, restored from an older copy,
     /// lacks its item. `None` if no time limit applies.
-    lapses: Option<MonotonicTime>,
+    expires_at: Option<MonotonicTime>,
 }
 
 impl ZoneEvacuations {
@@ -43,7 +43,7 @@
     pub(super) fn snapshot(&self) -> Vec<ZoneEvacuation> {
         let zones = self.zones.iter();
         zones
-            .map(|(zone, each)| ZoneEvacuation { written: each.written, zone: zone.clone() })
+            .map(|(zone, record)| ZoneEvacuation { written: record.written, zone: zone.clone() })
             .collect()
     }
 
@@ -55,24 +55,24 @@
         listed: Vec<ZoneEvacuation>,
         grace: Option<MonotonicTime>,
     ) -> bool {
-        let is_listed = |zone: &String| listed.iter().any(|each| each.zone == *zone);
+        let is_listed = |zone: &String| listed.iter().any(|evacuation| evacuation.zone == *zone);
         let before = self.zones.len();
         self.zones.retain(|zone, record| {
-            record.lapses = record.lapses.or(grace);
-            is_listed(zone) || record.lapses.is_some()
+            record.expires_at = record.expires_at.or(grace);
+            is_listed(zone) || record.expires_at.is_some()
         });
         let mut changed = self.zones.len() != before;
         for ZoneEvacuation { written, zone } in listed {
-            let record = EvacuationRecord { written, lapses: None };
+            let record = EvacuationRecord { written, expires_at: None };
             changed |= self.zones.insert(zone, record).is_none();
         }
         changed
     }
 
     /// Ends the evacuations whose time limit has passed by `now`. Returns whether there were any.
-    pub(super) fn drop_lapsed(&mut self, now: MonotonicTime) -> bool {
+    pub(super) fn remove_expired(&mut self, now: MonotonicTime) -> bool {
         let before = self.zones.len();
-        self.zones.retain(|_, record| record.lapses.is_none_or(|lapses| now < lapses));
+        self.zones.retain(|_, record| record.expires_at.is_none_or(|expires_at| now < expires_at));
         self.zones.len() != before
     }
 }
