--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -2,17 +2,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::SubjectTally;
+use super::PrefixCounter;
 use crate::configuration::HomeRegions;
 use crate::identity::{CallId, MonotonicTime, RequestDigest};
 use crate::pipeline::EngineDemand;
 use crate::retry::RetryBudget;
 
 /// Maximum number of attempts in the queue of one pool.
-const WAITING_LIMIT: usize = 8_192;
+const MAX_WAITING_ATTEMPTS: usize = 8_192;
 
 /// Weight of the newest sample in an exponential moving average.
-const LEARNING_WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// An attempt that needs an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,43 +40,44 @@
 /// Queue of the attempts that wait for one pool, most urgent first, with the pool's latency
 /// statistics.
 #[derive(Debug, Default)]
-pub struct StagePool {
+pub struct AttemptQueue {
     waiting: BTreeMap<(u8, MonotonicTime, u64), SlotRequest>,
-    arrivals: u64,
+    arrival_count: u64,
     /// Moving average of the answer time. `None` before the first answer.
-    learned: Option<Duration>,
+    mean_answer_time: Option<Duration>,
     /// Moving average of the time between two answers while attempts are queued. Each queued
     /// attempt adds this to the wait of those behind it.
-    pace: Option<Duration>,
+    mean_answer_interval: Option<Duration>,
     last_answer: Option<MonotonicTime>,
     /// Budget for retries in the pool.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Recent requests per prompt prefix, counted only for pools of model engines.
-    pub subjects: SubjectTally,
+    pub prefixes: PrefixCounter,
 }
 
-impl StagePool {
+impl AttemptQueue {
     /// Number of queued attempts.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
     /// Adds `request` to the queue. Returns `false` if the queue is full.
-    pub fn wait(&mut self, request: SlotRequest) -> bool {
-        if self.waiting.len() >= WAITING_LIMIT {
+    pub fn push(&mut self, request: SlotRequest) -> bool {
+        if self.waiting.len() >= MAX_WAITING_ATTEMPTS {
             return false;
         }
-        self.arrivals += 1;
-        self.waiting.insert((request.level, request.deadline, self.arrivals), request);
+        self.arrival_count += 1;
+        self.waiting.insert((request.level, request.deadline, self.arrival_count), request);
         true
     }
 
     /// Records an answer that took `time`.
-    pub fn learn(&mut self, time: Duration, now: MonotonicTime) {
-        self.learned = Some(mix(self.learned, time));
+    pub fn record_answer(&mut self, time: Duration, now: MonotonicTime) {
+        self.mean_answer_time = Some(moving_average(self.mean_answer_time, time));
         if let Some(last) = self.last_answer.filter(|_| !self.waiting.is_empty()) {
-            self.pace = Some(mix(self.pace, now.since(last)));
+            self.mean_answer_interval =
+                Some(moving_average(self.mean_answer_interval, now.since(last)));
         }
         self.last_answer = Some(now);
     }
@@ -84,56 +85,56 @@
     /// Expected time that a new attempt with priority `level` needs. Includes the wait behind
     /// queued attempts of the same and of more urgent levels.
     #[must_use]
-    pub fn expected_time(&self, level: u8) -> Duration {
-        let before = self.waiting.range(..(level.saturating_add(1), MonotonicTime::default(), 0));
-        let waiting = u32::try_from(before.count()).unwrap_or(u32::MAX);
-        let wait = self.pace.unwrap_or_default().saturating_mul(waiting);
-        self.learned.unwrap_or_default() + wait
+    pub fn expected_wait(&self, level: u8) -> Duration {
+        let ahead = self.waiting.range(..(level.saturating_add(1), MonotonicTime::default(), 0));
+        let waiting = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
+        let wait = self.mean_answer_interval.unwrap_or_default().saturating_mul(waiting);
+        self.mean_answer_time.unwrap_or_default() + wait
     }
 
     /// Removes and returns the most urgent attempt that has not failed at `upstream` and may be
     /// processed in its `region`.
-    pub fn next_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
-        let mut urgent = self.waiting.iter();
-        let rank = urgent.find(|(_, request)| {
+    pub fn pop_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
+        let mut candidates = self.waiting.iter();
+        let key = candidates.find(|(_, request)| {
             request.tried.iter().all(|tried| tried != upstream) && request.homes.allow(region)
         });
-        let rank = *rank?.0;
-        self.waiting.remove(&rank)
+        let key = *key?.0;
+        self.waiting.remove(&key)
     }
 
     /// Removes the attempts that get none of `slots` before their deadline. The slots are ascending
     /// times after `from`, with `None` once there are no more.
     pub fn take_unservable(
         &mut self,
-        mut places: impl Iterator<Item = Option<Duration>>,
+        mut slots: impl Iterator<Item = Option<Duration>>,
         from: MonotonicTime,
     ) -> Vec<SlotRequest> {
-        let mut place = places.next().flatten();
+        let mut slot = slots.next().flatten();
         let mut unservable = Vec::new();
-        for (rank, request) in &self.waiting {
-            if place.is_some_and(|time| from + time < request.deadline) {
-                place = places.next().flatten();
+        for (key, request) in &self.waiting {
+            if slot.is_some_and(|time| from + time < request.deadline) {
+                slot = slots.next().flatten();
             } else {
-                unservable.push(*rank);
+                unservable.push(*key);
             }
         }
-        unservable.iter().filter_map(|rank| self.waiting.remove(rank)).collect()
+        unservable.iter().filter_map(|key| self.waiting.remove(key)).collect()
     }
 
     /// Removes all queued attempts of `call`.
-    pub fn withdraw(&mut self, call: CallId, level: u8, deadline: MonotonicTime) {
+    pub fn remove_call(&mut self, call: CallId, level: u8, deadline: MonotonicTime) {
         let range = (level, deadline, 0)..=(level, deadline, u64::MAX);
-        let ranks: Vec<_> =
-            self.waiting.range(range).filter(|(_, each)| each.call == call).collect();
-        let ranks: Vec<_> = ranks.into_iter().map(|(rank, _)| *rank).collect();
-        for rank in ranks {
-            self.waiting.remove(&rank);
+        let keys: Vec<_> =
+            self.waiting.range(range).filter(|(_, request)| request.call == call).collect();
+        let keys: Vec<_> = keys.into_iter().map(|(key, _)| *key).collect();
+        for key in keys {
+            self.waiting.remove(&key);
         }
     }
 }
 
-fn mix(learned: Option<Duration>, newest: Duration) -> Duration {
-    let learned = learned.unwrap_or(newest).as_secs_f64();
-    Duration::from_secs_f64(learned + LEARNING_WEIGHT * (newest.as_secs_f64() - learned))
+fn moving_average(average: Option<Duration>, newest: Duration) -> Duration {
+    let average = average.unwrap_or(newest).as_secs_f64();
+    Duration::from_secs_f64(average + SAMPLE_WEIGHT * (newest.as_secs_f64() - average))
 }
--- a/crates/crocusdale_core/src/routing/cold_limit.rs
+++ b/crates/crocusdale_core/src/routing/cold_limit.rs
@@ -11,7 +11,7 @@
 /// requests. A request is written up to [`CONNECT_PATIENCE`] after its upstream was chosen. The
 /// window is longer than a second by that time, so that requests in different windows are written
 /// more than a second apart.
-pub const SHARE_WINDOW: Duration =
+pub const SEND_WINDOW: Duration =
     Duration::from_millis(1_000 + CONNECT_PATIENCE.as_millis() as u64);
 
 /// Tolerance for the load on a cold upstream, above the rate that its pool declares for cold
@@ -46,7 +46,7 @@
     /// Guards against overloading an upstream that has just started. It has the least load, so that
     /// every daemon would choose it at the same time, and it would crash. An upstream that is cold,
     /// or may be, gets no more than the sum of the daemons' shares.
-    pub(super) fn is_within_share(
+    pub(super) fn is_within_cold_limit(
         &self,
         routed: &RoutedPool,
         position: usize,
@@ -58,14 +58,14 @@
             return true;
         }
         let limit = self.cold_limits.requests(cold.requests_per_s);
-        let allowed = self.limiter.share_of(state.hash(), limit);
-        state.sent_since(now, SHARE_WINDOW) < allowed as usize
+        let share = self.limiter.share_of(state.hash(), limit);
+        state.recent_send_count(now, SEND_WINDOW) < share as usize
     }
 
     /// Records a request to an upstream, if its pool has cold starts.
-    pub(super) fn count_send(routed: &RoutedPool, state: &mut UpstreamState, now: MonotonicTime) {
+    pub(super) fn record_send(routed: &RoutedPool, state: &mut UpstreamState, now: MonotonicTime) {
         if routed.cold.is_some() {
-            state.note_send(now, SHARE_WINDOW);
+            state.record_send(now, SEND_WINDOW);
         }
     }
 }
--- a/crates/crocusdale_core/src/routing/engine_choice.rs
+++ b/crates/crocusdale_core/src/routing/engine_choice.rs
@@ -12,34 +12,34 @@
 /// Prompt tokens by which this daemon's backlog at an engine may exceed the smallest backlog in the
 /// pool. Above this, the engine with the next rank is used. The value equals about two large
 /// prompts that are still to be processed.
-const BACKLOG_BOUND: u64 = 20_000;
+const MAX_EXTRA_BACKLOG_TOKENS: u64 = 20_000;
 /// Weight of the pool-wide average in an estimate for one engine, in requests of this daemon. With
 /// few requests at an engine, their number says little about the load from other daemons.
-const PRIOR_WEIGHT: f64 = 4.0;
+const MEAN_WEIGHT_REQUESTS: f64 = 4.0;
 /// Fraction of an engine's free slots that requests with one prompt prefix may fill. The rest
 /// absorbs uneven arrivals.
-const SUBJECT_SHARE: f64 = 0.5;
+const PREFIX_SLOT_FRACTION: f64 = 0.5;
 
 /// Estimated load that all daemons together put on the engines of a pool.
 #[derive(Clone, Copy, Debug)]
-struct FleetGuess {
+struct FleetLoad {
     /// Number of other daemons that send work to the engines.
-    others: f64,
+    other_daemons: f64,
     /// Average number of this daemon's requests in flight at one engine.
-    own_mean: f64,
+    mean_in_flight: f64,
     /// Average number of tokens that one request of this daemon holds in engine memory.
-    tokens: f64,
+    mean_tokens: f64,
 }
 
-impl FleetGuess {
+impl FleetLoad {
     fn new(daemons: usize, candidates: &[EngineCandidate]) -> Self {
         let engines = candidates.len().max(1) as f64;
-        let own: u64 = candidates.iter().map(|each| each.in_flight).sum();
-        let held: u64 = candidates.iter().map(|each| each.held).sum();
+        let own: u64 = candidates.iter().map(|candidate| candidate.in_flight).sum();
+        let held: u64 = candidates.iter().map(|candidate| candidate.held_tokens).sum();
         Self {
-            others: daemons.saturating_sub(1) as f64,
-            own_mean: own as f64 / engines,
-            tokens: held as f64 / own.max(1) as f64,
+            other_daemons: daemons.saturating_sub(1) as f64,
+            mean_in_flight: own as f64 / engines,
+            mean_tokens: held as f64 / own.max(1) as f64,
         }
     }
 
@@ -50,20 +50,21 @@
     /// request of one daemon among eighty would count as eighty requests, and every engine would
     /// seem full. The estimate therefore includes the average over all engines, with more weight
     /// the smaller the sample is.
-    fn others_at(&self, own: u64) -> f64 {
-        let mean = self.own_mean;
-        let each = mean * (PRIOR_WEIGHT + own as f64) / (PRIOR_WEIGHT + mean);
-        self.others * each
+    fn other_requests_at(&self, own: u64) -> f64 {
+        let mean_requests = self.mean_in_flight;
+        let per_daemon = mean_requests * (MEAN_WEIGHT_REQUESTS + own as f64)
+            / (MEAN_WEIGHT_REQUESTS + mean_requests);
+        self.other_daemons * per_daemon
     }
 
     /// Number of engines over which to spread the requests with one prompt prefix, which make up
     /// the fraction `traffic_share` of all requests. Between 1 and `engines`.
-    fn copies(&self, part: f64, slots: u32, engines: usize) -> usize {
-        let at_each = (self.others + 1.0) * self.own_mean;
-        let about_it = at_each * engines as f64 * part;
-        let free = f64::from(slots) - at_each * (1.0 - part);
-        let copies = (about_it / (free.max(1.0) * SUBJECT_SHARE)).ceil();
-        (copies as usize).clamp(1, engines)
+    fn replica_count(&self, traffic_share: f64, slots: u32, engines: usize) -> usize {
+        let requests_per_engine = (self.other_daemons + 1.0) * self.mean_in_flight;
+        let prefix_requests = requests_per_engine * engines as f64 * traffic_share;
+        let free_slots = f64::from(slots) - requests_per_engine * (1.0 - traffic_share);
+        let replicas = (prefix_requests / (free_slots.max(1.0) * PREFIX_SLOT_FRACTION)).ceil();
+        (replicas as usize).clamp(1, engines)
     }
 }
 
@@ -75,11 +76,11 @@
     /// preferred.
     rank: u64,
     /// Work of this daemon that is queued at the engine, in prompt tokens.
-    backlog: u64,
+    backlog_tokens: u64,
     /// Prompt tokens of the request that the engine's cache is not expected to hold.
-    unread: u64,
+    uncached_tokens: u64,
     /// Tokens that requests of this daemon hold in the engine's memory.
-    held: u64,
+    held_tokens: u64,
     /// Requests of this daemon in flight at the engine.
     in_flight: u64,
 }
@@ -103,25 +104,30 @@
         now: MonotonicTime,
     ) -> Option<usize> {
         let mut candidates = self.engine_candidates(routed, demand, request, now);
-        candidates.sort_unstable_by_key(|each| std::cmp::Reverse(each.rank));
-        let least = candidates.iter().map(|each| each.backlog).min()?;
-        let guess = FleetGuess::new(self.daemons.load(Ordering::Relaxed), &candidates);
-        let part =
-            demand.subject().map_or(0.0, |subject| lock(&routed.pool).subjects.part_of(subject.id));
-        let copies = guess.copies(part, rules.slots, candidates.len());
-        candidates[..copies].rotate_left(self.spread % copies);
+        candidates.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
+        let min_backlog = candidates.iter().map(|candidate| candidate.backlog_tokens).min()?;
+        let fleet_load = FleetLoad::new(self.daemons.load(Ordering::Relaxed), &candidates);
+        let traffic_share = demand
+            .subject()
+            .map_or(0.0, |prefix| lock(&routed.queue).prefixes.traffic_share(prefix.id));
+        let replicas = fleet_load.replica_count(traffic_share, rules.slots, candidates.len());
+        candidates[..replicas].rotate_left(self.replica_offset % replicas);
         let new_tokens = (demand.prompt_tokens + demand.output_tokens) as f64;
-        let is_bounded = |each: &&EngineCandidate| {
-            let others = guess.others_at(each.in_flight);
-            let running = each.in_flight as f64 + others;
-            let held = each.held as f64 + others * guess.tokens;
-            each.backlog <= least + BACKLOG_BOUND
+        let has_capacity = |candidate: &&EngineCandidate| {
+            let others = fleet_load.other_requests_at(candidate.in_flight);
+            let running = candidate.in_flight as f64 + others;
+            let held = candidate.held_tokens as f64 + others * fleet_load.mean_tokens;
+            candidate.backlog_tokens <= min_backlog + MAX_EXTRA_BACKLOG_TOKENS
                 && running + 1.0 <= f64::from(rules.slots)
                 && held + new_tokens <= rules.token_memory as f64
         };
-        let ranked = candidates.iter().find(is_bounded);
-        let cheapest = || candidates.iter().min_by_key(|each| each.unread + each.backlog);
-        ranked.or_else(cheapest).map(|each| each.position)
+        let preferred = candidates.iter().find(has_capacity);
+        let cheapest = || {
+            candidates
+                .iter()
+                .min_by_key(|candidate| candidate.uncached_tokens + candidate.backlog_tokens)
+        };
+        preferred.or_else(cheapest).map(|candidate| candidate.position)
     }
 
     /// Availability zone of the engine that the request would be sent to now. `None` if its stage
@@ -141,29 +147,29 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> Vec<EngineCandidate> {
-        let subject = demand.subject().map(|part| part.id.to_string()).unwrap_or_default();
-        let candidate = |position: usize| {
+        let prefix_id = demand.subject().map(|part| part.id.to_string()).unwrap_or_default();
+        let to_candidate = |position: usize| {
             let upstream = &self.upstreams[position];
             let state = lock(&upstream.state);
             let engine = state.engine.as_ref()?;
             Some(EngineCandidate {
                 position,
-                rank: stable_hash(&[&subject, &upstream.rules.name]),
-                backlog: engine.backlog(),
-                unread: engine.unread_of(demand, now),
-                held: engine.held_tokens(),
+                rank: stable_hash(&[&prefix_id, &upstream.rules.name]),
+                backlog_tokens: engine.backlog_tokens(),
+                uncached_tokens: engine.uncached_tokens(demand, now),
+                held_tokens: engine.held_tokens(),
                 in_flight: u64::from(state.in_flight()),
             })
         };
-        let all: Vec<usize> = routed.near.iter().chain(&routed.far).copied().collect();
-        let usable = |healthy| {
+        let all: Vec<usize> = routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
+        let usable_candidates = |require_healthy| {
             let positions = all.iter().copied();
-            let open = move |position: &usize| {
-                self.cost_if_usable(routed, *position, request, healthy, now).is_some()
+            let is_usable = move |position: &usize| {
+                self.cost_if_usable(routed, *position, request, require_healthy, now).is_some()
             };
-            positions.filter(open).filter_map(candidate).collect::<Vec<_>>()
+            positions.filter(is_usable).filter_map(to_candidate).collect::<Vec<_>>()
         };
-        let healthy = usable(true);
-        if healthy.is_empty() { usable(false) } else { healthy }
+        let healthy = usable_candidates(true);
+        if healthy.is_empty() { usable_candidates(false) } else { healthy }
     }
 }
--- a/crates/crocusdale_core/src/routing/mod.rs
+++ b/crates/crocusdale_core/src/routing/mod.rs
@@ -1,14 +1,14 @@
 //! Chooses the upstream for each attempt.
 
+mod attempt_queue;
 mod cold_limit;
 mod cold_upstreams;
 mod engine_choice;
 mod engine_load;
 mod peer_directory;
-mod pool_wait;
+mod pool_availability;
+mod prefix_counter;
 mod router_update;
-mod stage_pool;
-mod subject_tally;
 mod upstream_choice;
 mod upstream_directory;
 mod upstream_notice;
@@ -16,12 +16,12 @@
 mod upstream_state;
 mod zone_evacuations;
 
-pub use cold_limit::{ColdLimits, SHARE_WINDOW};
+pub use attempt_queue::{AttemptQueue, SlotRequest};
+pub use cold_limit::{ColdLimits, SEND_WINDOW};
 pub use cold_upstreams::ColdUpstream;
 pub use engine_load::EngineLoad;
 pub use peer_directory::{ListAge, PeerDirectory, PeerEntry, PeerRemoval};
-pub use stage_pool::{SlotRequest, StagePool};
-pub use subject_tally::SubjectTally;
+pub use prefix_counter::PrefixCounter;
 pub(crate) use upstream_directory::RESTORE_GRACE;
 pub use upstream_directory::{DirectoryEntry, UpstreamDirectory};
 pub use upstream_notice::UpstreamNotice;
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -13,21 +13,21 @@
 
 /// Time before its deadline at which a request must reach an upstream. Covers the interval between
 /// two checks of the queue and a short answer.
-const PLACE_MARGIN: Duration = Duration::from_millis(250);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(250);
 
 /// When the upstreams of a pool accept requests of this daemon.
 #[derive(Clone, Debug)]
-pub(super) enum PoolOpening {
+pub(super) enum PoolAvailability {
     /// An upstream accepts requests as soon as a slot is free. The time of that is unknown.
-    Open,
+    Available,
     /// At the times of the schedule. Every upstream limits its request rate or has asked this
     /// daemon to back off.
     Scheduled(TokenSchedule),
     /// Not at all: other daemons hold all shares of the upstreams' request rates. The duration is
     /// the shortest interval between two requests of all daemons to one of the upstreams.
-    Elsewhere(Duration),
+    NoShare(Duration),
     /// Never: no upstream can be used.
-    Never,
+    NoUpstream,
 }
 
 /// Ascending times from now at which the pool's upstreams accept one more request of this daemon.
@@ -35,12 +35,12 @@
 pub(super) struct TokenSchedule {
     /// For each upstream, its next time and the interval between two requests. The earliest comes
     /// first.
-    next: BinaryHeap<Reverse<(Duration, Duration)>>,
+    next_times: BinaryHeap<Reverse<(Duration, Duration)>>,
 }
 
 impl TokenSchedule {
     fn add(&mut self, first: Duration, interval: Duration) {
-        self.next.push(Reverse((first, interval)));
+        self.next_times.push(Reverse((first, interval)));
     }
 }
 
@@ -48,21 +48,21 @@
     type Item = Duration;
 
     fn next(&mut self) -> Option<Duration> {
-        let mut earliest = self.next.peek_mut()?;
+        let mut earliest = self.next_times.peek_mut()?;
         let Reverse((time, interval)) = *earliest;
         *earliest = Reverse((time + interval, interval));
         Some(time)
     }
 }
 
-impl PoolOpening {
+impl PoolAvailability {
     /// Time until an upstream accepts a request behind `queued` others, or the time after which a
     /// caller should retry. `None` if the time is unknown.
-    fn wait(self, waiting: usize) -> Option<Duration> {
+    fn wait_behind(self, queued: usize) -> Option<Duration> {
         match self {
-            Self::Open | Self::Never => None,
-            Self::Scheduled(mut schedule) => schedule.nth(waiting),
-            Self::Elsewhere(wait) => Some(wait),
+            Self::Available | Self::NoUpstream => None,
+            Self::Scheduled(mut schedule) => schedule.nth(queued),
+            Self::NoShare(wait) => Some(wait),
         }
     }
 }
@@ -81,7 +81,9 @@
         let upstream = &self.upstreams[position].rules.name;
         match self.limiter.wait(upstream, RateUse::Shared, now) {
             TokenWait::Unlimited => true,
-            TokenWait::For { wait, .. } => wait.is_zero() && lock(&routed.pool).waiting() == 0,
+            TokenWait::For { wait, .. } => {
+                wait.is_zero() && lock(&routed.queue).waiting_count() == 0
+            }
             TokenWait::NoShare { .. } => false,
         }
     }
@@ -91,8 +93,8 @@
     #[must_use]
     pub fn away_for(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
-        let opening = self.opening(routed, &request.homes, &request.tried, now);
-        opening.wait(lock(&routed.pool).waiting()).filter(|wait| !wait.is_zero())
+        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
     }
 
     /// Whether any upstream of the pool is expected to accept `request` before its deadline.
@@ -102,13 +104,13 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> bool {
-        let opening = self.opening(routed, &request.homes, &request.tried, now);
-        match opening {
-            PoolOpening::Open => true,
-            PoolOpening::Elsewhere(_) | PoolOpening::Never => false,
-            scheduled @ PoolOpening::Scheduled(_) => {
-                let wait = scheduled.wait(lock(&routed.pool).waiting());
-                wait.is_some_and(|wait| now + wait + PLACE_MARGIN < request.deadline)
+        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        match availability {
+            PoolAvailability::Available => true,
+            PoolAvailability::NoShare(_) | PoolAvailability::NoUpstream => false,
+            scheduled @ PoolAvailability::Scheduled(_) => {
+                let wait = scheduled.wait_behind(lock(&routed.queue).waiting_count());
+                wait.is_some_and(|wait| now + wait + DEADLINE_MARGIN < request.deadline)
             }
         }
     }
@@ -127,10 +129,10 @@
             return None;
         }
         let routed = self.pools.get(stage)?;
-        let opening = self.opening(routed, homes, &[], now);
-        let is_elsewhere = matches!(opening, PoolOpening::Elsewhere(_));
-        let wait = opening.wait(lock(&routed.pool).waiting())?;
-        (is_elsewhere || now + wait + PLACE_MARGIN >= deadline).then_some(wait)
+        let availability = self.availability(routed, homes, &[], now);
+        let has_no_share = matches!(availability, PoolAvailability::NoShare(_));
+        let wait = availability.wait_behind(lock(&routed.queue).waiting_count())?;
+        (has_no_share || now + wait + DEADLINE_MARGIN >= deadline).then_some(wait)
     }
 
     /// Removes queued attempts that can't be sent before their deadline, each with the time after
@@ -142,60 +144,60 @@
         if !self.limiter.has_limits() {
             return taken;
         }
-        for routed in self.pools.values().filter(|routed| lock(&routed.pool).waiting() > 0) {
-            let opening = self.opening(routed, &HomeRegions::default(), &[], now);
-            let places: Box<dyn Iterator<Item = Option<Duration>>> = match opening {
-                PoolOpening::Open | PoolOpening::Never => continue,
-                PoolOpening::Scheduled(schedule) => Box::new(schedule.map(Some)),
-                PoolOpening::Elsewhere(_) => Box::new(std::iter::repeat(None)),
+        for routed in self.pools.values().filter(|routed| lock(&routed.queue).waiting_count() > 0) {
+            let availability = self.availability(routed, &HomeRegions::default(), &[], now);
+            let slots: Box<dyn Iterator<Item = Option<Duration>>> = match availability {
+                PoolAvailability::Available | PoolAvailability::NoUpstream => continue,
+                PoolAvailability::Scheduled(schedule) => Box::new(schedule.map(Some)),
+                PoolAvailability::NoShare(_) => Box::new(std::iter::repeat(None)),
             };
-            let unservable = lock(&routed.pool).take_unservable(places, now + PLACE_MARGIN);
-            let back = |request: SlotRequest| {
-                let after = self.away_for(&request, now).unwrap_or_default();
-                (request, after)
+            let unservable = lock(&routed.queue).take_unservable(slots, now + DEADLINE_MARGIN);
+            let with_retry_after = |request: SlotRequest| {
+                let retry_after = self.away_for(&request, now).unwrap_or_default();
+                (request, retry_after)
             };
-            taken.extend(unservable.into_iter().map(back));
+            taken.extend(unservable.into_iter().map(with_retry_after));
         }
         taken
     }
 
-    fn opening(
+    fn availability(
         &self,
         routed: &RoutedPool,
         homes: &HomeRegions,
         tried: &[String],
         now: MonotonicTime,
-    ) -> PoolOpening {
-        let (mut schedule, mut elsewhere) = (TokenSchedule::default(), None::<Duration>);
-        for position in routed.near.iter().chain(&routed.far).copied() {
+    ) -> PoolAvailability {
+        let (mut schedule, mut no_share) = (TokenSchedule::default(), None::<Duration>);
+        for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
             let upstream = &self.upstreams[position];
             let name = &upstream.rules.name;
             if tried.contains(name) || !homes.allow(self.region_of(position)) {
                 continue;
             }
-            let away = {
+            let backoff = {
                 let state = lock(&upstream.state);
                 if state.is_leaving() {
                     continue;
                 }
-                state.away_for(now)
+                state.backoff_left(now)
             };
             match self.limiter.wait(name, RateUse::Shared, now) {
-                TokenWait::Unlimited if away.is_zero() => return PoolOpening::Open,
+                TokenWait::Unlimited if backoff.is_zero() => return PoolAvailability::Available,
                 // After its backoff, an upstream without a rate limit accepts all queued requests
                 // at once.
-                TokenWait::Unlimited => schedule.add(away, Duration::ZERO),
-                TokenWait::For { wait, interval } => schedule.add(away.max(wait), interval),
+                TokenWait::Unlimited => schedule.add(backoff, Duration::ZERO),
+                TokenWait::For { wait, interval } => schedule.add(backoff.max(wait), interval),
                 TokenWait::NoShare { interval } => {
-                    let next = away.max(interval);
-                    elsewhere = Some(elsewhere.map_or(next, |known| known.min(next)));
+                    let interval = backoff.max(interval);
+                    no_share = Some(no_share.map_or(interval, |shortest| shortest.min(interval)));
                 }
             }
         }
-        match elsewhere {
-            _ if !schedule.next.is_empty() => PoolOpening::Scheduled(schedule),
-            Some(wait) => PoolOpening::Elsewhere(wait),
-            None => PoolOpening::Never,
+        match no_share {
+            _ if !schedule.next_times.is_empty() => PoolAvailability::Scheduled(schedule),
+            Some(wait) => PoolAvailability::NoShare(wait),
+            None => PoolAvailability::NoUpstream,
         }
     }
 }
--- a/crates/crocusdale_core/src/routing/router_update.rs
+++ b/crates/crocusdale_core/src/routing/router_update.rs
@@ -6,7 +6,7 @@
 use rand::Rng as _;
 
 use super::upstream_router::{RoutedPool, RoutedUpstream};
-use super::{EngineLoad, StagePool, UpstreamDirectory, UpstreamRouter, UpstreamState};
+use super::{AttemptQueue, EngineLoad, UpstreamDirectory, UpstreamRouter, UpstreamState};
 use crate::configuration::{
     Declarations, LabelSet, PoolKind, StageRules, UpstreamKind, UpstreamRules,
 };
@@ -27,17 +27,17 @@
         let router = Self::new(&self.zone, seed).retries(self.retries);
         let mut router = router.cold_limits(self.cold_limits).regions(self.regions.clone());
         router = router.limiter(Arc::clone(&self.limiter));
-        router.spread = self.spread;
+        router.replica_offset = self.replica_offset;
         router.policy = declarations.deployment().policy;
         router.daemons = AtomicUsize::new(self.daemons.load(Ordering::Relaxed));
-        router.held = AtomicBool::new(self.is_held());
-        router.has_list = directory.is_known();
+        router.is_suspended = AtomicBool::new(self.is_suspended());
+        router.has_known_list = directory.is_known();
         for rules in declarations.upstreams() {
             router.add_upstream(rules, self.known_state(rules));
         }
         for (stage, rules) in declarations.stages() {
             let mut pool = rules.pool.clone();
-            for rules in published(stage, rules, directory) {
+            for rules in published_rules(stage, rules, directory) {
                 pool.push(router.upstreams.len());
                 let state = self.published_state(&rules, directory, now);
                 router.add_upstream(&rules, Some(state));
@@ -62,24 +62,25 @@
                 lock(&upstream.state).engine.get_or_insert_with(EngineLoad::default);
             }
         }
-        let is_near = |position: &usize| router.upstreams[*position].rules.zone == self.zone;
-        let (near, far) = pool.iter().copied().partition(is_near);
-        let fresh = || {
-            let mut pool = StagePool::default();
-            pool.budget = self.retries.budget(self.daemons.load(Ordering::Relaxed));
-            Arc::new(Mutex::new(pool))
+        let is_in_same_zone =
+            |position: &usize| router.upstreams[*position].rules.zone == self.zone;
+        let (same_zone, other_zones) = pool.iter().copied().partition(is_in_same_zone);
+        let new_queue = || {
+            let mut queue = AttemptQueue::default();
+            queue.retry_budget = self.retries.budget(self.daemons.load(Ordering::Relaxed));
+            Arc::new(Mutex::new(queue))
         };
-        let known = self.pools.get(stage).map(|known| Arc::clone(&known.pool));
-        let pool = known.unwrap_or_else(fresh);
+        let known_queue = self.pools.get(stage).map(|known| Arc::clone(&known.queue));
+        let queue = known_queue.unwrap_or_else(new_queue);
         router.pools.insert(
             stage.to_owned(),
             RoutedPool {
-                near,
-                far,
+                same_zone,
+                other_zones,
                 engine,
                 cold: rules.cold,
                 connections: rules.connections,
-                pool,
+                queue,
             },
         );
     }
@@ -93,22 +94,22 @@
         now: MonotonicTime,
     ) -> Arc<Mutex<UpstreamState>> {
         let known = self.known_state(rules);
-        let is_new = self.has_list && known.is_none();
-        let fresh = || Arc::new(Mutex::new(UpstreamState::new(&rules.name, rules.concurrency)));
-        let shared = known.unwrap_or_else(fresh);
+        let is_recently_added = self.has_known_list && known.is_none();
+        let new_state = || Arc::new(Mutex::new(UpstreamState::new(&rules.name, rules.concurrency)));
+        let state = known.unwrap_or_else(new_state);
         {
-            let mut state = lock(&shared);
-            state.set_cold_until(directory.cold_until(&rules.name));
-            if is_new {
-                state.set_added(now);
+            let mut locked = lock(&state);
+            locked.set_cold_until(directory.cold_until(&rules.name));
+            if is_recently_added {
+                locked.set_possible_start(now);
             }
         }
-        shared
+        state
     }
 
     fn add_upstream(&mut self, rules: &UpstreamRules, state: Option<Arc<Mutex<UpstreamState>>>) {
-        let fresh = || Arc::new(Mutex::new(UpstreamState::new(&rules.name, rules.concurrency)));
-        let state = state.unwrap_or_else(fresh);
+        let new_state = || Arc::new(Mutex::new(UpstreamState::new(&rules.name, rules.concurrency)));
+        let state = state.unwrap_or_else(new_state);
         lock(&state).set_limit(rules.concurrency);
         self.positions.insert(rules.name.clone(), self.upstreams.len());
         self.upstreams.push(RoutedUpstream { rules: rules.clone(), state, pools: Vec::new() });
@@ -123,7 +124,7 @@
 
 /// Rules for those published upstreams of the pool `stage` that may get new work. Attempts that run
 /// at the other upstreams continue.
-fn published<'a>(
+fn published_rules<'a>(
     stage: &'a str,
     rules: &'a StageRules,
     directory: &'a UpstreamDirectory,
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -12,7 +12,7 @@
 use crate::sync::lock;
 
 /// Number of upstreams that are sampled at random before a whole list is searched.
-const SAMPLES: usize = 2;
+const SAMPLE_SIZE: usize = 2;
 
 impl UpstreamRouter {
     /// Chooses the cheapest usable upstream. Samples the daemon's own availability zone, searches
@@ -26,48 +26,53 @@
         now: MonotonicTime,
     ) -> Option<usize> {
         if self.policy == RoutingPolicy::Baseline {
-            return self.next_in_turn(routed, request, now);
+            return self.next_round_robin(routed, request, now);
         }
         if let (Some(rules), Some(demand)) = (&routed.engine, &request.demand) {
             return self.choose_engine(routed, rules, demand, request, now);
         }
         let healthy = |position: usize| self.cost_if_usable(routed, position, request, true, now);
-        let any = |position: usize| self.cost_if_usable(routed, position, request, false, now);
-        self.best_of(&self.sample(&routed.near), healthy)
-            .or_else(|| self.best_of(&routed.near, healthy))
-            .or_else(|| self.best_of(&self.sample(&routed.far), healthy))
-            .or_else(|| self.best_of(&routed.far, healthy))
+        let any_state =
+            |position: usize| self.cost_if_usable(routed, position, request, false, now);
+        self.cheapest_of(&self.sample(&routed.same_zone), healthy)
+            .or_else(|| self.cheapest_of(&routed.same_zone, healthy))
+            .or_else(|| self.cheapest_of(&self.sample(&routed.other_zones), healthy))
+            .or_else(|| self.cheapest_of(&routed.other_zones, healthy))
             .or_else(|| {
-                let all: Vec<usize> = routed.near.iter().chain(&routed.far).copied().collect();
-                let ejected = all.iter().all(|position| {
+                let all: Vec<usize> =
+                    routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
+                let is_exhausted = all.iter().all(|position| {
                     lock(&self.upstreams[*position].state).is_ejected(now)
                         || lock(&self.upstreams[*position].state).is_leaving()
-                        || !lock(&self.upstreams[*position].state).away_for(now).is_zero()
+                        || !lock(&self.upstreams[*position].state).backoff_left(now).is_zero()
                 });
-                if ejected { self.best_of(&all, any) } else { None }
+                if is_exhausted { self.cheapest_of(&all, any_state) } else { None }
             })
     }
 
     /// Round-robin choice, used by the baseline policy. Skips upstreams that are leaving, that
     /// asked to back off, that are over their request rate or that are in a region that the request
     /// doesn't allow. Ignores failures and load.
-    fn next_in_turn(
+    fn next_round_robin(
         &self,
         routed: &RoutedPool,
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> Option<usize> {
-        let all: Vec<usize> = routed.near.iter().chain(&routed.far).copied().collect();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let mut from_turn = all.iter().cycle().skip(turn % all.len().max(1)).take(all.len());
-        let usable = |position: &&usize| {
+        let all: Vec<usize> = routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
+        let start = self.round_robin_index.fetch_add(1, Ordering::Relaxed);
+        let mut from_start = all.iter().cycle().skip(start % all.len().max(1)).take(all.len());
+        let is_usable = |position: &&usize| {
             let state = lock(&self.upstreams[**position].state);
-            let allowed = request.homes.allow(self.region_of(**position));
-            let within_rate =
+            let is_region_allowed = request.homes.allow(self.region_of(**position));
+            let is_within_quota =
                 self.limiter.allows(&self.upstreams[**position].rules.name, RateUse::Shared, now);
-            allowed && within_rate && !state.is_leaving() && state.away_for(now).is_zero()
+            is_region_allowed
+                && is_within_quota
+                && !state.is_leaving()
+                && state.backoff_left(now).is_zero()
         };
-        from_turn.find(usable).copied()
+        from_start.find(is_usable).copied()
     }
 
     fn sample(&self, positions: &[usize]) -> Vec<usize> {
@@ -75,10 +80,14 @@
             return Vec::new();
         }
         let mut random = lock(&self.random);
-        (0..SAMPLES).map(|_| positions[random.random_range(0..positions.len())]).collect()
+        (0..SAMPLE_SIZE).map(|_| positions[random.random_range(0..positions.len())]).collect()
     }
 
-    fn best_of(&self, positions: &[usize], cost: impl Fn(usize) -> Option<f64>) -> Option<usize> {
+    fn cheapest_of(
+        &self,
+        positions: &[usize],
+        cost: impl Fn(usize) -> Option<f64>,
+    ) -> Option<usize> {
         let usable = positions.iter().filter_map(|position| Some((cost(*position)?, *position)));
         usable.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, position)| position)
     }
@@ -90,7 +99,7 @@
         routed: &RoutedPool,
         position: usize,
         request: &SlotRequest,
-        healthy: bool,
+        require_healthy: bool,
         now: MonotonicTime,
     ) -> Option<f64> {
         let upstream = &self.upstreams[position];
@@ -100,14 +109,14 @@
         if !request.homes.allow(self.region_of(position)) {
             return None;
         }
-        if !self.is_within_share(routed, position, now)
+        if !self.is_within_cold_limit(routed, position, now)
             || !self.is_within_rate(routed, position, now)
         {
             return None;
         }
         let state = lock(&upstream.state);
-        let doubted = healthy && (state.is_ejected(now) || state.is_full(now));
-        let wanted = !state.is_leaving() && state.away_for(now).is_zero();
-        (wanted && !doubted && state.has_room()).then(|| state.cost())
+        let is_unhealthy = require_healthy && (state.is_ejected(now) || state.is_full(now));
+        let is_accepting = !state.is_leaving() && state.backoff_left(now).is_zero();
+        (is_accepting && !is_unhealthy && state.has_room()).then(|| state.cost())
     }
 }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use super::{AttemptReport, ColdLimits, SlotRequest, StagePool, UpstreamState, UpstreamSummary};
+use super::{AttemptQueue, AttemptReport, ColdLimits, SlotRequest, UpstreamState, UpstreamSummary};
 use crate::configuration::{
     ColdRules, EngineRules, RegionMap, RoutingPolicy, StagePlan, UpstreamRules,
 };
@@ -19,14 +19,14 @@
 
 /// Number of different offsets that daemons draw from when they choose among the engines of a
 /// prompt prefix. Larger than the number of engines of any prefix.
-const SPREADS: usize = 1 << 16;
+const REPLICA_OFFSETS: usize = 1 << 16;
 
 /// Timeout for opening a connection, counted from the choice of the upstream. Nothing of the
 /// attempt may be written after it. It is far above the few milliseconds between zones, and short
 /// enough to try another upstream: a lost SYN packet is sent again only after a second.
 pub const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
 /// Number of retries under the baseline policy, which has no retry budget.
-const BLIND_RETRIES: usize = 3;
+const BASELINE_RETRIES: usize = 3;
 
 /// Chooses upstreams for attempts. Each pool and each upstream has its own lock.
 #[derive(Debug)]
@@ -38,18 +38,18 @@
     pub(super) daemons: AtomicUsize,
     /// Random offset at which this daemon starts among the engines of a prompt prefix, so that
     /// daemons start with different engines.
-    pub(super) spread: usize,
+    pub(super) replica_offset: usize,
     pub(super) retries: RetryLimits,
     pub(super) cold_limits: ColdLimits,
     pub(super) regions: RegionMap,
     /// Request rates that upstreams have announced, and this daemon's share of these rates and of
     /// the cold-start limits.
     pub(super) limiter: Arc<RateLimiter>,
-    pub(super) turn: AtomicUsize,
+    pub(super) round_robin_index: AtomicUsize,
     /// Whether all choices are suspended, because the list of upstreams may be outdated.
-    pub(super) held: AtomicBool,
+    pub(super) is_suspended: AtomicBool,
     /// Whether a list of published upstreams was known when this router was built.
-    pub(super) has_list: bool,
+    pub(super) has_known_list: bool,
     pub(super) upstreams: Vec<RoutedUpstream>,
     pub(super) positions: HashMap<String, usize>,
     pub(super) pools: HashMap<String, RoutedPool>,
@@ -64,8 +64,8 @@
 
 #[derive(Debug)]
 pub(super) struct RoutedPool {
-    pub(super) near: Vec<usize>,
-    pub(super) far: Vec<usize>,
+    pub(super) same_zone: Vec<usize>,
+    pub(super) other_zones: Vec<usize>,
     pub(super) engine: Option<EngineRules>,
     /// Duration and request rate of a cold start. `None` if upstreams of this pool have full
     /// capacity from the start.
@@ -73,7 +73,7 @@
     /// Number of connections that one upstream accepts from all daemons together. `None` if it is
     /// not declared.
     pub(super) connections: Option<u32>,
-    pub(super) pool: Arc<Mutex<StagePool>>,
+    pub(super) queue: Arc<Mutex<AttemptQueue>>,
 }
 
 /// The upstream that was chosen for an attempt, with the data for calling it.
@@ -98,20 +98,20 @@
     #[must_use]
     pub fn new(zone: &str, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let spread = random.random_range(0..SPREADS);
+        let replica_offset = random.random_range(0..REPLICA_OFFSETS);
         Self {
             zone: zone.to_owned(),
             random: Mutex::new(random),
-            spread,
+            replica_offset,
             policy: RoutingPolicy::default(),
             daemons: AtomicUsize::new(1),
             retries: RetryLimits::default(),
             cold_limits: ColdLimits::default(),
             regions: RegionMap::default(),
             limiter: Arc::default(),
-            turn: AtomicUsize::new(0),
-            held: AtomicBool::new(false),
-            has_list: false,
+            round_robin_index: AtomicUsize::new(0),
+            is_suspended: AtomicBool::new(false),
+            has_known_list: false,
             upstreams: Vec::new(),
             positions: HashMap::new(),
             pools: HashMap::new(),
@@ -151,20 +151,20 @@
         let daemons = daemons.max(1);
         if self.daemons.swap(daemons, Ordering::Relaxed) != daemons {
             for routed in self.pools.values() {
-                lock(&routed.pool).budget.share(daemons);
+                lock(&routed.queue).retry_budget.share(daemons);
             }
         }
     }
 
     /// Suspends or resumes all choices. Returns whether the state has changed.
-    pub fn hold(&self, held: bool) -> bool {
-        self.held.swap(held, Ordering::Relaxed) != held
+    pub fn hold(&self, is_suspended: bool) -> bool {
+        self.is_suspended.swap(is_suspended, Ordering::Relaxed) != is_suspended
     }
 
     /// Whether all choices are suspended.
     #[must_use]
-    pub fn is_held(&self) -> bool {
-        self.held.load(Ordering::Relaxed)
+    pub fn is_suspended(&self) -> bool {
+        self.is_suspended.load(Ordering::Relaxed)
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
@@ -183,14 +183,14 @@
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
     pub fn stay_away(&self, upstream: &str, until: MonotonicTime) {
         if let Some(upstream) = self.upstream(upstream) {
-            lock(&upstream.state).stay_away(until);
+            lock(&upstream.state).back_off(until);
         }
     }
 
     /// Records that the process `life` serves `upstream` and is not leaving.
     pub fn greet(&self, upstream: &str, life: &str) {
         if let Some(upstream) = self.upstream(upstream) {
-            lock(&upstream.state).greet(life);
+            lock(&upstream.state).confirm_running(life);
         }
     }
 
@@ -199,9 +199,11 @@
     #[must_use]
     pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
-            return request.tried.len() <= BLIND_RETRIES;
+            return request.tried.len() <= BASELINE_RETRIES;
         }
-        self.pools.get(&request.stage).is_some_and(|routed| lock(&routed.pool).budget.spend(now))
+        self.pools
+            .get(&request.stage)
+            .is_some_and(|routed| lock(&routed.queue).retry_budget.spend(now))
     }
 
     /// Expected time that a new request with priority `level` needs for the stages of `plan`,
@@ -213,7 +215,7 @@
         }
         plan.longest_way(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
-            routed.map_or(Duration::ZERO, |routed| lock(&routed.pool).expected_time(level))
+            routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_wait(level))
         })
     }
 
@@ -231,10 +233,10 @@
     ) -> Result<Option<SlotGrant>, SlotRequest> {
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
         if request.tried.is_empty() {
-            let mut pool = lock(&routed.pool);
-            pool.budget.earn(now);
-            if let Some(subject) = request.demand.as_ref().and_then(|demand| demand.subject()) {
-                pool.subjects.count(subject.id, now);
+            let mut queue = lock(&routed.queue);
+            queue.retry_budget.earn(now);
+            if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
+                queue.prefixes.record(prefix.id, now);
             }
         }
         if let Some(position) = self.choose(routed, &request, now) {
@@ -243,7 +245,7 @@
         if !self.is_servable(routed, &request, now) {
             return Err(request);
         }
-        if lock(&routed.pool).wait(request.clone()) { Ok(None) } else { Err(request) }
+        if lock(&routed.queue).push(request.clone()) { Ok(None) } else { Err(request) }
     }
 
     /// Releases the slot of an ended attempt, and assigns free slots to the most urgent queued
@@ -260,12 +262,12 @@
             let mut state = lock(&upstream.state);
             state.end(report, now);
             if let Some(engine) = &mut state.engine {
-                engine.end(call);
+                engine.end_request(call);
             }
         }
         if let AttemptReport::Answered(time) = report {
             for routed in upstream.pools.iter().filter_map(|stage| self.pools.get(stage)) {
-                lock(&routed.pool).learn(time, now);
+                lock(&routed.queue).record_answer(time, now);
             }
         }
         self.serve_waiting(&upstream.pools, now)
@@ -276,7 +278,7 @@
         if let Some(upstream) = self.upstream(upstream)
             && let Some(engine) = &mut lock(&upstream.state).engine
         {
-            engine.read(call);
+            engine.finish_prefill(call);
         }
     }
 
@@ -284,15 +286,15 @@
     #[must_use]
     pub fn serve_waiting(&self, stages: &[String], now: MonotonicTime) -> Vec<SlotGrant> {
         let mut grants = Vec::new();
-        if self.is_held() {
+        if self.is_suspended() {
             return grants;
         }
         for routed in stages.iter().filter_map(|stage| self.pools.get(stage)) {
-            for position in routed.near.iter().chain(&routed.far).copied() {
-                if lock(&routed.pool).waiting() == 0 {
+            for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
+                if lock(&routed.queue).waiting_count() == 0 {
                     break;
                 }
-                self.serve_from(position, routed, now, &mut grants);
+                self.assign_slots_of(position, routed, now, &mut grants);
             }
         }
         grants
@@ -308,7 +310,7 @@
     /// Removes the queued attempts of the request's call from the queue of its stage.
     pub fn withdraw(&self, request: &SlotRequest) {
         if let Some(routed) = self.pools.get(&request.stage) {
-            lock(&routed.pool).withdraw(request.call, request.level, request.deadline);
+            lock(&routed.queue).remove_call(request.call, request.level, request.deadline);
         }
     }
 
@@ -322,8 +324,9 @@
     #[must_use]
     pub fn waiting(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
-        let mut waiting: Vec<_> =
-            pools.map(|(stage, routed)| (stage.clone(), lock(&routed.pool).waiting())).collect();
+        let mut waiting: Vec<_> = pools
+            .map(|(stage, routed)| (stage.clone(), lock(&routed.queue).waiting_count()))
+            .collect();
         waiting.sort();
         waiting
     }
@@ -344,16 +347,16 @@
             let mut state = lock(&upstream.state);
             state.begin();
             if let Some(routed) = self.pools.get(&request.stage) {
-                Self::count_send(routed, &mut state, now);
+                Self::record_send(routed, &mut state, now);
             }
             match (&mut state.engine, &request.demand) {
                 (Some(engine), Some(demand)) => {
-                    engine.begin(request.call, demand, now);
+                    engine.start_request(request.call, demand, now);
                     // Engines answer with streams of any length, so that the shortest answer time
                     // is not informative.
                     Duration::ZERO
                 }
-                _ if self.policy == RoutingPolicy::Adaptive => state.fastest(),
+                _ if self.policy == RoutingPolicy::Adaptive => state.min_answer_time(),
                 _ => Duration::ZERO,
             }
         };
@@ -377,12 +380,12 @@
     /// All daemons together keep up to half of the limit idle; the other half remains for
     /// connections in use.
     fn kept_connections(&self, stage: &str) -> usize {
-        let declared = self.pools.get(stage).and_then(|routed| routed.connections);
+        let connection_limit = self.pools.get(stage).and_then(|routed| routed.connections);
         let daemons = self.daemons.load(Ordering::Relaxed).max(1);
-        declared.map_or(usize::MAX, |connections| connections as usize / 2 / daemons)
+        connection_limit.map_or(usize::MAX, |connections| connections as usize / 2 / daemons)
     }
 
-    fn serve_from(
+    fn assign_slots_of(
         &self,
         position: usize,
         routed: &RoutedPool,
@@ -391,19 +394,19 @@
     ) {
         let upstream = &self.upstreams[position];
         loop {
-            let usable = self.is_within_share(routed, position, now)
+            let is_usable = self.is_within_cold_limit(routed, position, now)
                 && self.limiter.allows(&upstream.rules.name, RateUse::Shared, now)
                 && {
                     let state = lock(&upstream.state);
                     state.has_room()
                         && !state.is_leaving()
-                        && state.away_for(now).is_zero()
+                        && state.backoff_left(now).is_zero()
                         && !state.is_ejected(now)
                         && !state.is_full(now)
                 };
             let region = self.region_of(position);
-            let next = if usable {
-                lock(&routed.pool).next_for(&upstream.rules.name, region)
+            let next = if is_usable {
+                lock(&routed.queue).pop_for(&upstream.rules.name, region)
             } else {
                 None
             };
