--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -12,10 +12,10 @@
 use crate::sync::lock;
 
 /// Time after which a limit is forgotten if no daemon confirms it.
-const LIMIT_LIFE: Duration = Duration::from_secs(600);
+const LIMIT_TTL: Duration = Duration::from_secs(600);
 /// Maximum number of recorded limits. Enough for all upstreams of a large fleet; more would not fit
 /// into one gossip message.
-const LIMITS_MOST: usize = 1_024;
+const MAX_LIMITS: usize = 1_024;
 
 /// Request rates that upstreams have announced, and the token buckets for this daemon's shares of
 /// them.
@@ -23,7 +23,7 @@
 pub struct RateLimiter {
     /// Number of upstreams with a limit, kept outside the lock so that nothing is locked while it
     /// is zero.
-    limited: AtomicUsize,
+    limited_count: AtomicUsize,
     table: Mutex<LimitTable>,
 }
 
@@ -32,7 +32,7 @@
     share: RateShare,
     limits: HashMap<String, UpstreamLimit>,
     /// Names of the upstreams whose record must still be sent to the other daemons.
-    untold: BTreeSet<String>,
+    unsent: BTreeSet<String>,
 }
 
 /// Summary of a rate-limited upstream in the state dump.
@@ -60,15 +60,15 @@
         now: MonotonicTime,
     ) -> Option<LimitChange> {
         let mut table = lock(&self.table);
-        let is_named = matches!(notice, RateNotice::Limited(_));
-        if !table.limits.contains_key(upstream) && !is_named {
+        let has_rate = matches!(notice, RateNotice::Limited(_));
+        if !table.limits.contains_key(upstream) && !has_rate {
             return None;
         }
-        let (change, is_news) = table.entry(upstream, now).hear(notice, sent, now);
-        if is_news {
-            table.untold.insert(upstream.to_owned());
+        let (change, must_gossip) = table.limit_mut(upstream, now).record_notice(notice, sent, now);
+        if must_gossip {
+            table.unsent.insert(upstream.to_owned());
         }
-        self.note_limited(&table);
+        self.update_limited_count(&table);
         change
     }
 
@@ -76,14 +76,15 @@
     /// valid.
     pub fn take(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
         let mut table = lock(&self.table);
-        if record.age >= LIMIT_LIFE {
+        if record.age >= LIMIT_TTL {
             return None;
         }
-        let (change, is_news) = table.entry(&record.upstream, now).take(record, now);
-        if is_news {
-            table.untold.insert(record.upstream.clone());
+        let (change, must_gossip) =
+            table.limit_mut(&record.upstream, now).merge_record(record, now);
+        if must_gossip {
+            table.unsent.insert(record.upstream.clone());
         }
-        self.note_limited(&table);
+        self.update_limited_count(&table);
         change
     }
 
@@ -108,7 +109,7 @@
     /// Whether any upstream has a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
-        self.limited.load(Ordering::Relaxed) > 0
+        self.limited_count.load(Ordering::Relaxed) > 0
     }
 
     /// Whether `upstream` has a rate limit.
@@ -151,7 +152,7 @@
         if self.has_limits()
             && let Some(limit) = lock(&self.table).limits.get_mut(upstream)
         {
-            limit.bucket.spend();
+            limit.bucket.take_token();
             limit.sent += 1;
         }
     }
@@ -159,23 +160,24 @@
     /// Whether any record must still be sent to the other daemons.
     #[must_use]
     pub fn has_untold(&self) -> bool {
-        !lock(&self.table).untold.is_empty()
+        !lock(&self.table).unsent.is_empty()
     }
 
     /// Returns the records that must still be sent to the other daemons, and marks them as sent.
     #[must_use]
     pub fn take_untold(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let mut table = lock(&self.table);
-        let untold = std::mem::take(&mut table.untold);
-        let record = |upstream: &String| Some(table.limits.get(upstream)?.record(upstream, now));
-        untold.iter().filter_map(record).collect()
+        let unsent = std::mem::take(&mut table.unsent);
+        let to_record =
+            |upstream: &String| Some(table.limits.get(upstream)?.to_record(upstream, now));
+        unsent.iter().filter_map(to_record).collect()
     }
 
     /// All records, for a daemon whose digest differs.
     #[must_use]
     pub fn records(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let table = lock(&self.table);
-        table.limits.iter().map(|(upstream, limit)| limit.record(upstream, now)).collect()
+        table.limits.iter().map(|(upstream, limit)| limit.to_record(upstream, now)).collect()
     }
 
     /// Digest of all records. Equal for two daemons with equal records, and 0 without records.
@@ -189,8 +191,8 @@
     pub fn forget(&self, now: MonotonicTime) -> bool {
         let mut table = lock(&self.table);
         let before = table.limits.len();
-        table.limits.retain(|_, limit| limit.age(now) < LIMIT_LIFE);
-        self.note_limited(&table);
+        table.limits.retain(|_, limit| limit.age(now) < LIMIT_TTL);
+        self.update_limited_count(&table);
         table.limits.len() < before
     }
 
@@ -198,7 +200,7 @@
     #[must_use]
     pub fn summaries(&self) -> Vec<LimitSummary> {
         let table = lock(&self.table);
-        let summary = |(upstream, limit): (&String, &UpstreamLimit)| {
+        let to_summary = |(upstream, limit): (&String, &UpstreamLimit)| {
             let rate = limit.rate()?;
             let quota = RateQuota::new(rate, limit.hash, &table.share, RateUse::Shared);
             Some(LimitSummary {
@@ -208,30 +210,31 @@
                 sent: limit.sent,
             })
         };
-        let mut summaries: Vec<LimitSummary> = table.limits.iter().filter_map(summary).collect();
+        let mut summaries: Vec<LimitSummary> = table.limits.iter().filter_map(to_summary).collect();
         summaries.sort_by(|left, right| left.upstream.cmp(&right.upstream));
         summaries
     }
 
-    fn note_limited(&self, table: &LimitTable) {
-        let limited = table.limits.values().filter(|limit| limit.rate().is_some()).count();
-        self.limited.store(limited, Ordering::Relaxed);
+    fn update_limited_count(&self, table: &LimitTable) {
+        let limited_count = table.limits.values().filter(|limit| limit.rate().is_some()).count();
+        self.limited_count.store(limited_count, Ordering::Relaxed);
     }
 }
 
 impl LimitTable {
-    fn entry(&mut self, upstream: &str, now: MonotonicTime) -> &mut UpstreamLimit {
-        if self.limits.len() >= LIMITS_MOST && !self.limits.contains_key(upstream) {
-            self.make_room(now);
+    fn limit_mut(&mut self, upstream: &str, now: MonotonicTime) -> &mut UpstreamLimit {
+        if self.limits.len() >= MAX_LIMITS && !self.limits.contains_key(upstream) {
+            self.evict_limit(now);
         }
         self.limits.entry(upstream.to_owned()).or_insert_with(|| UpstreamLimit::new(upstream, now))
     }
 
     /// Removes one limit: the oldest ended one, or the oldest of all if none has ended.
-    fn make_room(&mut self, now: MonotonicTime) {
-        let rank = |limit: &UpstreamLimit| (limit.rate().is_none(), limit.age(now));
-        let last = self.limits.iter().max_by_key(|(upstream, limit)| (rank(limit), *upstream));
-        if let Some(upstream) = last.map(|(upstream, _)| upstream.clone()) {
+    fn evict_limit(&mut self, now: MonotonicTime) {
+        let eviction_key = |limit: &UpstreamLimit| (limit.rate().is_none(), limit.age(now));
+        let evicted =
+            self.limits.iter().max_by_key(|(upstream, limit)| (eviction_key(limit), *upstream));
+        if let Some(upstream) = evicted.map(|(upstream, _)| upstream.clone()) {
             self.limits.remove(&upstream);
         }
     }
--- a/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
@@ -6,12 +6,12 @@
 /// Length of the sliding windows in which the requests to a rate-limited upstream are bounded.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// Bound for the requests in a window, as a multiple of what the rate allows.
-const LIMIT_OVERSHOOT: f64 = 1.5;
+const LIMIT_MULTIPLE: f64 = 1.5;
 /// Requests per window that are allowed on top of the multiple.
 pub const LIMIT_SLACK: f64 = 5.0;
 /// Lowest rate at which an upstream is called, in requests per second. An upstream with a rate of
 /// zero still gets probe requests, to detect when its limit ends.
-const TRIAL_RATE: f64 = 0.1;
+const MIN_PROBE_RATE_PER_S: f64 = 0.1;
 
 /// Which daemons send requests to a rate-limited upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,26 +40,26 @@
     /// daemon has no share.
     #[must_use]
     pub fn new(rate: RequestRate, hash: u64, share: &RateShare, rate_use: RateUse) -> Option<Self> {
-        let per_second = rate.per_second().max(TRIAL_RATE);
+        let per_second = rate.per_second().max(MIN_PROBE_RATE_PER_S);
         if rate_use == RateUse::Sole {
             return Some(Self { depth: 1, per_second });
         }
-        let seats = burst_seats(rate.per_second());
-        let depth = share.of(hash, seats);
-        let holders = share.daemons().min(seats as usize) as f64;
-        (depth > 0).then_some(Self { depth, per_second: per_second / holders })
+        let burst = fleet_burst(rate.per_second());
+        let depth = share.of(hash, burst);
+        let sharing_daemons = share.daemons().min(burst as usize) as f64;
+        (depth > 0).then_some(Self { depth, per_second: per_second / sharing_daemons })
     }
 }
 
 /// Number of requests that all daemons together may send at once.
-fn burst_seats(per_second: f64) -> u32 {
+fn fleet_burst(per_second: f64) -> u32 {
     let window = LIMIT_WINDOW.as_secs_f64();
-    let steady = (window + CONNECT_PATIENCE.as_secs_f64()) * per_second;
-    let allowed = window * per_second * LIMIT_OVERSHOOT + LIMIT_SLACK;
-    (allowed - steady).floor() as u32
+    let sustained = (window + CONNECT_PATIENCE.as_secs_f64()) * per_second;
+    let bound = window * per_second * LIMIT_MULTIPLE + LIMIT_SLACK;
+    (bound - sustained).floor() as u32
 }
 
 /// Interval between two requests to an upstream that accepts `rate`, from all daemons together.
 pub(super) fn fleet_interval(rate: RequestRate) -> Duration {
-    Duration::from_secs_f64(1.0 / rate.per_second().max(TRIAL_RATE))
+    Duration::from_secs_f64(1.0 / rate.per_second().max(MIN_PROBE_RATE_PER_S))
 }
--- a/crates/crocusdale_core/src/rate_limiting/rate_share.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_share.rs
@@ -8,8 +8,8 @@
 /// just started has no share until it knows them.
 #[derive(Clone, Debug, Default)]
 pub struct RateShare {
-    own: u64,
-    others: Vec<u64>,
+    own_hash: u64,
+    other_hashes: Vec<u64>,
     withheld: bool,
 }
 
@@ -18,8 +18,8 @@
     /// are in `others`.
     #[must_use]
     pub fn new<'a>(own: &str, others: impl Iterator<Item = &'a str>) -> Self {
-        let others = others.filter(|vm| *vm != own).map(daemon_hash).collect();
-        Self { own: daemon_hash(own), others, withheld: false }
+        let other_hashes = others.filter(|vm| *vm != own).map(daemon_hash).collect();
+        Self { own_hash: daemon_hash(own), other_hashes, withheld: false }
     }
 
     /// Sets whether the share is withheld, because this daemon and the others may not know each
@@ -32,7 +32,7 @@
     /// Number of daemons that share the requests, including this one.
     #[must_use]
     pub fn daemons(&self) -> usize {
-        self.others.len() + 1
+        self.other_hashes.len() + 1
     }
 
     /// Number of requests that this daemon may send, of `limit` from all daemons, to an upstream
@@ -42,13 +42,14 @@
         if self.withheld {
             return 0;
         }
-        let seats = limit as usize;
-        if self.daemons() <= seats {
+        let share_count = limit as usize;
+        if self.daemons() <= share_count {
             return limit / u32::try_from(self.daemons()).unwrap_or(u32::MAX);
         }
-        let rank = pair_hash(self.own, hash);
-        let before = self.others.iter().filter(|other| pair_hash(**other, hash) < rank).count();
-        u32::from(before < seats)
+        let rank = mix_hashes(self.own_hash, hash);
+        let ahead =
+            self.other_hashes.iter().filter(|other| mix_hashes(**other, hash) < rank).count();
+        u32::from(ahead < share_count)
     }
 }
 
@@ -57,7 +58,7 @@
 }
 
 /// Mixes two hashes with the finalizer of splitmix64.
-fn pair_hash(daemon: u64, upstream: u64) -> u64 {
+fn mix_hashes(daemon: u64, upstream: u64) -> u64 {
     let mut mixed = daemon ^ upstream.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/crocusdale_core/src/rate_limiting/request_rate.rs
+++ b/crates/crocusdale_core/src/rate_limiting/request_rate.rs
@@ -1,7 +1,7 @@
 use std::fmt;
 
 /// Number of thousandths in one request.
-const SCALE: f64 = 1_000.0;
+const THOUSANDTHS_PER_REQUEST: f64 = 1_000.0;
 
 /// Rate in requests per second, with a resolution of a thousandth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,9 +14,9 @@
     /// non-finite value, or one above the range.
     #[must_use]
     pub fn from_per_second(per_second: f64) -> Option<Self> {
-        let thousandths = (per_second * SCALE).floor();
-        let is_rate = thousandths >= 0.0 && thousandths <= f64::from(u32::MAX);
-        is_rate.then_some(Self { thousandths: thousandths as u32 })
+        let thousandths = (per_second * THOUSANDTHS_PER_REQUEST).floor();
+        let is_in_range = thousandths >= 0.0 && thousandths <= f64::from(u32::MAX);
+        is_in_range.then_some(Self { thousandths: thousandths as u32 })
     }
 
     /// Converts thousandths of a request per second.
@@ -34,7 +34,7 @@
     /// Rate in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
-        f64::from(self.thousandths) / SCALE
+        f64::from(self.thousandths) / THOUSANDTHS_PER_REQUEST
     }
 }
 
--- a/crates/crocusdale_core/src/rate_limiting/token_bucket.rs
+++ b/crates/crocusdale_core/src/rate_limiting/token_bucket.rs
@@ -4,13 +4,13 @@
 use crate::identity::MonotonicTime;
 
 /// Tolerance for rounding errors when many small fractions of a token are added up.
-const ROUNDING: f64 = 1e-9;
+const TOKEN_TOLERANCE: f64 = 1e-9;
 
 /// Token bucket for the requests of this daemon to one upstream, filled at the rate of its quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
     tokens: f64,
-    filled: MonotonicTime,
+    filled_at: MonotonicTime,
 }
 
 /// When this daemon may send its next request to an upstream.
@@ -36,24 +36,24 @@
 impl TokenBucket {
     /// An empty bucket, because the requests sent before the limit was known were not counted.
     pub(super) fn new(now: MonotonicTime) -> Self {
-        Self { tokens: 0.0, filled: now }
+        Self { tokens: 0.0, filled_at: now }
     }
 
     /// Adds the tokens gained until `now`, up to the depth of `quota`.
     pub(super) fn fill(&mut self, quota: RateQuota, now: MonotonicTime) {
-        let gained = now.since(self.filled).as_secs_f64() * quota.per_second;
-        self.tokens = (self.tokens + gained).min(f64::from(quota.depth));
-        self.filled = self.filled.max(now);
+        let gained_tokens = now.since(self.filled_at).as_secs_f64() * quota.per_second;
+        self.tokens = (self.tokens + gained_tokens).min(f64::from(quota.depth));
+        self.filled_at = self.filled_at.max(now);
     }
 
     /// Takes one token. The bucket may become negative.
-    pub(super) fn spend(&mut self) {
+    pub(super) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
     /// Time until a token is available, if none is taken before.
     pub(super) fn wait(&self, quota: RateQuota) -> Duration {
-        let lacking = (1.0 - self.tokens - ROUNDING).max(0.0);
-        Duration::from_secs_f64(lacking / quota.per_second)
+        let missing_tokens = (1.0 - self.tokens - TOKEN_TOLERANCE).max(0.0);
+        Duration::from_secs_f64(missing_tokens / quota.per_second)
     }
 }
--- a/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
+++ b/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
@@ -6,11 +6,11 @@
 
 /// Offset that is added to the clock of this process, so that records from before its start have
 /// non-negative times.
-const EPOCH: Duration = Duration::from_secs(3_600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 /// Maximum delay of a gossip message between daemons.
-const NEWS_TIME: Duration = Duration::from_secs(1);
+const MAX_GOSSIP_DELAY: Duration = Duration::from_secs(1);
 /// Relative change of a rate above which the new rate is gossiped.
-const TOLD_CHANGE: f64 = 0.1;
+const MIN_GOSSIPED_CHANGE: f64 = 0.1;
 
 /// Change of an upstream's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,14 +29,14 @@
     rate: Option<RequestRate>,
     /// Rate in the record with this version, as other daemons know it. Small changes of the rate
     /// are not gossiped.
-    told: Option<RequestRate>,
+    gossiped_rate: Option<RequestRate>,
     /// Time at which this daemon learned the rate.
-    learned: MonotonicTime,
+    learned_at: MonotonicTime,
     /// Time of the last answer to this daemon that announced a rate.
-    named: Option<MonotonicTime>,
+    last_announced_at: Option<MonotonicTime>,
     /// Time at which the rate was last known to be valid, on the clock of this process plus
     /// [`CLOCK_OFFSET`].
-    confirmed: MonotonicTime,
+    confirmed_at: MonotonicTime,
     pub(super) bucket: TokenBucket,
     /// Hash of the upstream's name.
     pub(super) hash: u64,
@@ -50,10 +50,10 @@
         Self {
             version: 0,
             rate: None,
-            told: None,
-            learned: now,
-            named: None,
-            confirmed: now + EPOCH,
+            gossiped_rate: None,
+            learned_at: now,
+            last_announced_at: None,
+            confirmed_at: now + CLOCK_OFFSET,
             bucket: TokenBucket::new(now),
             hash: stable_hash(&[upstream]),
             sent: 0,
@@ -70,101 +70,111 @@
     ///
     /// Answers may arrive out of order. An answer with a higher rate or without a limit is used
     /// only if its request was sent after the known rate was learned.
-    pub(super) fn hear(
+    pub(super) fn record_notice(
         &mut self,
         notice: RateNotice,
         sent: MonotonicTime,
         now: MonotonicTime,
     ) -> (Option<LimitChange>, bool) {
-        let is_later = sent >= self.named.unwrap_or_default().max(self.learned);
+        let is_sent_later = sent >= self.last_announced_at.unwrap_or_default().max(self.learned_at);
         match (self.rate, notice) {
             (_, RateNotice::Unreadable) | (None, RateNotice::Unlimited) => (None, false),
-            (Some(_), RateNotice::Unlimited) if !is_later => (None, false),
-            (Some(known), RateNotice::Limited(rate)) if rate > known && !is_later => (None, false),
+            (Some(_), RateNotice::Unlimited) if !is_sent_later => (None, false),
+            (Some(known), RateNotice::Limited(rate)) if rate > known && !is_sent_later => {
+                (None, false)
+            }
             (Some(_), RateNotice::Unlimited) => {
-                self.learn(self.version + 1, None, now);
-                self.confirmed = sent + EPOCH;
+                self.set_rate(self.version + 1, None, now);
+                self.confirmed_at = sent + CLOCK_OFFSET;
                 (Some(LimitChange::Ended(std::mem::take(&mut self.sent))), true)
             }
             (known, RateNotice::Limited(rate)) => {
-                let is_news = self.told.is_none_or(|told| differs(told, rate));
-                if is_news {
-                    self.learn(self.version + 1, Some(rate), now);
+                let must_gossip =
+                    self.gossiped_rate.is_none_or(|gossiped| needs_gossip(gossiped, rate));
+                if must_gossip {
+                    self.set_rate(self.version + 1, Some(rate), now);
                 } else if known != Some(rate) {
                     self.rate = Some(rate);
-                    self.learned = now;
+                    self.learned_at = now;
                 }
-                self.named = Some(now);
-                self.confirmed = now + EPOCH;
-                ((known != Some(rate)).then_some(LimitChange::Limited(rate)), is_news)
+                self.last_announced_at = Some(now);
+                self.confirmed_at = now + CLOCK_OFFSET;
+                ((known != Some(rate)).then_some(LimitChange::Limited(rate)), must_gossip)
             }
         }
     }
 
     /// Merges a record from another daemon. Returns the change, and whether the own record must be
     /// gossiped.
-    pub(super) fn take(
+    pub(super) fn merge_record(
         &mut self,
         record: &LimitRecord,
         now: MonotonicTime,
     ) -> (Option<LimitChange>, bool) {
-        let since = (now + EPOCH).since_start().saturating_sub(record.age);
+        let confirmed_at = (now + CLOCK_OFFSET).since_start().saturating_sub(record.age);
         let is_newer = record.version > self.version
-            || (record.version == self.version && is_stricter(record.rate, self.told));
+            || (record.version == self.version && is_stricter(record.rate, self.gossiped_rate));
         if !is_newer {
             return (None, false);
         }
         // This daemon may have received an answer with a rate after the other daemon received the
         // one without. Gossip may be delayed, so that a rate announced within that delay is kept.
-        let ended = MonotonicTime::from_start(since.saturating_sub(NEWS_TIME));
-        let is_doubtful = self.named.is_some_and(|named| named + EPOCH > ended);
-        if record.rate.is_none() && self.rate.is_some() && is_doubtful {
+        let earliest_end = MonotonicTime::from_start(confirmed_at.saturating_sub(MAX_GOSSIP_DELAY));
+        let is_possibly_outdated =
+            self.last_announced_at.is_some_and(|announced| announced + CLOCK_OFFSET > earliest_end);
+        if record.rate.is_none() && self.rate.is_some() && is_possibly_outdated {
             self.version = record.version + 1;
             return (None, true);
         }
-        let before = self.rate;
-        self.learn(record.version, record.rate, now);
-        self.confirmed = MonotonicTime::from_start(since);
-        let change = match (before, record.rate) {
+        let previous_rate = self.rate;
+        self.set_rate(record.version, record.rate, now);
+        self.confirmed_at = MonotonicTime::from_start(confirmed_at);
+        let change = match (previous_rate, record.rate) {
             (Some(_), None) => Some(LimitChange::Ended(std::mem::take(&mut self.sent))),
-            (before, Some(rate)) if before != Some(rate) => Some(LimitChange::Limited(rate)),
+            (previous, Some(rate)) if previous != Some(rate) => Some(LimitChange::Limited(rate)),
             _ => None,
         };
         (change, false)
     }
 
     /// Record for sending to other daemons.
-    pub(super) fn record(&self, upstream: &str, now: MonotonicTime) -> LimitRecord {
-        let age = (now + EPOCH).since(self.confirmed);
-        LimitRecord { upstream: upstream.to_owned(), version: self.version, rate: self.told, age }
+    pub(super) fn to_record(&self, upstream: &str, now: MonotonicTime) -> LimitRecord {
+        let age = (now + CLOCK_OFFSET).since(self.confirmed_at);
+        LimitRecord {
+            upstream: upstream.to_owned(),
+            version: self.version,
+            rate: self.gossiped_rate,
+            age,
+        }
     }
 
     /// Time since the rate was last known to be valid.
     pub(super) fn age(&self, now: MonotonicTime) -> Duration {
-        (now + EPOCH).since(self.confirmed)
+        (now + CLOCK_OFFSET).since(self.confirmed_at)
     }
 
     /// Digest of the record. Equal for two daemons with equal records.
     pub(super) fn digest(&self) -> u64 {
-        let rate = self.told.map_or_else(String::new, |rate| rate.thousandths().to_string());
+        let rate =
+            self.gossiped_rate.map_or_else(String::new, |rate| rate.thousandths().to_string());
         stable_hash(&[&self.hash.to_string(), &self.version.to_string(), &rate])
     }
 
-    fn learn(&mut self, version: u64, rate: Option<RequestRate>, now: MonotonicTime) {
+    fn set_rate(&mut self, version: u64, rate: Option<RequestRate>, now: MonotonicTime) {
         if self.rate.is_none() && rate.is_some() {
             self.bucket = TokenBucket::new(now);
             self.sent = 0;
         }
         self.version = version;
         self.rate = rate;
-        self.told = rate;
-        self.learned = now;
+        self.gossiped_rate = rate;
+        self.learned_at = now;
     }
 }
 
 /// Whether `rate` differs enough from the gossiped rate to be gossiped.
-fn differs(told: RequestRate, rate: RequestRate) -> bool {
-    (told.per_second() - rate.per_second()).abs() > TOLD_CHANGE * told.per_second()
+fn needs_gossip(gossiped: RequestRate, rate: RequestRate) -> bool {
+    (gossiped.per_second() - rate.per_second()).abs() > MIN_GOSSIPED_CHANGE * gossiped.per_second()
 }
 
 /// Whether `rate` is a tighter limit than `other`. `None` stands for no limit.
