--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -3,12 +3,12 @@
 use crate::identity::MonotonicTime;
 
 /// Default number of retries that each first attempt adds to the budget.
-const EARNED: f64 = 0.1;
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
 /// Default maximum number of retries in the budget.
-const SAVED: f64 = 10.0;
+const DEFAULT_MAX_RETRIES: f64 = 10.0;
 /// Fraction of the limits that the daemons use. The rest covers delayed knowledge of the number of
 /// daemons, and budgets that were lost when a daemon restarted.
-const USED: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// Limits for the retries of all daemons together in one pool.
 ///
@@ -27,7 +27,11 @@
 
 impl Default for RetryLimits {
     fn default() -> Self {
-        Self { ratio: EARNED / USED, reserve: f64::INFINITY, window: Duration::from_secs(10) }
+        Self {
+            ratio: DEFAULT_RETRY_RATIO / USED_FRACTION,
+            reserve: f64::INFINITY,
+            window: Duration::from_secs(10),
+        }
     }
 }
 
@@ -40,7 +44,7 @@
         if self.reserve.is_finite() {
             // An earlier process of this daemon may have spent the window's reserve just before it
             // ended.
-            budget.saved = 0.0;
+            budget.available = 0.0;
         }
         budget
     }
@@ -55,18 +59,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    saved: f64,
+    available: f64,
     /// Maximum number of retries in the budget.
-    most: f64,
+    max_available: f64,
     /// Number of retries that the reserve adds per second.
-    refill: f64,
-    last: Option<MonotonicTime>,
+    refill_per_s: f64,
+    last_refill: Option<MonotonicTime>,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         let limits = RetryLimits::default();
-        Self { limits, saved: SAVED, most: SAVED, refill: 0.0, last: None }
+        Self {
+            limits,
+            available: DEFAULT_MAX_RETRIES,
+            max_available: DEFAULT_MAX_RETRIES,
+            refill_per_s: 0.0,
+            last_refill: None,
+        }
     }
 }
 
@@ -75,35 +85,37 @@
     /// the other half is added over one window, so that no window gets more than the whole part.
     pub fn share(&mut self, daemons: usize) {
         if self.limits.reserve.is_finite() {
-            let reserve = self.limits.reserve * USED / daemons.max(1) as f64;
-            self.most = reserve / 2.0;
-            self.refill = reserve / 2.0 / self.limits.window.as_secs_f64();
-            self.saved = self.saved.min(self.most);
+            let reserve = self.limits.reserve * USED_FRACTION / daemons.max(1) as f64;
+            self.max_available = reserve / 2.0;
+            self.refill_per_s = reserve / 2.0 / self.limits.window.as_secs_f64();
+            self.available = self.available.min(self.max_available);
         }
     }
 
     /// Adds the retries that a first attempt earns.
     pub fn earn(&mut self, now: MonotonicTime) {
         self.refill(now);
-        self.saved = (self.saved + self.limits.ratio * USED).min(self.most);
+        self.available =
+            (self.available + self.limits.ratio * USED_FRACTION).min(self.max_available);
     }
 
     /// Takes one retry from the budget. Returns `false` if less than one is left.
     #[must_use]
     pub fn spend(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
-        let affordable = self.saved >= 1.0;
-        if affordable {
-            self.saved -= 1.0;
+        let is_available = self.available >= 1.0;
+        if is_available {
+            self.available -= 1.0;
         }
-        affordable
+        is_available
     }
 
     fn refill(&mut self, now: MonotonicTime) {
         // Nothing was spent before the first call, so that the budget has grown since the process
         // started.
-        let since = self.last.map_or(now.since_start(), |last| now.since(last));
-        self.last = Some(now);
-        self.saved = (self.saved + self.refill * since.as_secs_f64()).min(self.most);
+        let elapsed = self.last_refill.map_or(now.since_start(), |last| now.since(last));
+        self.last_refill = Some(now);
+        self.available =
+            (self.available + self.refill_per_s * elapsed.as_secs_f64()).min(self.max_available);
     }
 }
