--- a/crates/crocusdale_core/src/orders/engine_order.rs
+++ b/crates/crocusdale_core/src/orders/engine_order.rs
@@ -48,7 +48,7 @@
     /// Whether an engine that holds the order `held` needs no change, apart from the fencing token.
     #[must_use]
     pub fn is_fulfilled_by(&self, held: &Self) -> bool {
-        let content = |order: &Self| Self { fence: 0, ..order.clone() };
-        content(self) == content(held)
+        let without_fence = |order: &Self| Self { fence: 0, ..order.clone() };
+        without_fence(self) == without_fence(held)
     }
 }
--- a/crates/crocusdale_core/src/orders/order_keeper.rs
+++ b/crates/crocusdale_core/src/orders/order_keeper.rs
@@ -51,7 +51,7 @@
         view: &'b MemberView,
     ) -> impl Iterator<Item = &'a UpstreamRules> + 'b {
         let own = view.own().instance.vm.as_str();
-        let usable: Vec<&str> = roster
+        let candidates: Vec<&str> = roster
             .entries()
             .map(|vm| vm.name.as_str())
             .filter(|vm| !view.is_leaving(vm) && view.status(vm) == Some(MemberStatus::Alive))
@@ -59,8 +59,8 @@
         let upstreams = self.declarations.upstreams().iter();
         upstreams.filter(|rules| self.declarations.placement_for(&rules.labels).is_some()).filter(
             move |rules| {
-                let weight = |vm: &&&str| stable_hash(&["engine keeper", &rules.name, vm]);
-                usable.iter().max_by_key(weight) == Some(&own)
+                let rank = |vm: &&&str| stable_hash(&["engine keeper", &rules.name, vm]);
+                candidates.iter().max_by_key(rank) == Some(&own)
             },
         )
     }
