--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -85,7 +85,7 @@
     /// Expected time that a new attempt with priority `level` needs. Includes the wait behind
     /// queued attempts of the same and of more urgent levels.
     #[must_use]
-    pub fn expected_wait(&self, level: u8) -> Duration {
+    pub fn expected_duration(&self, level: u8) -> Duration {
         let ahead = self.waiting.range(..(level.saturating_add(1), MonotonicTime::default(), 0));
         let waiting = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
         let wait = self.mean_answer_interval.unwrap_or_default().saturating_mul(waiting);
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -189,8 +189,10 @@
                 TokenWait::Unlimited => schedule.add(backoff, Duration::ZERO),
                 TokenWait::For { wait, interval } => schedule.add(backoff.max(wait), interval),
                 TokenWait::NoShare { interval } => {
-                    let interval = backoff.max(interval);
-                    no_share = Some(no_share.map_or(interval, |shortest| shortest.min(interval)));
+                    let next_interval = backoff.max(interval);
+                    no_share = Some(
+                        no_share.map_or(next_interval, |shortest| shortest.min(next_interval)),
+                    );
                 }
             }
         }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -215,7 +215,7 @@
         }
         plan.longest_way(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
-            routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_wait(level))
+            routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_duration(level))
         })
     }
 
