--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -187,10 +187,10 @@
         }
     }
 
-    /// Records that the process `life` serves `upstream` and is not leaving.
-    pub fn greet(&self, upstream: &str, life: &str) {
+    /// Records that the process `process` serves `upstream` and is not leaving.
+    pub fn greet(&self, upstream: &str, process: &str) {
         if let Some(upstream) = self.upstream(upstream) {
-            lock(&upstream.state).confirm_running(life);
+            lock(&upstream.state).confirm_running(process);
         }
     }
 
--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -138,17 +138,17 @@
         self.listed_leaving = leaving;
     }
 
-    /// Records that the process `life` is leaving. Returns whether that was unknown.
-    pub fn leave(&mut self, life: &str) -> bool {
-        let is_new = self.leaving_process.as_deref() != Some(life);
-        self.leaving_process = Some(life.to_owned());
+    /// Records that the process `process` is leaving. Returns whether that was unknown.
+    pub fn leave(&mut self, process: &str) -> bool {
+        let is_new = self.leaving_process.as_deref() != Some(process);
+        self.leaving_process = Some(process.to_owned());
         is_new
     }
 
-    /// Records that the process `life` serves the upstream and is not leaving. If another process
+    /// Records that the process `process` serves the upstream and is not leaving. If another process
     /// was leaving, this one has replaced it.
-    pub fn confirm_running(&mut self, life: &str) {
-        if self.leaving_process.as_deref().is_some_and(|leaving| leaving != life) {
+    pub fn confirm_running(&mut self, process: &str) {
+        if self.leaving_process.as_deref().is_some_and(|leaving| leaving != process) {
             self.leaving_process = None;
         }
     }
