--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -19,7 +19,7 @@
 pub struct SlotRequest {
     /// Call that the attempt belongs to.
     pub call: CallId,
-    /// Index of the branch in the pipeline's current step.
+    /// Index of the attempt's step in the pipeline.
     pub branch: usize,
     /// Stage to run, which names the pool.
     pub stage: String,
