--- a/crates/crocusctl/src/http_caller.rs
+++ b/crates/crocusctl/src/http_caller.rs
@@ -7,7 +7,7 @@
 use volo_http::client::{Client, ClientBuilder};
 
 /// Time to open a connection.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time beyond a request's own deadline for its answer to arrive.
 const ANSWER_PATIENCE: Duration = Duration::from_secs(12);
 
@@ -20,7 +20,7 @@
 impl HttpCaller {
     pub(crate) fn new() -> Result<Self> {
         let mut builder = ClientBuilder::new();
-        builder.set_connect_timeout(CONNECT_PATIENCE).set_max_idle_per_host(256);
+        builder.set_connect_timeout(CONNECT_TIMEOUT).set_max_idle_per_host(256);
         Ok(Self { client: builder.build().context("building the HTTP client")? })
     }
 
--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -9,7 +9,7 @@
 use super::{BatchId, BatchItem, BatchOrder, BatchPool, DispatchStep};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
-use crate::routing::CONNECT_PATIENCE;
+use crate::routing::CONNECT_TIMEOUT;
 
 /// Time after which a call has fetched its inputs: ten megabytes take 8 ms at 10 Gbit/s, and a message
 /// a few. Short against a call, for the rest of which they would only lie in the way.
@@ -84,7 +84,7 @@
             items: refs,
         };
         self.open.insert(batch, open);
-        let write_by = now + CONNECT_PATIENCE;
+        let write_by = now + CONNECT_TIMEOUT;
         Some(BatchOrder { batch, upstream, process, address, items, write_by })
     }
 
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -5,7 +5,7 @@
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::ExchangeMessage;
 use crate::routing::{
-    CONNECT_PATIENCE, ColdUpstream, DirectoryEntry, ListAge, PeerDirectory, RESTORE_GRACE,
+    CONNECT_TIMEOUT, ColdUpstream, DirectoryEntry, ListAge, PeerDirectory, RESTORE_GRACE,
     UpstreamDirectory, ZoneEvacuation,
 };
 
@@ -412,7 +412,7 @@
         let began = self.failed.as_ref().map_or(now, |failed| failed.began);
         let counted_on = began + self.pace.contact;
         let last =
-            MonotonicTime::from_start(counted_on.since_start().saturating_sub(CONNECT_PATIENCE));
+            MonotonicTime::from_start(counted_on.since_start().saturating_sub(CONNECT_TIMEOUT));
         last.min(now + RETURN_GRACE)
     }
 
--- a/crates/crocusdale_core/src/daemon/news_bounds.rs
+++ b/crates/crocusdale_core/src/daemon/news_bounds.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::routing::CONNECT_PATIENCE;
+use crate::routing::CONNECT_TIMEOUT;
 
 /// Part of the shortest bound for which what was read may be used, at most.
 const FIT_SHARE: f64 = 0.75;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewsPace {
     /// Age of what is known beyond which no choice rests on it. With the time in which a request that
-    /// was given to an upstream is sent there, [`CONNECT_PATIENCE`], it stays below the bounds.
+    /// was given to an upstream is sent there, [`CONNECT_TIMEOUT`], it stays below the bounds.
     pub(super) fit_for: Duration,
     /// Age at which a daemon reads itself, whoever should read for it.
     pub(super) stale_after: Duration,
@@ -66,7 +66,7 @@
 impl From<NewsBounds> for NewsPace {
     fn from(bounds: NewsBounds) -> Self {
         let shortest = bounds.notice.min(bounds.configuration).min(bounds.evacuation);
-        let sent = shortest.saturating_sub(CONNECT_PATIENCE + MARGIN);
+        let sent = shortest.saturating_sub(CONNECT_TIMEOUT + MARGIN);
         let fit_for = shortest.mul_f64(FIT_SHARE).min(sent).max(LEAST_FIT);
         Self {
             fit_for,
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -9,7 +9,7 @@
 use crate::configuration::{PlanStep, StepWork};
 use crate::daemon::{Command, CounterName};
 use crate::identity::{AttemptId, MonotonicTime};
-use crate::routing::{AttemptReport, CONNECT_PATIENCE, SlotGrant, SlotRequest};
+use crate::routing::{AttemptReport, CONNECT_TIMEOUT, SlotGrant, SlotRequest};
 
 impl RequestRun {
     pub(super) fn relay_order(
@@ -30,7 +30,7 @@
             fresh: !self.plan.repeatable,
             kept_connections: grant.kept_connections,
             expires: self.plan.deadline,
-            write_by: now + CONNECT_PATIENCE,
+            write_by: now + CONNECT_TIMEOUT,
         }
     }
 
--- a/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use super::{RateShare, RequestRate};
-use crate::routing::CONNECT_PATIENCE;
+use crate::routing::CONNECT_TIMEOUT;
 
 /// Length of the sliding windows in which the requests to a rate-limited upstream are bounded.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
@@ -54,7 +54,7 @@
 /// Number of requests that all daemons together may send at once.
 fn fleet_burst(per_second: f64) -> u32 {
     let window = LIMIT_WINDOW.as_secs_f64();
-    let sustained = (window + CONNECT_PATIENCE.as_secs_f64()) * per_second;
+    let sustained = (window + CONNECT_TIMEOUT.as_secs_f64()) * per_second;
     let bound = window * per_second * LIMIT_MULTIPLE + LIMIT_SLACK;
     (bound - sustained).floor() as u32
 }
--- a/crates/crocusdale_core/src/routing/cold_limit.rs
+++ b/crates/crocusdale_core/src/routing/cold_limit.rs
@@ -3,16 +3,15 @@
 use std::time::Duration;
 
 use super::upstream_router::RoutedPool;
-use super::{CONNECT_PATIENCE, UpstreamRouter, UpstreamState};
+use super::{CONNECT_TIMEOUT, UpstreamRouter, UpstreamState};
 use crate::identity::MonotonicTime;
 use crate::sync::lock;
 
 /// Length of the sliding window in which a daemon sends no more than its share of one second's
-/// requests. A request is written up to [`CONNECT_PATIENCE`] after its upstream was chosen. The
+/// requests. A request is written up to [`CONNECT_TIMEOUT`] after its upstream was chosen. The
 /// window is longer than a second by that time, so that requests in different windows are written
 /// more than a second apart.
-pub const SEND_WINDOW: Duration =
-    Duration::from_millis(1_000 + CONNECT_PATIENCE.as_millis() as u64);
+pub const SEND_WINDOW: Duration = Duration::from_millis(1_000 + CONNECT_TIMEOUT.as_millis() as u64);
 
 /// Tolerance for the load on a cold upstream, above the rate that its pool declares for cold
 /// starts.
--- a/crates/crocusdale_core/src/routing/mod.rs
+++ b/crates/crocusdale_core/src/routing/mod.rs
@@ -25,6 +25,6 @@
 pub(crate) use upstream_directory::RESTORE_GRACE;
 pub use upstream_directory::{DirectoryEntry, UpstreamDirectory};
 pub use upstream_notice::UpstreamNotice;
-pub use upstream_router::{CONNECT_PATIENCE, SlotGrant, UpstreamRouter};
+pub use upstream_router::{CONNECT_TIMEOUT, SlotGrant, UpstreamRouter};
 pub use upstream_state::{AttemptReport, UpstreamState, UpstreamSummary};
 pub use zone_evacuations::ZoneEvacuation;
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -24,7 +24,7 @@
 /// Timeout for opening a connection, counted from the choice of the upstream. Nothing of the
 /// attempt may be written after it. It is far above the few milliseconds between zones, and short
 /// enough to try another upstream: a lost SYN packet is sent again only after a second.
-pub const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Number of retries under the baseline policy, which has no retry budget.
 const BASELINE_RETRIES: usize = 3;
 
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::membership::KnownDaemons;
 use crocusdale_core::rate_limiting::{RateLimiter, RateShare};
 use crocusdale_core::routing::{
-    AttemptReport, CONNECT_PATIENCE, ColdLimits, ColdUpstream, DirectoryEntry, SlotRequest,
+    AttemptReport, CONNECT_TIMEOUT, ColdLimits, ColdUpstream, DirectoryEntry, SlotRequest,
     UpstreamDirectory, UpstreamRouter,
 };
 
@@ -143,7 +143,7 @@
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
                 if grant.upstream.starts_with("new") && now.since(start) < COLD.lasts {
                     let late = random.random_bool(0.5);
-                    writes.push(if late { now + CONNECT_PATIENCE } else { now });
+                    writes.push(if late { now + CONNECT_TIMEOUT } else { now });
                 }
                 router.release(&grant.upstream, grant.request.call, AttemptReport::Unmeasured, now);
             }
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -23,7 +23,7 @@
     RelayOrder, RequestContent, RunProof,
 };
 use crocusdale_core::quarantine::QUARANTINE;
-use crocusdale_core::routing::{CONNECT_PATIENCE, DirectoryEntry};
+use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
@@ -281,7 +281,7 @@
             engines.fleet.questions_are_late = true;
             worst = worst.max(engines.time_to_quarantine());
         }
-        let sum = worst + CONNECT_PATIENCE;
+        let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
         assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
     }
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -19,7 +19,7 @@
     LIMIT_WINDOW, RateLimiter, RateNotice, RateQuota, RateShare, RateUse, RequestRate,
 };
 use crocusdale_core::routing::{
-    CONNECT_PATIENCE, SlotRequest, UpstreamDirectory, UpstreamNotice, UpstreamRouter,
+    CONNECT_TIMEOUT, SlotRequest, UpstreamDirectory, UpstreamNotice, UpstreamRouter,
 };
 
 use forward_daemon::{Daemon, read};
@@ -107,7 +107,7 @@
 /// moment, goes on at its rate, and writes each request as late as it may.
 #[test]
 fn quotas_of_all_daemons_come_to_the_bound_at_most() {
-    let longest = (LIMIT_WINDOW + CONNECT_PATIENCE).as_secs_f64();
+    let longest = (LIMIT_WINDOW + CONNECT_TIMEOUT).as_secs_f64();
     for size in SIZES {
         let names: Vec<String> = (0..size).map(vm_name).collect();
         let share = |name: &String| RateShare::new(name, names.iter().map(String::as_str));
@@ -167,7 +167,7 @@
             }
             worst = worst.max(upstream.fleet.now.since(told));
         }
-        let sum = worst + CONNECT_PATIENCE;
+        let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
         assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
     }
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -18,7 +18,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::MonotonicTime;
 use crocusdale_core::pipeline::{AttemptEvent, RunProof};
-use crocusdale_core::routing::{CONNECT_PATIENCE, DirectoryEntry};
+use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
@@ -220,7 +220,7 @@
         }
     }
     daemon.publish(&["n2"], &[]);
-    while daemon.now < back + (Duration::from_millis(3_000) - CONNECT_PATIENCE) {
+    while daemon.now < back + (Duration::from_millis(3_000) - CONNECT_TIMEOUT) {
         daemon.advance(10);
     }
     let known = daemon.core.published_upstreams(daemon.now).entries;
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -10,7 +10,7 @@
     AnswerHead, AttemptEvent, CallerRequest, ForwardHead, RelayOrder, RequestContent, RunProof,
 };
 use crocusdale_core::rate_limiting::{RateNotice, RequestRate};
-use crocusdale_core::routing::{CONNECT_PATIENCE, DirectoryEntry, UpstreamNotice};
+use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
@@ -190,7 +190,7 @@
 
     fn take_relays(&mut self) {
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
-            let late = if self.writes_are_late { CONNECT_PATIENCE } else { Duration::ZERO };
+            let late = if self.writes_are_late { CONNECT_TIMEOUT } else { Duration::ZERO };
             self.push(at + late, daemon, AttemptStep::Arrive(order));
         }
     }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -17,7 +17,7 @@
 use crocusdale_core::identity::MonotonicTime;
 use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
 use crocusdale_core::rate_limiting::RateNotice;
-use crocusdale_core::routing::{CONNECT_PATIENCE, DirectoryEntry, UpstreamNotice};
+use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
 
 use forward_daemon::{Daemon, read};
 use support::virtual_fleet::VirtualFleet;
@@ -109,7 +109,7 @@
         let asked = ask(&mut daemon, 30);
         assert_eq!(count_of(&asked, "n1"), 0, "{notice_of:?}");
         let sum = last.since(noticed);
-        assert!(sum <= CONNECT_PATIENCE && sum < AWAY_BOUND && sum < NOTICE_BOUND, "{sum:?}");
+        assert!(sum <= CONNECT_TIMEOUT && sum < AWAY_BOUND && sum < NOTICE_BOUND, "{sum:?}");
     }
 }
 
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use crocusdale_core::routing::CONNECT_PATIENCE;
+use crocusdale_core::routing::CONNECT_TIMEOUT;
 use crocusdale_core::sync::lock;
 use http::{HeaderMap, Request, Response, header};
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -79,7 +79,7 @@
         if !fresh && let Some(sender) = self.take_idle(address) {
             return Ok(OpenConnection { address, sender });
         }
-        let sender = tokio::time::timeout(CONNECT_PATIENCE, open(address)).await;
+        let sender = tokio::time::timeout(CONNECT_TIMEOUT, open(address)).await;
         match sender {
             Ok(Ok(sender)) => Ok(OpenConnection { address, sender }),
             Ok(Err(fault)) => Err(SendFault::unwritten(&fault)),
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -18,7 +18,7 @@
 use crate::engine::DaemonEngine;
 
 /// Time to open a connection to an upstream.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Idle connections kept to one upstream.
 const IDLE_CONNECTIONS: usize = 64;
 /// Time after which an idle connection is closed; upstreams keep theirs for longer.
@@ -142,7 +142,7 @@
 
 pub(super) fn build_client(idle: usize) -> Option<Client> {
     let mut builder = ClientBuilder::new();
-    builder.set_connect_timeout(CONNECT_PATIENCE);
+    builder.set_connect_timeout(CONNECT_TIMEOUT);
     builder.set_max_idle_per_host(idle).set_pool_idle_timeout(IDLE_TIME);
     builder.build().ok()
 }
--- a/crates/crocusdaled/src/upstream/upstream_probe.rs
+++ b/crates/crocusdaled/src/upstream/upstream_probe.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crocusdale_core::daemon::DaemonEvent;
-use crocusdale_core::routing::CONNECT_PATIENCE;
+use crocusdale_core::routing::CONNECT_TIMEOUT;
 use tokio::net::TcpStream;
 
 use crate::engine::DaemonEngine;
@@ -20,7 +20,7 @@
     let engine = Arc::clone(engine);
     tokio::spawn(async move {
         tokio::time::sleep(CLOSING).await;
-        let opened = tokio::time::timeout(CONNECT_PATIENCE, TcpStream::connect(address)).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let has_ended = matches!(
             opened, Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused
         );
