--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -11,7 +11,7 @@
 use crate::membership::{
     DirectoryNews, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, RosterHistory, VmRoster,
 };
-use crate::orders::{EngineOrder, OrderKeeper, OrderStep};
+use crate::orders::{EngineOrder, OrderReconciler, ReconcileAction};
 use crate::quarantine::CrashRecord;
 use crate::rate_limiting::{LimitRecord, RateShare};
 
@@ -369,8 +369,8 @@
     /// Asks the engines that this daemon keeps what they hold.
     pub fn look_at_engines(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         if let Some(in_force) = self.ledger.in_force().filter(|_| self.ready) {
-            let keeper = OrderKeeper::new(&in_force.declarations, in_force.revision);
-            for engine in keeper.kept(self.history.current(), &self.view) {
+            let reconciler = OrderReconciler::new(&in_force.declarations, in_force.revision);
+            for engine in reconciler.managed_engines(self.history.current(), &self.view) {
                 let (upstream, address) = (engine.name.clone(), engine.address);
                 out.push(Command::ReadPlacement { upstream, address });
             }
@@ -387,11 +387,11 @@
         out: &mut Vec<Command>,
     ) {
         let (Some(held), Some(in_force)) = (held, self.ledger.in_force()) else { return };
-        let keeper = OrderKeeper::new(&in_force.declarations, in_force.revision);
-        match keeper.decide(&upstream, &held) {
-            OrderStep::Nothing => {}
-            OrderStep::Newer => out.push(Command::Count(CounterName::OrdersOutdated)),
-            OrderStep::Give { address, order } => {
+        let reconciler = OrderReconciler::new(&in_force.declarations, in_force.revision);
+        match reconciler.decide(&upstream, &held) {
+            ReconcileAction::Nothing => {}
+            ReconcileAction::NewerHeld => out.push(Command::Count(CounterName::OrdersOutdated)),
+            ReconcileAction::Send { address, order } => {
                 out.push(Command::Count(CounterName::OrdersGiven));
                 out.push(Command::GiveOrder { upstream, address, order });
             }
--- a/crates/crocusdale_core/src/orders/mod.rs
+++ b/crates/crocusdale_core/src/orders/mod.rs
@@ -1,7 +1,7 @@
 //! Desired state of model engines: the order that each must fulfil and the daemon that sends it.
 
 mod engine_order;
-mod order_keeper;
+mod order_reconciler;
 
 pub use engine_order::{EngineOrder, EngineRole};
-pub use order_keeper::{OrderKeeper, OrderStep};
+pub use order_reconciler::{OrderReconciler, ReconcileAction};
--- a/crates/crocusdale_core/src/orders/order_keeper.rs
+++ b/crates/crocusdale_core/src/orders/order_reconciler.rs
@@ -14,21 +14,21 @@
 /// other engines, the daemon reads the held order first and leaves a newer one unchanged. A newer
 /// order can then be lost only if another daemon writes it between this daemon's read and write.
 #[derive(Debug)]
-pub struct OrderKeeper<'a> {
+pub struct OrderReconciler<'a> {
     declarations: &'a Declarations,
     revision: u64,
 }
 
 /// What to do about a model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderStep {
+pub enum ReconcileAction {
     /// Nothing: the engine already fulfils its order, or no order applies to it.
     Nothing,
     /// Nothing: the engine holds an order with a later revision than the one in force in this
     /// daemon.
-    Newer,
+    NewerHeld,
     /// Send the engine this order.
-    Give {
+    Send {
         /// Address on which the engine accepts requests.
         address: SocketAddr,
         /// Order to send.
@@ -36,7 +36,7 @@
     },
 }
 
-impl<'a> OrderKeeper<'a> {
+impl<'a> OrderReconciler<'a> {
     /// Reconciles engines with `declarations`, which are in force as `revision`.
     #[must_use]
     pub fn new(declarations: &'a Declarations, revision: u64) -> Self {
@@ -45,7 +45,7 @@
 
     /// Engines that this daemon manages. Each engine is assigned by rendezvous hashing to one of
     /// the daemons that are reachable and not leaving, as this daemon sees them.
-    pub fn kept<'b>(
+    pub fn managed_engines<'b>(
         &'b self,
         roster: &'b VmRoster,
         view: &'b MemberView,
@@ -77,12 +77,12 @@
     /// Decides what to do about the engine `upstream`, which reports that it holds the order
     /// `held`.
     #[must_use]
-    pub fn decide(&self, upstream: &str, held: &EngineOrder) -> OrderStep {
+    pub fn decide(&self, upstream: &str, held: &EngineOrder) -> ReconcileAction {
         match self.order_for(upstream) {
-            None => OrderStep::Nothing,
-            Some(_) if held.fence > self.revision => OrderStep::Newer,
-            Some((_, order)) if order.is_fulfilled_by(held) => OrderStep::Nothing,
-            Some((address, order)) => OrderStep::Give { address, order },
+            None => ReconcileAction::Nothing,
+            Some(_) if held.fence > self.revision => ReconcileAction::NewerHeld,
+            Some((_, order)) if order.is_fulfilled_by(held) => ReconcileAction::Nothing,
+            Some((address, order)) => ReconcileAction::Send { address, order },
         }
     }
 }
--- a/crates/crocusdale_core/tests/engine_orders_test.rs
+++ b/crates/crocusdale_core/tests/engine_orders_test.rs
@@ -4,7 +4,7 @@
 
 use crocusdale_core::configuration::Declarations;
 use crocusdale_core::daemon::{Command, DaemonEvent};
-use crocusdale_core::orders::{EngineOrder, OrderKeeper, OrderStep};
+use crocusdale_core::orders::{EngineOrder, OrderReconciler, ReconcileAction};
 use support::CoreFleet;
 
 fn declared(version: &str) -> String {
@@ -24,9 +24,9 @@
 #[test]
 fn order_is_given_only_where_something_differs() {
     let declarations = Declarations::check("test", &declared("v2")).expect("they are right");
-    let keeper = OrderKeeper::new(&declarations, 5);
-    assert_eq!(keeper.decide("u1", &held(2, "v2")), OrderStep::Nothing);
-    let OrderStep::Give { order, .. } = keeper.decide("u1", &held(2, "v1")) else {
+    let reconciler = OrderReconciler::new(&declarations, 5);
+    assert_eq!(reconciler.decide("u1", &held(2, "v2")), ReconcileAction::Nothing);
+    let ReconcileAction::Send { order, .. } = reconciler.decide("u1", &held(2, "v1")) else {
         panic!("it must be given the declared version");
     };
     assert_eq!(order, held(5, "v2"));
