--- a/crates/crocusdale_core/examples/directory_slopes.rs
+++ b/crates/crocusdale_core/examples/directory_slopes.rs
@@ -61,7 +61,7 @@
 fn list(upstreams: usize, revision: u64) -> Vec<(u64, DirectoryEntry)> {
     let entry = |number: usize| DirectoryEntry {
         id: format!("i-{number:010x}"),
-        born: Some(1_700_000_000_000 + number as u64),
+        started_at_ms: Some(1_700_000_000_000 + number as u64),
         pool: if number.is_multiple_of(4) { "notify" } else { "reader" }.to_owned(),
         address: "10.1.2.3:8080".parse().expect("an address"),
         zone: format!("z{}", number % 5),
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -23,7 +23,8 @@
     pub id: String,
     /// Start time of the process, in milliseconds since the Unix epoch. Distinguishes the runs of a
     /// process that restarts under its ID. `None` if the platform doesn't publish it.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_at_ms: Option<u64>,
     /// Name of the stage pool that the process serves.
     pub pool: String,
     /// Address on which the process accepts requests.
@@ -44,8 +45,8 @@
     /// cached prompts, ejection and leaving notice don't apply to it.
     #[must_use]
     pub fn name(&self) -> String {
-        match self.born {
-            Some(born) => format!("{} born {born}", self.id),
+        match self.started_at_ms {
+            Some(started_at_ms) => format!("{} born {started_at_ms}", self.id),
             None => self.id.clone(),
         }
     }
@@ -406,20 +407,24 @@
         }
         // A write from an earlier run of the process may reach the platform after one from a later
         // run.
-        let last_start = recorded.map(|recorded| recorded.entry.born);
-        let last_start = last_start.max(self.removed.get(&entry.id).map(|(_, born)| *born));
-        if last_start.is_some_and(|last| entry.born < last) {
+        let last_start = recorded.map(|recorded| recorded.entry.started_at_ms);
+        let last_start =
+            last_start.max(self.removed.get(&entry.id).map(|(_, started_at_ms)| *started_at_ms));
+        if last_start.is_some_and(|last| entry.started_at_ms < last) {
             return false;
         }
         self.missing.remove(&entry.id);
         let recorded = self.entries.get(&entry.id);
-        if let Some(ended) = recorded.filter(|recorded| recorded.entry.born < entry.born) {
+        if let Some(ended) =
+            recorded.filter(|recorded| recorded.entry.started_at_ms < entry.started_at_ms)
+        {
             self.restarted.push(ended.entry.address);
         }
         // A leaving process never stays after all: an entry that says so was written before its
         // notice.
-        let is_leaving = recorded
-            .is_some_and(|recorded| recorded.entry.leaving && recorded.entry.born == entry.born);
+        let is_leaving = recorded.is_some_and(|recorded| {
+            recorded.entry.leaving && recorded.entry.started_at_ms == entry.started_at_ms
+        });
         let is_leaving = is_leaving || self.leaving_notices.contains_key(&entry.name());
         let is_outdated = is_leaving && !entry.leaving;
         let changed = !is_outdated && recorded.is_none_or(|recorded| recorded.entry != entry);
@@ -462,15 +467,17 @@
     /// lost. The restored store lists them until their leases expire. A process that is still
     /// running renews its entry with a heartbeat, which is written after the restore.
     fn is_restored_after_removal(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
-        self.removed.get(&entry.id).is_some_and(|(removed, born)| {
-            removed.era < written.era && written <= self.restore_position && entry.born <= *born
+        self.removed.get(&entry.id).is_some_and(|(removed, started_at_ms)| {
+            removed.era < written.era
+                && written <= self.restore_position
+                && entry.started_at_ms <= *started_at_ms
         })
     }
 
     fn remove(&mut self, id: &str, position: StorePosition) -> bool {
-        let born = self.entries.get(id).and_then(|listed| listed.entry.born);
-        let last = self.removed.get(id).and_then(|(_, born)| *born);
-        self.removed.insert(id.to_owned(), (position, born.max(last)));
+        let started_at_ms = self.entries.get(id).and_then(|listed| listed.entry.started_at_ms);
+        let last = self.removed.get(id).and_then(|(_, started_at_ms)| *started_at_ms);
+        self.removed.insert(id.to_owned(), (position, started_at_ms.max(last)));
         let is_removed = self.entries.get(id).is_some_and(|listed| listed.written <= position);
         if is_removed {
             self.entries.remove(id);
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -231,7 +231,7 @@
             leaving: entry.leaving,
             revision: written.revision,
             era: written.era,
-            born: entry.born,
+            born: entry.started_at_ms,
             lapses_in_ms: lapses_in.map(short_millis),
         }
     }
@@ -248,7 +248,7 @@
             zone: wire.zone,
             slots: wire.slots,
             leaving: wire.leaving,
-            born: wire.born,
+            started_at_ms: wire.born,
         };
         let lapses_in = wire.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
         let written = StorePosition { era: wire.era, revision: wire.revision };
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -38,7 +38,7 @@
 fn entry(id: &str) -> (u64, DirectoryEntry) {
     let entry = DirectoryEntry {
         id: id.to_owned(),
-        born: Some(1),
+        started_at_ms: Some(1),
         pool: "reader".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "a".to_owned(),
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -12,7 +12,7 @@
     let declarations =
         DeclarationsBuilder::new("test", Duration::from_secs(1)).stage("desk", stage).build();
     let entry = DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: "u1".to_owned(),
         pool: "desk".to_owned(),
         address: "10.9.0.1:80".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -103,7 +103,7 @@
         let entry = |id: &String| {
             let entry = DirectoryEntry {
                 id: id.clone(),
-                born: None,
+                started_at_ms: None,
                 pool: "reader".to_owned(),
                 address: "127.0.0.1:9".parse().expect("an address"),
                 zone: "z0".to_owned(),
--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -17,7 +17,7 @@
 fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
-        born: None,
+        started_at_ms: None,
         pool: "reader".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "a".to_owned(),
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -119,7 +119,7 @@
 
 fn directory(engines: usize) -> UpstreamDirectory {
     let entry = |index: usize| DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: format!("engine-{index}"),
         pool: "reader".to_owned(),
         address: format!("10.1.0.{}:80", index + 1).parse().expect("an address"),
--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -28,7 +28,7 @@
     let router = UpstreamRouter::new("a", 1).regions(RegionMap::from(regions));
     let entry = |pool: &str, zone: &str| DirectoryEntry {
         id: format!("{pool}-{zone}"),
-        born: None,
+        started_at_ms: None,
         pool: pool.to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: zone.to_owned(),
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -282,7 +282,7 @@
 /// An upstream whose every entry differs from the one before.
 fn entry(slots: u64) -> DirectoryEntry {
     DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: "u1".to_owned(),
         pool: "work".to_owned(),
         address: "10.9.0.1:80".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/published_upstreams_test.rs
+++ b/crates/crocusdale_core/tests/published_upstreams_test.rs
@@ -5,7 +5,7 @@
 
 fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: id.to_owned(),
         pool: "rerank".to_owned(),
         address: "127.0.0.1:9000".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -24,7 +24,7 @@
 fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
-        born: None,
+        started_at_ms: None,
         pool: "reader".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z0".to_owned(),
@@ -113,7 +113,7 @@
     // A later life is another process, wherever it is listed.
     let mut directory = known();
     directory.replace(at(1, 920), vec![(300, entry("a"))], None);
-    let born = DirectoryEntry { born: Some(7), ..entry("b") };
+    let born = DirectoryEntry { started_at_ms: Some(7), ..entry("b") };
     directory.replace(at(2, 350), vec![(300, entry("a")), (340, born)], Some(GRACE));
     assert_eq!(staying(&directory), ["a", "b"]);
 }
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -38,7 +38,7 @@
 
 pub fn entry(id: &str, zone: &str) -> DirectoryEntry {
     DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: id.to_owned(),
         pool: POOL.to_owned(),
         address: "127.0.0.1:9000".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -217,7 +217,7 @@
         let plain = plain.iter().map(|id| (*id, "notify"));
         let entries = plain.chain(stages).chain(others).map(|(id, pool)| {
             let entry = DirectoryEntry {
-                born: None,
+                started_at_ms: None,
                 id: id.to_owned(),
                 pool: pool.to_owned(),
                 address: "127.0.0.1:9".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -113,7 +113,7 @@
         *revision += 1;
         for (written, entry) in entries.iter_mut().filter(|(_, entry)| entry.id == LIMITED) {
             *written = *revision;
-            entry.born = entry.born.map(|born| born + 1);
+            entry.started_at_ms = entry.started_at_ms.map(|started_at_ms| started_at_ms + 1);
         }
     }
 
@@ -257,7 +257,7 @@
 pub fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
-        born: Some(7),
+        started_at_ms: Some(7),
         pool: "notify".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z0".to_owned(),
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -17,7 +17,7 @@
 };
 
 fn born(id: &str, born: u64) -> DirectoryEntry {
-    DirectoryEntry { born: Some(born), ..entry(id, "a") }
+    DirectoryEntry { started_at_ms: Some(born), ..entry(id, "a") }
 }
 
 fn leaving(id: &str, birth: u64) -> DirectoryEntry {
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -13,7 +13,7 @@
 
 fn entry(leaving: bool) -> DirectoryEntry {
     DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: "u1".to_owned(),
         pool: "work".to_owned(),
         address: "10.9.0.1:80".parse().expect("an address"),
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -207,7 +207,7 @@
         let mut fleet = VirtualFleet::with_reader(size, 3, NewsBounds::default(), read);
         let entry = DirectoryEntry {
             id: "e1".to_owned(),
-            born: Some(7),
+            started_at_ms: Some(7),
             pool: "reader".to_owned(),
             address: "127.0.0.1:9".parse().expect("an address"),
             zone: "z0".to_owned(),
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -26,7 +26,7 @@
 fn entry(id: &str, zone: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
-        born: None,
+        started_at_ms: None,
         pool: "reader".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: zone.to_owned(),
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -195,7 +195,7 @@
         for (pool, upstreams, slots) in pools.chain(engines) {
             for index in 0..upstreams {
                 let entry = DirectoryEntry {
-                    born: None,
+                    started_at_ms: None,
                     id: format!("{pool}-{index}"),
                     pool: pool.clone(),
                     address: SocketAddr::from(([127, 0, 0, 1], 9)),
