--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -265,7 +265,7 @@
         let mut changed = self.directory.replace_evacuations(position, evacuations, restored);
         changed |= self.directory.replace(position, entries, grace);
         let told = cold.clone();
-        if self.directory.note_cold(cold, now) {
+        if self.directory.record_cold(cold, now) {
             changed = true;
             self.note_cold_starts(told, now, out);
         }
@@ -470,7 +470,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let is_news = self.directory.note_cold(vec![cold.clone()], now);
+        let is_news = self.directory.record_cold(vec![cold.clone()], now);
         if is_news {
             self.note_cold_starts(vec![cold], now, out);
         }
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -61,7 +61,7 @@
         let (mut has_news, mut list_changed) = (false, false);
         for leaving in news {
             let is_routed = self.router().take_leaving(leaving);
-            let is_listed = lock(&self.directory).directory.note_leaving(&leaving.upstream, now);
+            let is_listed = lock(&self.directory).directory.record_leaving(&leaving.upstream, now);
             if is_routed || is_listed {
                 let upstream = leaving.upstream.clone();
                 out.push(Command::Note(StateChange::UpstreamLeaving { upstream }));
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -133,7 +133,7 @@
 
     /// Records the cold starts that upstreams reported by `now`. Returns whether the change affects
     /// routing.
-    pub fn note_cold(&mut self, cold: Vec<ColdUpstream>, now: MonotonicTime) -> bool {
+    pub fn record_cold(&mut self, cold: Vec<ColdUpstream>, now: MonotonicTime) -> bool {
         let mut has_changed = false;
         for upstream in cold {
             has_changed |= self.cold.record(upstream, now);
@@ -179,7 +179,7 @@
     /// as long as the platform is unreachable. The notice overrides all older and newer lists, and
     /// is kept when the entry expires and returns. A later run of the process has another name, so
     /// that the notice doesn't apply to it.
-    pub fn note_leaving(&mut self, name: &str, now: MonotonicTime) -> bool {
+    pub fn record_leaving(&mut self, name: &str, now: MonotonicTime) -> bool {
         self.leaving_notices.retain(|_, received| now.since(*received) < LEAVING_NOTICE_TTL);
         self.leaving_notices.insert(name.to_owned(), now);
         let mut entries = self.entries.values_mut().map(|listed| &mut listed.entry);
@@ -284,7 +284,7 @@
             let is_listed = |id: &String| self.entries.contains_key(id);
             let expiring: Vec<_> = expiring.into_iter().filter(|(id, _)| is_listed(id)).collect();
             self.missing.extend(expiring);
-            changed |= self.note_cold(cold, now);
+            changed |= self.record_cold(cold, now);
         }
         changed
     }
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -216,8 +216,8 @@
     let mut known = directory(1, &["old"]);
     let now = MonotonicTime::from_millis(10_000);
     let cold = ColdUpstream { name: entry("old").1.name(), left: Duration::from_secs(2) };
-    assert!(known.note_cold(vec![cold.clone()], now));
-    assert!(!known.note_cold(vec![cold.clone()], now), "that is no news");
+    assert!(known.record_cold(vec![cold.clone()], now));
+    assert!(!known.record_cold(vec![cold.clone()], now), "that is no news");
     let mut peer = directory(1, &["old"]);
     assert!(peer.merge(known.snapshot(now + Duration::from_secs(1)), now));
     for (list, until) in [(known, 12_000), (peer, 11_000)] {
