--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -357,7 +357,7 @@
     /// Drops upstreams and evacuations that stayed missing. Returns whether there were any.
     pub(super) fn drop_missing(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
         let zones = self.evacuated_zones();
-        let dropped = self.directory.drop_missing(now);
+        let dropped = self.directory.remove_expired(now);
         self.note_evacuations(&zones, None, out);
         dropped
     }
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -309,7 +309,7 @@
 
     /// Removes missing upstreams and evacuations whose time limit has passed. Returns whether any
     /// were removed.
-    pub fn drop_missing(&mut self, now: MonotonicTime) -> bool {
+    pub fn remove_expired(&mut self, now: MonotonicTime) -> bool {
         let expired = self.missing.iter().filter(|(_, until)| now >= **until);
         let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
         for id in &expired {
--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -113,7 +113,7 @@
     peer.replace(110, vec![(90, entry("a"))], Some(grace));
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
     peer.merge(reader.changes_since(peer.known_to_peers(), NOW), NOW);
-    assert!(!peer.drop_missing(grace));
+    assert!(!peer.remove_expired(grace));
     assert_eq!(staying(&peer), ["a", "b"]);
 }
 
@@ -171,7 +171,7 @@
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
     peer.merge(reader.changes_since(asked, NOW), NOW);
     assert_eq!(peer.position(), at(110), "these were asked for before it was missing");
-    assert!(peer.drop_missing(grace));
+    assert!(peer.remove_expired(grace));
     reader.replace(130, vec![(125, entry("a")), (126, entry("b")), (127, entry("c"))], None);
     peer.merge(reader.changes_since(peer.known_to_peers(), grace), grace);
     assert_eq!(staying(&peer), ["a", "b", "c"]);
--- a/crates/crocusdale_core/tests/published_upstreams_test.rs
+++ b/crates/crocusdale_core/tests/published_upstreams_test.rs
@@ -35,7 +35,7 @@
     assert!(!directory.replace(9, vec![(8, entry("u1"))], Some(grace)));
     assert_eq!(ids(&directory), ["u1", "u2"]);
     assert!(!directory.replace(12, vec![(8, entry("u1")), (11, entry("u2"))], Some(grace)));
-    assert!(!directory.drop_missing(MonotonicTime::from_millis(2_100)));
+    assert!(!directory.remove_expired(MonotonicTime::from_millis(2_100)));
     assert_eq!(ids(&directory), ["u1", "u2"]);
 }
 
@@ -46,8 +46,8 @@
     directory.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     let grace = MonotonicTime::from_millis(2_000);
     directory.replace(9, vec![(8, entry("u1"))], Some(grace));
-    assert!(!directory.drop_missing(MonotonicTime::from_millis(1_900)));
-    assert!(directory.drop_missing(MonotonicTime::from_millis(2_000)));
+    assert!(!directory.remove_expired(MonotonicTime::from_millis(1_900)));
+    assert!(directory.remove_expired(MonotonicTime::from_millis(2_000)));
     assert_eq!(ids(&directory), ["u1"]);
 }
 
@@ -108,8 +108,8 @@
     peer.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     assert!(peer.merge(reader.snapshot(at(500)), at(501)));
     assert_eq!(ids(&peer), ["u1", "u2", "u3"], "it may come back");
-    assert!(!peer.drop_missing(at(1_900)));
-    assert!(peer.drop_missing(at(2_010)));
+    assert!(!peer.remove_expired(at(1_900)));
+    assert!(peer.remove_expired(at(2_010)));
     assert_eq!(ids(&peer), ["u1", "u3"]);
     assert!(
         !peer.merge(reader.snapshot(at(1_950)), at(2_020)),
@@ -128,7 +128,7 @@
     let mut peer = UpstreamDirectory::default();
     peer.merge(reader.snapshot(at(100)), at(100));
     peer.merge(reader.snapshot(at(100)), at(1_000));
-    assert!(peer.drop_missing(at(2_000)));
+    assert!(peer.remove_expired(at(2_000)));
     assert!(ids(&peer).is_empty());
 }
 
@@ -142,5 +142,5 @@
     directory.replace(9, vec![(8, entry("u1"))], Some(at(2_000)));
     assert!(directory.replace(12, Vec::new(), None), "u1 is gone");
     assert_eq!(ids(&directory), ["u2"], "u2 is still waited for");
-    assert!(directory.drop_missing(at(2_000)));
+    assert!(directory.remove_expired(at(2_000)));
 }
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -75,7 +75,7 @@
     assert_eq!(staying(&directory), ["a", "b"]);
     // It writes again, and stays.
     directory.replace(at(2, 360), vec![(300, entry("a")), (355, entry("b"))], None);
-    assert!(!directory.drop_missing(LATER));
+    assert!(!directory.remove_expired(LATER));
     assert_eq!(staying(&directory), ["a", "b"]);
 }
 
@@ -85,7 +85,7 @@
     directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE));
     directory.replace(at(2, 360), vec![(300, entry("a"))], None);
     assert_eq!(staying(&directory), ["a", "b"], "it is still waited for");
-    assert!(directory.drop_missing(LATER));
+    assert!(directory.remove_expired(LATER));
     assert_eq!(staying(&directory), ["a"]);
     assert!(directory.changed() > at(2, 350), "others hear of it");
 }
@@ -128,7 +128,7 @@
     directory.merge(peer.snapshot(now), now);
     assert_eq!(directory.position(), at(2, 350));
     assert_eq!(staying(&directory), ["a", "b"]);
-    assert!(directory.drop_missing(LATER));
+    assert!(directory.remove_expired(LATER));
     assert_eq!(staying(&directory), ["a"]);
     // The other way round, it is old news.
     let mut ahead = UpstreamDirectory::default();
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -142,11 +142,11 @@
     directory.replace_evacuations(at(2, 5), Vec::new(), Some(grace));
     directory.replace_evacuations(at(2, 6), Vec::new(), None);
     assert_eq!(staying(&directory), ["a1"], "the operator writes it again");
-    assert!(!directory.drop_missing(MonotonicTime::from_millis(4_999)));
-    assert!(directory.drop_missing(grace), "it never came");
+    assert!(!directory.remove_expired(MonotonicTime::from_millis(4_999)));
+    assert!(directory.remove_expired(grace), "it never came");
     assert_eq!(staying(&directory), ["a1", "b1"]);
     directory.replace_evacuations(at(3, 5), vec![evacuation(at(3, 4), "b")], Some(grace));
-    assert!(!directory.drop_missing(grace), "it was written again");
+    assert!(!directory.remove_expired(grace), "it was written again");
     assert_eq!(staying(&directory), ["a1"]);
 }
 
