--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -316,7 +316,7 @@
         if newer && !fetching {
             self.fetching = Some((vm.to_owned(), now));
             out.push(Command::Count(CounterName::DirectoryFetches));
-            let (vm, known) = (vm.to_owned(), self.directory.known_to_peers());
+            let (vm, known) = (vm.to_owned(), self.directory.sync_position());
             out.push(Command::FetchDirectory { known, vm });
         }
     }
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -375,7 +375,7 @@
 
     /// Store position up to which a peer may omit changes. Zero if a full list is needed.
     #[must_use]
-    pub fn known_to_peers(&self) -> StorePosition {
+    pub fn sync_position(&self) -> StorePosition {
         if self.is_complete() { self.position } else { StorePosition::default() }
     }
 
--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -59,7 +59,7 @@
             }
             reader.replace(revision, published.clone(), None);
             if random.random_bool(0.3) {
-                peer.merge(reader.changes_since(peer.known_to_peers(), NOW), NOW);
+                peer.merge(reader.changes_since(peer.sync_position(), NOW), NOW);
                 assert_eq!(staying(&peer), staying(&reader), "seed {seed}, reading {reading}");
             }
         }
@@ -96,7 +96,7 @@
     teller.replace(100, vec![(90, entry("a"))], None);
     let mut peer = UpstreamDirectory::default();
     peer.replace(80, vec![(70, entry("a")), (71, entry("gone"))], None);
-    peer.merge(teller.changes_since(peer.known_to_peers(), NOW), NOW);
+    peer.merge(teller.changes_since(peer.sync_position(), NOW), NOW);
     assert_eq!(staying(&peer), ["a"]);
 }
 
@@ -112,7 +112,7 @@
     let grace = MonotonicTime::from_millis(2_000);
     peer.replace(110, vec![(90, entry("a"))], Some(grace));
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
-    peer.merge(reader.changes_since(peer.known_to_peers(), NOW), NOW);
+    peer.merge(reader.changes_since(peer.sync_position(), NOW), NOW);
     assert!(!peer.remove_expired(grace));
     assert_eq!(staying(&peer), ["a", "b"]);
 }
@@ -173,9 +173,9 @@
     assert_eq!(peer.position(), at(110), "these were asked for before it was missing");
     assert!(peer.remove_expired(grace));
     reader.replace(130, vec![(125, entry("a")), (126, entry("b")), (127, entry("c"))], None);
-    peer.merge(reader.changes_since(peer.known_to_peers(), grace), grace);
+    peer.merge(reader.changes_since(peer.sync_position(), grace), grace);
     assert_eq!(staying(&peer), ["a", "b", "c"]);
-    assert_eq!(peer.known_to_peers(), at(130), "changes are enough again");
+    assert_eq!(peer.sync_position(), at(130), "changes are enough again");
 }
 
 /// Guards against fleets in which every daemon reads the platform for itself, because some upstream changes
