--- a/crates/crocusdale_core/src/routing/peer_directory.rs
+++ b/crates/crocusdale_core/src/routing/peer_directory.rs
@@ -40,7 +40,7 @@
     /// The entry as the platform publishes it, or last published it.
     pub entry: DirectoryEntry,
     /// Remaining time until the sender removes the entry. `None` if the platform still lists it.
-    pub lapses_in: Option<Duration>,
+    pub expires_in: Option<Duration>,
 }
 
 /// An upstream that is no longer published.
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -264,7 +264,7 @@
         let grace = is_restored.then_some(now + RESTORE_GRACE);
         let expiring = list.entries.iter();
         let expiring =
-            expiring.filter_map(|entry| Some((entry.entry.id.clone(), entry.lapses_in?)));
+            expiring.filter_map(|entry| Some((entry.entry.id.clone(), entry.expires_in?)));
         let expiring: Vec<_> = expiring
             .map(|(id, left)| {
                 let until = now + left;
@@ -390,7 +390,7 @@
         PeerEntry {
             written: listed.written,
             entry: listed.entry.clone(),
-            lapses_in: self.missing.get(id).map(|until| until.since(now)),
+            expires_in: self.missing.get(id).map(|until| until.since(now)),
         }
     }
 
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -221,7 +221,7 @@
 }
 
 impl From<PeerEntry> for peer::DirectoryEntry {
-    fn from(PeerEntry { written, entry, lapses_in }: PeerEntry) -> Self {
+    fn from(PeerEntry { written, entry, expires_in }: PeerEntry) -> Self {
         Self {
             id: entry.id,
             pool: entry.pool,
@@ -232,7 +232,7 @@
             revision: written.revision,
             era: written.era,
             born: entry.started_at_ms,
-            lapses_in_ms: lapses_in.map(short_millis),
+            lapses_in_ms: expires_in.map(short_millis),
         }
     }
 }
@@ -250,9 +250,9 @@
             leaving: wire.leaving,
             started_at_ms: wire.born,
         };
-        let lapses_in = wire.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
+        let expires_in = wire.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
         let written = StorePosition { era: wire.era, revision: wire.revision };
-        Ok(Self { written, entry, lapses_in })
+        Ok(Self { written, entry, expires_in })
     }
 }
 
