--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -28,7 +28,7 @@
             inputs: self.results().iter().map(|result| result.handle.clone()).collect(),
             level: self.plan.level,
             fresh: !self.plan.repeatable,
-            kept_connections: grant.kept_connections,
+            kept_connections: grant.max_idle_connections,
             expires: self.plan.deadline,
             write_by: now + CONNECT_TIMEOUT,
         }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -95,7 +95,7 @@
             branch.stage == grant.request.stage && branch.is_waiting()
         });
         // What can't be answered in time any more would only take the place of what can.
-        let unservable = now + grant.fastest >= self.plan.deadline;
+        let unservable = now + grant.min_answer_time >= self.plan.deadline;
         let Some(index) = wanted.filter(|_| !unservable) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
             steps.push(ShardStep::Release { upstream: grant.upstream, call, report });
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -88,9 +88,9 @@
     /// Address on which the upstream accepts requests.
     pub address: SocketAddr,
     /// Shortest recent answer time of the upstream. Zero if it is unknown or not tracked.
-    pub fastest: Duration,
+    pub min_answer_time: Duration,
     /// Maximum number of idle connections that this daemon may keep open to the upstream.
-    pub kept_connections: usize,
+    pub max_idle_connections: usize,
 }
 
 impl UpstreamRouter {
@@ -343,7 +343,7 @@
 
     fn grant(&self, position: usize, request: SlotRequest, now: MonotonicTime) -> SlotGrant {
         let upstream = &self.upstreams[position];
-        let fastest = {
+        let min_answer_time = {
             let mut state = lock(&upstream.state);
             state.begin();
             if let Some(routed) = self.pools.get(&request.stage) {
@@ -361,10 +361,10 @@
             }
         };
         self.limiter.spend(&upstream.rules.name);
-        let kept_connections = self.kept_connections(&request.stage);
+        let max_idle_connections = self.max_idle_connections(&request.stage);
         SlotGrant {
-            fastest,
-            kept_connections,
+            min_answer_time,
+            max_idle_connections,
             request,
             upstream: upstream.rules.name.clone(),
             process: upstream.rules.process.clone(),
@@ -379,7 +379,7 @@
     /// upstream resets the next new connection, and the request on it may not be safe to repeat.
     /// All daemons together keep up to half of the limit idle; the other half remains for
     /// connections in use.
-    fn kept_connections(&self, stage: &str) -> usize {
+    fn max_idle_connections(&self, stage: &str) -> usize {
         let connection_limit = self.pools.get(stage).and_then(|routed| routed.connections);
         let daemons = self.daemons.load(Ordering::Relaxed).max(1);
         connection_limit.map_or(usize::MAX, |connections| connections as usize / 2 / daemons)
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -40,7 +40,7 @@
         homes: HomeRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
-    grant.expect("the pool is there").expect("a place is free").kept_connections
+    grant.expect("the pool is there").expect("a place is free").max_idle_connections
 }
 
 // Sixty daemons keep a few idle connections each to an upstream that takes a hundred from all. The
