--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -290,7 +290,9 @@
                 let report = self.judge_time(report, now);
                 steps = self.run_grants(self.router().release(&upstream, call, report, now), now);
             }
-            ShardStep::Flowing { upstream, call } => self.router().flowing(&upstream, call),
+            ShardStep::Flowing { upstream, call } => {
+                self.router().record_first_event(&upstream, call)
+            }
             ShardStep::FreeResults { pool, results } => self.free_results(&pool, results, out),
             ShardStep::OfferPieces { mut order, tried, target } => {
                 if let Some(target) = target.filter(|_| order.zone.is_none()) {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -274,7 +274,7 @@
     }
 
     /// Records the first event of the answer to `call`.
-    pub fn flowing(&self, upstream: &str, call: CallId) {
+    pub fn record_first_event(&self, upstream: &str, call: CallId) {
         if let Some(upstream) = self.upstream(upstream)
             && let Some(engine) = &mut lock(&upstream.state).engine
         {
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -73,7 +73,7 @@
             ));
             while let Some(entry) = unread.first_entry().filter(|entry| entry.key().0 <= now) {
                 let ((_, call), (daemon, engine)) = entry.remove_entry();
-                routers[daemon].flowing(&engine, CallId(call));
+                routers[daemon].record_first_event(&engine, CallId(call));
             }
             while let Some(entry) = open.first_entry().filter(|entry| entry.key().0 <= now) {
                 let ((_, call), (daemon, engine)) = entry.remove_entry();
