--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -281,7 +281,7 @@
         *self.router.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(router);
         // The router before it may have been told after this one was made.
         let is_closed = lock(&self.held).is_closed();
-        self.router().hold(is_closed);
+        self.router().set_suspended(is_closed);
     }
 
     pub(super) fn basis(&self) -> Arc<RequestBasis> {
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -25,7 +25,7 @@
             (overdue, lock(&self.held).set_closed(overdue))
         };
         let Some(released) = released else { return };
-        self.router().hold(overdue);
+        self.router().set_suspended(overdue);
         lock(&self.dispatcher).hold(overdue);
         if overdue {
             return;
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -157,7 +157,7 @@
     }
 
     /// Suspends or resumes all choices. Returns whether the state has changed.
-    pub fn hold(&self, is_suspended: bool) -> bool {
+    pub fn set_suspended(&self, is_suspended: bool) -> bool {
         self.is_suspended.swap(is_suspended, Ordering::Relaxed) != is_suspended
     }
 
