--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -9,7 +9,7 @@
 use super::{BatchId, BatchItem, BatchOrder, BatchPool, DispatchAction};
 use crate::configuration::BatchRules;
 use crate::identity::{AttemptId, MonotonicTime};
-use crate::routing::CONNECT_PATIENCE;
+use crate::routing::CONNECT_TIMEOUT;
 
 /// Time after the start of a call by which its inputs have been fetched. Ten megabytes take 8 ms at
 /// 10 Gbit/s, and a message a few more. It is short compared with a call, during the rest of which
@@ -93,7 +93,7 @@
             items: item_refs,
         };
         self.in_flight.insert(batch, call);
-        let write_by = now + CONNECT_PATIENCE;
+        let write_by = now + CONNECT_TIMEOUT;
         Some(BatchOrder { batch, upstream, process, address, items, write_by })
     }
 
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -5,7 +5,7 @@
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::ExchangeMessage;
 use crate::routing::{
-    CONNECT_PATIENCE, ColdUpstream, DirectoryEntry, ListAge, PeerDirectory, RESTORE_GRACE,
+    CONNECT_TIMEOUT, ColdUpstream, DirectoryEntry, ListAge, PeerDirectory, RESTORE_GRACE,
     UpstreamDirectory, ZoneEvacuation,
 };
 
@@ -265,7 +265,7 @@
         let mut changed = self.directory.replace_evacuations(position, evacuations, restored);
         changed |= self.directory.replace(position, entries, grace);
         let told = cold.clone();
-        if self.directory.note_cold(cold, now) {
+        if self.directory.record_cold(cold, now) {
             changed = true;
             self.note_cold_starts(told, now, out);
         }
@@ -316,7 +316,7 @@
         if newer && !fetching {
             self.fetching = Some((vm.to_owned(), now));
             out.push(Command::Count(CounterName::DirectoryFetches));
-            let (vm, known) = (vm.to_owned(), self.directory.known_to_peers());
+            let (vm, known) = (vm.to_owned(), self.directory.sync_position());
             out.push(Command::FetchDirectory { known, vm });
         }
     }
@@ -357,7 +357,7 @@
     /// Drops upstreams and evacuations that stayed missing. Returns whether there were any.
     pub(super) fn drop_missing(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
         let zones = self.evacuated_zones();
-        let dropped = self.directory.drop_missing(now);
+        let dropped = self.directory.remove_expired(now);
         self.note_evacuations(&zones, None, out);
         dropped
     }
@@ -412,7 +412,7 @@
         let began = self.failed.as_ref().map_or(now, |failed| failed.began);
         let counted_on = began + self.pace.contact;
         let last =
-            MonotonicTime::from_start(counted_on.since_start().saturating_sub(CONNECT_PATIENCE));
+            MonotonicTime::from_start(counted_on.since_start().saturating_sub(CONNECT_TIMEOUT));
         last.min(now + RETURN_GRACE)
     }
 
@@ -470,7 +470,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let is_news = self.directory.note_cold(vec![cold.clone()], now);
+        let is_news = self.directory.record_cold(vec![cold.clone()], now);
         if is_news {
             self.note_cold_starts(vec![cold], now, out);
         }
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -11,16 +11,19 @@
 use crate::identity::MonotonicTime;
 use crate::sync::lock;
 
-/// Time for which a limit is remembered of which no daemon hears anything any more.
-const LIMIT_LIFE: Duration = Duration::from_secs(600);
-/// Upstreams that are remembered: all of a large fleet, and more could not be told in one message.
-const LIMITS_MOST: usize = 1_024;
-
-/// Upstreams that have named a rate, by the name of their life, and what this daemon may send them.
+/// Time after which a limit is forgotten if no daemon confirms it.
+const LIMIT_TTL: Duration = Duration::from_secs(600);
+/// Maximum number of recorded limits. Enough for all upstreams of a large fleet; more would not fit
+/// into one gossip message.
+const MAX_LIMITS: usize = 1_024;
+
+/// Request rates that upstreams have announced, and the token buckets for this daemon's shares of
+/// them.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
-    /// Upstreams that name a rate now, so that nothing is locked while there are none.
-    limited: AtomicUsize,
+    /// Number of upstreams with a limit, kept outside the lock so that nothing is locked while it
+    /// is zero.
+    limited_count: AtomicUsize,
     table: Mutex<LimitTable>,
 }
 
@@ -28,25 +31,27 @@
 struct LimitTable {
     share: RateShare,
     limits: HashMap<String, UpstreamLimit>,
-    /// Upstreams of which others have to be told.
-    untold: BTreeSet<String>,
+    /// Names of the upstreams whose record must still be sent to the other daemons.
+    unsent: BTreeSet<String>,
 }
 
-/// What the state dump shows of an upstream that names a rate.
+/// Summary of a rate-limited upstream in the state dump.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LimitSummary {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// Requests a second that it takes from all daemons together.
+    /// Request rate that the upstream accepts from all daemons together, in requests per second.
     pub requests_per_s: f64,
-    /// Requests a second that this daemon may send as one of all daemons.
+    /// This daemon's share of the rate, in requests per second.
     pub share_per_s: f64,
-    /// Requests of this daemon since it learned the rate.
+    /// Number of requests that this daemon has sent since it learned of the limit.
     pub sent: u64,
 }
 
 impl RateLimiter {
-    /// Takes what the answer to a request that was sent at `sent` says of its upstream.
+    /// Records what an answer of `upstream` says about its request rate. The answer belongs to a
+    /// request that was sent at `sent`. Returns the change, or `None` if the known rate stays
+    /// valid.
     pub fn hear(
         &self,
         upstream: &str,
@@ -55,63 +60,66 @@
         now: MonotonicTime,
     ) -> Option<LimitChange> {
         let mut table = lock(&self.table);
-        let is_named = matches!(notice, RateNotice::Limited(_));
-        if !table.limits.contains_key(upstream) && !is_named {
+        let has_rate = matches!(notice, RateNotice::Limited(_));
+        if !table.limits.contains_key(upstream) && !has_rate {
             return None;
         }
-        let (change, is_news) = table.entry(upstream, now).hear(notice, sent, now);
-        if is_news {
-            table.untold.insert(upstream.to_owned());
+        let (change, must_gossip) = table.limit_mut(upstream, now).record_notice(notice, sent, now);
+        if must_gossip {
+            table.unsent.insert(upstream.to_owned());
         }
-        self.note_limited(&table);
+        self.update_limited_count(&table);
         change
     }
 
-    /// Takes what another daemon tells; returns what changed.
+    /// Merges a record from another daemon. Returns the change, or `None` if the known rate stays
+    /// valid.
     pub fn take(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
         let mut table = lock(&self.table);
-        if record.age >= LIMIT_LIFE {
+        if record.age >= LIMIT_TTL {
             return None;
         }
-        let (change, is_news) = table.entry(&record.upstream, now).take(record, now);
-        if is_news {
-            table.untold.insert(record.upstream.clone());
+        let (change, must_gossip) =
+            table.limit_mut(&record.upstream, now).merge_record(record, now);
+        if must_gossip {
+            table.unsent.insert(record.upstream.clone());
         }
-        self.note_limited(&table);
+        self.update_limited_count(&table);
         change
     }
 
-    /// Sets this daemon's share of what upstreams take from all daemons together.
+    /// Sets this daemon's share of all rate limits and cold-start limits.
     pub fn set_share(&self, share: RateShare) {
         lock(&self.table).share = share;
     }
 
-    /// Number of daemons that share, this one among them.
+    /// Number of daemons that share the limits, including this one.
     #[must_use]
     pub fn sharing_daemons(&self) -> usize {
         lock(&self.table).share.daemons()
     }
 
-    /// Requests that this daemon may send to an upstream with `hash` of `requests` from all daemons.
+    /// Number of requests that this daemon may send, of `requests` from all daemons, to an upstream
+    /// whose name has the hash `hash`.
     #[must_use]
     pub fn share_of(&self, hash: u64, requests: u32) -> u32 {
         lock(&self.table).share.of(hash, requests)
     }
 
-    /// Whether any upstream names a rate.
+    /// Whether any upstream has a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
-        self.limited.load(Ordering::Relaxed) > 0
+        self.limited_count.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether `upstream` names a rate.
+    /// Whether `upstream` has a rate limit.
     #[must_use]
     pub fn is_limited(&self, upstream: &str) -> bool {
         self.has_limits()
             && lock(&self.table).limits.get(upstream).is_some_and(|limit| limit.rate().is_some())
     }
 
-    /// Time until `upstream` may get a request.
+    /// Time until this daemon may send `upstream` a request.
     #[must_use]
     pub fn wait(&self, upstream: &str, rate_use: RateUse, now: MonotonicTime) -> TokenWait {
         if !self.has_limits() {
@@ -129,7 +137,7 @@
         TokenWait::For { wait: limit.bucket.wait(quota), interval }
     }
 
-    /// Whether `upstream` may get a request now.
+    /// Whether this daemon may send `upstream` a request now.
     #[must_use]
     pub fn allows(&self, upstream: &str, rate_use: RateUse, now: MonotonicTime) -> bool {
         match self.wait(upstream, rate_use, now) {
@@ -139,58 +147,60 @@
         }
     }
 
-    /// Counts a request to `upstream`.
+    /// Takes a token for a request to `upstream`, if it has a rate limit.
     pub fn spend(&self, upstream: &str) {
         if self.has_limits()
             && let Some(limit) = lock(&self.table).limits.get_mut(upstream)
         {
-            limit.bucket.spend();
+            limit.bucket.take_token();
             limit.sent += 1;
         }
     }
 
-    /// Whether others have to be told of anything.
+    /// Whether any record must still be sent to the other daemons.
     #[must_use]
     pub fn has_untold(&self) -> bool {
-        !lock(&self.table).untold.is_empty()
+        !lock(&self.table).unsent.is_empty()
     }
 
-    /// What others have not been told.
+    /// Returns the records that must still be sent to the other daemons, and marks them as sent.
     #[must_use]
     pub fn take_untold(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let mut table = lock(&self.table);
-        let untold = std::mem::take(&mut table.untold);
-        let record = |upstream: &String| Some(table.limits.get(upstream)?.record(upstream, now));
-        untold.iter().filter_map(record).collect()
+        let unsent = std::mem::take(&mut table.unsent);
+        let to_record =
+            |upstream: &String| Some(table.limits.get(upstream)?.to_record(upstream, now));
+        unsent.iter().filter_map(to_record).collect()
     }
 
-    /// All that is known.
+    /// All records, for a daemon whose digest differs.
     #[must_use]
     pub fn records(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let table = lock(&self.table);
-        table.limits.iter().map(|(upstream, limit)| limit.record(upstream, now)).collect()
+        table.limits.iter().map(|(upstream, limit)| limit.to_record(upstream, now)).collect()
     }
 
-    /// Same for two daemons that know the same, 0 for one that knows nothing.
+    /// Digest of all records. Equal for two daemons with equal records, and 0 without records.
     #[must_use]
     pub fn digest(&self) -> u64 {
         lock(&self.table).limits.values().fold(0, |digest, limit| digest ^ limit.digest())
     }
 
-    /// Forgets what no daemon hears of any more. Returns whether there was anything.
+    /// Forgets limits that no daemon has confirmed for their time to live. Returns whether there
+    /// were any.
     pub fn forget(&self, now: MonotonicTime) -> bool {
         let mut table = lock(&self.table);
         let before = table.limits.len();
-        table.limits.retain(|_, limit| limit.age(now) < LIMIT_LIFE);
-        self.note_limited(&table);
+        table.limits.retain(|_, limit| limit.age(now) < LIMIT_TTL);
+        self.update_limited_count(&table);
         table.limits.len() < before
     }
 
-    /// What the state dump shows, by upstream.
+    /// Summaries of all rate-limited upstreams for the state dump, in ascending order of names.
     #[must_use]
     pub fn summaries(&self) -> Vec<LimitSummary> {
         let table = lock(&self.table);
-        let summary = |(upstream, limit): (&String, &UpstreamLimit)| {
+        let to_summary = |(upstream, limit): (&String, &UpstreamLimit)| {
             let rate = limit.rate()?;
             let quota = RateQuota::new(rate, limit.hash, &table.share, RateUse::Shared);
             Some(LimitSummary {
@@ -200,30 +210,31 @@
                 sent: limit.sent,
             })
         };
-        let mut summaries: Vec<LimitSummary> = table.limits.iter().filter_map(summary).collect();
+        let mut summaries: Vec<LimitSummary> = table.limits.iter().filter_map(to_summary).collect();
         summaries.sort_by(|left, right| left.upstream.cmp(&right.upstream));
         summaries
     }
 
-    fn note_limited(&self, table: &LimitTable) {
-        let limited = table.limits.values().filter(|limit| limit.rate().is_some()).count();
-        self.limited.store(limited, Ordering::Relaxed);
+    fn update_limited_count(&self, table: &LimitTable) {
+        let limited_count = table.limits.values().filter(|limit| limit.rate().is_some()).count();
+        self.limited_count.store(limited_count, Ordering::Relaxed);
     }
 }
 
 impl LimitTable {
-    fn entry(&mut self, upstream: &str, now: MonotonicTime) -> &mut UpstreamLimit {
-        if self.limits.len() >= LIMITS_MOST && !self.limits.contains_key(upstream) {
-            self.make_room(now);
+    fn limit_mut(&mut self, upstream: &str, now: MonotonicTime) -> &mut UpstreamLimit {
+        if self.limits.len() >= MAX_LIMITS && !self.limits.contains_key(upstream) {
+            self.evict_limit(now);
         }
         self.limits.entry(upstream.to_owned()).or_insert_with(|| UpstreamLimit::new(upstream, now))
     }
 
-    /// Forgets one upstream: of those whose limit has ended, if there are any, the oldest.
-    fn make_room(&mut self, now: MonotonicTime) {
-        let rank = |limit: &UpstreamLimit| (limit.rate().is_none(), limit.age(now));
-        let last = self.limits.iter().max_by_key(|(upstream, limit)| (rank(limit), *upstream));
-        if let Some(upstream) = last.map(|(upstream, _)| upstream.clone()) {
+    /// Removes one limit: the oldest ended one, or the oldest of all if none has ended.
+    fn evict_limit(&mut self, now: MonotonicTime) {
+        let eviction_key = |limit: &UpstreamLimit| (limit.rate().is_none(), limit.age(now));
+        let evicted =
+            self.limits.iter().max_by_key(|(upstream, limit)| (eviction_key(limit), *upstream));
+        if let Some(upstream) = evicted.map(|(upstream, _)| upstream.clone()) {
             self.limits.remove(&upstream);
         }
     }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use super::{AttemptReport, ColdLimits, SlotRequest, StagePool, UpstreamState, UpstreamSummary};
+use super::{AttemptQueue, AttemptReport, ColdLimits, SlotRequest, UpstreamState, UpstreamSummary};
 use crate::configuration::{
     ColdRules, EngineRules, RegionMap, RoutingPolicy, StagePlan, UpstreamRules,
 };
@@ -17,36 +17,39 @@
 use crate::retry::RetryLimits;
 use crate::sync::lock;
 
-/// Different beginnings among engines that daemons may have: more than any subject has engines.
-const SPREADS: usize = 1 << 16;
+/// Number of different offsets that daemons draw from when they choose among the engines of a
+/// prompt prefix. Larger than the number of engines of any prefix.
+const REPLICA_OFFSETS: usize = 1 << 16;
 
-/// Time from the choice of an upstream in which a connection to it is opened, after which nothing of
-/// the attempt may be written any more. Far above the few milliseconds between zones, and short enough
-/// for another upstream to be tried; an opening packet that was lost is sent again only after a second.
-pub const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
-/// Retries that the baseline makes, whatever fails.
-const BLIND_RETRIES: usize = 3;
+/// Timeout for opening a connection, counted from the choice of the upstream. Nothing of the
+/// attempt may be written after it. It is far above the few milliseconds between zones, and short
+/// enough to try another upstream: a lost SYN packet is sent again only after a second.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of retries under the baseline policy, which has no retry budget.
+const BASELINE_RETRIES: usize = 3;
 
-/// Chooses upstreams for attempts; each pool and each upstream has its own lock.
+/// Chooses upstreams for attempts. Each pool and each upstream has its own lock.
 #[derive(Debug)]
 pub struct UpstreamRouter {
     pub(super) zone: String,
     pub(super) random: Mutex<SmallRng>,
     pub(super) policy: RoutingPolicy,
-    /// Daemons that give the same upstreams work, this one among them.
+    /// Number of daemons that send work to the same upstreams, including this one.
     pub(super) daemons: AtomicUsize,
-    /// Sets this daemon apart from the others where each should begin with another engine.
-    pub(super) spread: usize,
+    /// Random offset at which this daemon starts among the engines of a prompt prefix, so that
+    /// daemons start with different engines.
+    pub(super) replica_offset: usize,
     pub(super) retries: RetryLimits,
     pub(super) cold_limits: ColdLimits,
     pub(super) regions: RegionMap,
-    /// Upstreams that have named a rate, and this daemon's share of what they and cold ones take.
+    /// Request rates that upstreams have announced, and this daemon's share of these rates and of
+    /// the cold-start limits.
     pub(super) limiter: Arc<RateLimiter>,
-    pub(super) turn: AtomicUsize,
-    /// Whether no upstream may be chosen, because it is not known which ones stay.
-    pub(super) held: AtomicBool,
-    /// Whether a list of published upstreams was known when this router was made.
-    pub(super) has_list: bool,
+    pub(super) round_robin_index: AtomicUsize,
+    /// Whether all choices are suspended, because the list of upstreams may be outdated.
+    pub(super) is_suspended: AtomicBool,
+    /// Whether a list of published upstreams was known when this router was built.
+    pub(super) has_known_list: bool,
     pub(super) upstreams: Vec<RoutedUpstream>,
     pub(super) positions: HashMap<String, usize>,
     pub(super) pools: HashMap<String, RoutedPool>,
@@ -61,59 +64,61 @@
 
 #[derive(Debug)]
 pub(super) struct RoutedPool {
-    pub(super) near: Vec<usize>,
-    pub(super) far: Vec<usize>,
+    pub(super) same_zone: Vec<usize>,
+    pub(super) other_zones: Vec<usize>,
     pub(super) engine: Option<EngineRules>,
-    /// How its upstreams start, if they are cold at first.
+    /// Duration and request rate of a cold start. `None` if upstreams of this pool have full
+    /// capacity from the start.
     pub(super) cold: Option<ColdRules>,
-    /// Connections that one upstream takes from all daemons, if it is declared.
+    /// Number of connections that one upstream accepts from all daemons together. `None` if it is
+    /// not declared.
     pub(super) connections: Option<u32>,
-    pub(super) pool: Arc<Mutex<StagePool>>,
+    pub(super) queue: Arc<Mutex<AttemptQueue>>,
 }
 
-/// An upstream that an attempt may use.
+/// The upstream that was chosen for an attempt, with the data for calling it.
 #[derive(Clone, Debug)]
 pub struct SlotGrant {
     /// The attempt.
     pub request: SlotRequest,
     /// Name of the upstream.
     pub upstream: String,
-    /// Identity that its process answers to.
+    /// Expected identity of the process. An answer from another process is rejected.
     pub process: String,
-    /// Where it listens.
+    /// Address on which the upstream accepts requests.
     pub address: SocketAddr,
-    /// Shortest time in which it has answered of late.
-    pub fastest: Duration,
-    /// Idle connections that this daemon may keep to it.
-    pub kept_connections: usize,
+    /// Shortest recent answer time of the upstream. Zero if it is unknown or not tracked.
+    pub min_answer_time: Duration,
+    /// Maximum number of idle connections that this daemon may keep open to the upstream.
+    pub max_idle_connections: usize,
 }
 
 impl UpstreamRouter {
-    /// A router without upstreams, for a daemon in `zone`.
+    /// A router without upstreams, for a daemon in the availability zone `zone`.
     #[must_use]
     pub fn new(zone: &str, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let spread = random.random_range(0..SPREADS);
+        let replica_offset = random.random_range(0..REPLICA_OFFSETS);
         Self {
             zone: zone.to_owned(),
             random: Mutex::new(random),
-            spread,
+            replica_offset,
             policy: RoutingPolicy::default(),
             daemons: AtomicUsize::new(1),
             retries: RetryLimits::default(),
             cold_limits: ColdLimits::default(),
             regions: RegionMap::default(),
             limiter: Arc::default(),
-            turn: AtomicUsize::new(0),
-            held: AtomicBool::new(false),
-            has_list: false,
+            round_robin_index: AtomicUsize::new(0),
+            is_suspended: AtomicBool::new(false),
+            has_known_list: false,
             upstreams: Vec::new(),
             positions: HashMap::new(),
             pools: HashMap::new(),
         }
     }
 
-    /// Sets how many retries the daemons may make together.
+    /// Sets the retry limits for all daemons together.
     #[must_use]
     pub fn retries(mut self, limits: RetryLimits) -> Self {
         self.retries = limits;
@@ -127,79 +132,82 @@
         self
     }
 
-    /// Sets what knows the upstreams that have named a rate.
+    /// Sets the limiter with the request rates that upstreams have announced.
     #[must_use]
     pub fn limiter(mut self, limiter: Arc<RateLimiter>) -> Self {
         self.limiter = limiter;
         self
     }
 
-    /// Sets how far cold upstreams may be pressed.
+    /// Sets the tolerance for the load on cold upstreams.
     #[must_use]
     pub fn cold_limits(mut self, limits: ColdLimits) -> Self {
         self.cold_limits = limits;
         self
     }
 
-    /// Sets how many daemons give the same upstreams work, this one among them.
+    /// Sets the number of daemons that send work to the same upstreams, including this one.
     pub fn set_daemons(&self, daemons: usize) {
         let daemons = daemons.max(1);
         if self.daemons.swap(daemons, Ordering::Relaxed) != daemons {
             for routed in self.pools.values() {
-                lock(&routed.pool).budget.share(daemons);
+                lock(&routed.queue).retry_budget.share(daemons);
             }
         }
     }
 
-    /// Sets whether no upstream may be chosen; returns whether that is new.
-    pub fn hold(&self, held: bool) -> bool {
-        self.held.swap(held, Ordering::Relaxed) != held
+    /// Suspends or resumes all choices. Returns whether the state has changed.
+    pub fn set_suspended(&self, is_suspended: bool) -> bool {
+        self.is_suspended.swap(is_suspended, Ordering::Relaxed) != is_suspended
     }
 
-    /// Whether no upstream may be chosen.
+    /// Whether all choices are suspended.
     #[must_use]
-    pub fn is_held(&self) -> bool {
-        self.held.load(Ordering::Relaxed)
+    pub fn is_suspended(&self) -> bool {
+        self.is_suspended.load(Ordering::Relaxed)
     }
 
-    /// Takes what the VM list says of leaving VMs.
+    /// Marks upstreams on VMs that the VM list shows as leaving.
     pub fn take_roster(&self, roster: &VmRoster) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
     }
 
-    /// Takes the news that an upstream is leaving. Returns whether it was new.
+    /// Records that an upstream is leaving. Returns whether that was unknown.
     pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
         upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
     }
 
-    /// `upstream` wants nothing from this daemon until `until`.
+    /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
     pub fn stay_away(&self, upstream: &str, until: MonotonicTime) {
         if let Some(upstream) = self.upstream(upstream) {
-            lock(&upstream.state).stay_away(until);
+            lock(&upstream.state).back_off(until);
         }
     }
 
-    /// Takes the news that the process `life` answers behind `upstream`, and stays.
-    pub fn greet(&self, upstream: &str, life: &str) {
+    /// Records that the process `process` serves `upstream` and is not leaving.
+    pub fn greet(&self, upstream: &str, process: &str) {
         if let Some(upstream) = self.upstream(upstream) {
-            lock(&upstream.state).greet(life);
+            lock(&upstream.state).confirm_running(process);
         }
     }
 
-    /// Whether a first attempt may become another one at the same stage.
+    /// Takes one retry from the retry budget of the request's pool. Returns `false` if the budget
+    /// is exhausted. The baseline policy allows a fixed number of retries instead.
     #[must_use]
     pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
-            return request.tried.len() <= BLIND_RETRIES;
+            return request.tried.len() <= BASELINE_RETRIES;
         }
-        self.pools.get(&request.stage).is_some_and(|routed| lock(&routed.pool).budget.spend(now))
+        self.pools
+            .get(&request.stage)
+            .is_some_and(|routed| lock(&routed.queue).retry_budget.spend(now))
     }
 
-    /// Time that a new request would need for the stages of `steps`, the waits for their upstreams
-    /// included, as far as it was learned.
+    /// Expected time that a new request with priority `level` needs for the stages of `plan`,
+    /// including the waits in their queues. Stages without measured answers count as zero.
     #[must_use]
     pub fn estimate(&self, plan: &StagePlan, level: u8) -> Duration {
         if self.policy == RoutingPolicy::Baseline {
@@ -207,16 +215,17 @@
         }
         plan.longest_way(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
-            routed.map_or(Duration::ZERO, |routed| lock(&routed.pool).expected_time(level))
+            routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_duration(level))
         })
     }
 
-    /// Finds an upstream for `request`, or lets it wait for one.
+    /// Chooses an upstream for `request`, or queues the request if all upstreams are busy, which
+    /// returns `Ok(None)`.
     ///
     /// # Errors
     ///
-    /// Returns the request if its pool is gone, empty or its queue full, or if no upstream of it wants
-    /// anything before the request's deadline.
+    /// Returns the request if its pool doesn't exist or is empty, if the queue is full, or if no
+    /// upstream of the pool accepts requests before the request's deadline.
     pub fn acquire(
         &self,
         request: SlotRequest,
@@ -224,10 +233,10 @@
     ) -> Result<Option<SlotGrant>, SlotRequest> {
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
         if request.tried.is_empty() {
-            let mut pool = lock(&routed.pool);
-            pool.budget.earn(now);
-            if let Some(subject) = request.demand.as_ref().and_then(|demand| demand.subject()) {
-                pool.subjects.count(subject.id, now);
+            let mut queue = lock(&routed.queue);
+            queue.retry_budget.earn(now);
+            if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
+                queue.prefixes.record(prefix.id, now);
             }
         }
         if let Some(position) = self.choose(routed, &request, now) {
@@ -236,10 +245,11 @@
         if !self.is_servable(routed, &request, now) {
             return Err(request);
         }
-        if lock(&routed.pool).wait(request.clone()) { Ok(None) } else { Err(request) }
+        if lock(&routed.queue).push(request.clone()) { Ok(None) } else { Err(request) }
     }
 
-    /// Takes back the slot of an ended attempt and hands it to the most urgent one that waits.
+    /// Releases the slot of an ended attempt, and assigns free slots to the most urgent queued
+    /// attempts.
     pub fn release(
         &self,
         upstream: &str,
@@ -252,70 +262,71 @@
             let mut state = lock(&upstream.state);
             state.end(report, now);
             if let Some(engine) = &mut state.engine {
-                engine.end(call);
+                engine.end_request(call);
             }
         }
         if let AttemptReport::Answered(time) = report {
             for routed in upstream.pools.iter().filter_map(|stage| self.pools.get(stage)) {
-                lock(&routed.pool).learn(time, now);
+                lock(&routed.queue).record_answer(time, now);
             }
         }
         self.serve_waiting(&upstream.pools, now)
     }
 
-    /// The first event of the answer to `call` came.
-    pub fn flowing(&self, upstream: &str, call: CallId) {
+    /// Records the first event of the answer to `call`.
+    pub fn record_first_event(&self, upstream: &str, call: CallId) {
         if let Some(upstream) = self.upstream(upstream)
             && let Some(engine) = &mut lock(&upstream.state).engine
         {
-            engine.read(call);
+            engine.finish_prefill(call);
         }
     }
 
-    /// Hands free slots of the pools `stages` to attempts that wait.
+    /// Assigns free slots in the pools of `stages` to queued attempts.
     #[must_use]
     pub fn serve_waiting(&self, stages: &[String], now: MonotonicTime) -> Vec<SlotGrant> {
         let mut grants = Vec::new();
-        if self.is_held() {
+        if self.is_suspended() {
             return grants;
         }
         for routed in stages.iter().filter_map(|stage| self.pools.get(stage)) {
-            for position in routed.near.iter().chain(&routed.far).copied() {
-                if lock(&routed.pool).waiting() == 0 {
+            for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
+                if lock(&routed.queue).waiting_count() == 0 {
                     break;
                 }
-                self.serve_from(position, routed, now, &mut grants);
+                self.assign_slots_of(position, routed, now, &mut grants);
             }
         }
         grants
     }
 
-    /// Hands free slots of every pool to attempts that wait.
+    /// Assigns free slots in all pools to queued attempts.
     #[must_use]
     pub fn serve_all_waiting(&self, now: MonotonicTime) -> Vec<SlotGrant> {
         let stages: Vec<String> = self.pools.keys().cloned().collect();
         self.serve_waiting(&stages, now)
     }
 
-    /// Takes out everything that waits at `stage` for the call of `request`.
+    /// Removes the queued attempts of the request's call from the queue of its stage.
     pub fn withdraw(&self, request: &SlotRequest) {
         if let Some(routed) = self.pools.get(&request.stage) {
-            lock(&routed.pool).withdraw(request.call, request.level, request.deadline);
+            lock(&routed.queue).remove_call(request.call, request.level, request.deadline);
         }
     }
 
-    /// What the state dump shows.
+    /// Summaries of all upstreams for the state dump.
     #[must_use]
     pub fn summaries(&self, now: MonotonicTime) -> Vec<UpstreamSummary> {
         self.upstreams.iter().map(|upstream| lock(&upstream.state).summary(now)).collect()
     }
 
-    /// Attempts that wait, by stage.
+    /// Number of queued attempts by stage, in ascending order of stage names.
     #[must_use]
     pub fn waiting(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
-        let mut waiting: Vec<_> =
-            pools.map(|(stage, routed)| (stage.clone(), lock(&routed.pool).waiting())).collect();
+        let mut waiting: Vec<_> = pools
+            .map(|(stage, routed)| (stage.clone(), lock(&routed.queue).waiting_count()))
+            .collect();
         waiting.sort();
         waiting
     }
@@ -324,34 +335,36 @@
         self.positions.get(name).map(|position| &self.upstreams[*position])
     }
 
-    /// Region of the upstream at `position`, if it is known.
+    /// Region of the upstream at `position`. `None` if its availability zone has no configured
+    /// region.
     pub(super) fn region_of(&self, position: usize) -> Option<&str> {
         self.regions.region(&self.upstreams[position].rules.zone)
     }
 
     fn grant(&self, position: usize, request: SlotRequest, now: MonotonicTime) -> SlotGrant {
         let upstream = &self.upstreams[position];
-        let fastest = {
+        let min_answer_time = {
             let mut state = lock(&upstream.state);
             state.begin();
             if let Some(routed) = self.pools.get(&request.stage) {
-                Self::count_send(routed, &mut state, now);
+                Self::record_send(routed, &mut state, now);
             }
             match (&mut state.engine, &request.demand) {
                 (Some(engine), Some(demand)) => {
-                    engine.begin(request.call, demand, now);
-                    // Its answers are streams of any length, so the shortest says nothing.
+                    engine.start_request(request.call, demand, now);
+                    // Engines answer with streams of any length, so that the shortest answer time
+                    // is not informative.
                     Duration::ZERO
                 }
-                _ if self.policy == RoutingPolicy::Adaptive => state.fastest(),
+                _ if self.policy == RoutingPolicy::Adaptive => state.min_answer_time(),
                 _ => Duration::ZERO,
             }
         };
         self.limiter.spend(&upstream.rules.name);
-        let kept_connections = self.kept_connections(&request.stage);
+        let max_idle_connections = self.max_idle_connections(&request.stage);
         SlotGrant {
-            fastest,
-            kept_connections,
+            min_answer_time,
+            max_idle_connections,
             request,
             upstream: upstream.rules.name.clone(),
             process: upstream.rules.process.clone(),
@@ -359,18 +372,20 @@
         }
     }
 
-    /// Idle connections that this daemon may keep to each upstream of `stage`.
+    /// Maximum number of idle connections that this daemon may keep open to each upstream of
+    /// `stage`.
     ///
-    /// Guards against upstreams that are full of idle connections: they reset the next one that is
-    /// opened, with a request on it that nobody may repeat. All daemons keep half of what an upstream
-    /// takes; the other half is for connections in use.
-    fn kept_connections(&self, stage: &str) -> usize {
-        let declared = self.pools.get(stage).and_then(|routed| routed.connections);
+    /// Guards against upstreams whose connection limit is used up by idle connections. Such an
+    /// upstream resets the next new connection, and the request on it may not be safe to repeat.
+    /// All daemons together keep up to half of the limit idle; the other half remains for
+    /// connections in use.
+    fn max_idle_connections(&self, stage: &str) -> usize {
+        let connection_limit = self.pools.get(stage).and_then(|routed| routed.connections);
         let daemons = self.daemons.load(Ordering::Relaxed).max(1);
-        declared.map_or(usize::MAX, |connections| connections as usize / 2 / daemons)
+        connection_limit.map_or(usize::MAX, |connections| connections as usize / 2 / daemons)
     }
 
-    fn serve_from(
+    fn assign_slots_of(
         &self,
         position: usize,
         routed: &RoutedPool,
@@ -379,19 +394,19 @@
     ) {
         let upstream = &self.upstreams[position];
         loop {
-            let usable = self.is_within_share(routed, position, now)
+            let is_usable = self.is_within_cold_limit(routed, position, now)
                 && self.limiter.allows(&upstream.rules.name, RateUse::Shared, now)
                 && {
                     let state = lock(&upstream.state);
                     state.has_room()
                         && !state.is_leaving()
-                        && state.away_for(now).is_zero()
+                        && state.backoff_left(now).is_zero()
                         && !state.is_ejected(now)
                         && !state.is_full(now)
                 };
             let region = self.region_of(position);
-            let next = if usable {
-                lock(&routed.pool).next_for(&upstream.rules.name, region)
+            let next = if is_usable {
+                lock(&routed.queue).pop_for(&upstream.rules.name, region)
             } else {
                 None
             };
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::membership::KnownDaemons;
 use crocusdale_core::rate_limiting::{RateLimiter, RateShare};
 use crocusdale_core::routing::{
-    AttemptReport, CONNECT_PATIENCE, ColdLimits, ColdUpstream, DirectoryEntry, SlotRequest,
+    AttemptReport, CONNECT_TIMEOUT, ColdLimits, ColdUpstream, DirectoryEntry, SlotRequest,
     UpstreamDirectory, UpstreamRouter,
 };
 
@@ -38,7 +38,7 @@
 fn entry(id: &str) -> (u64, DirectoryEntry) {
     let entry = DirectoryEntry {
         id: id.to_owned(),
-        born: Some(1),
+        started_at_ms: Some(1),
         pool: "reader".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "a".to_owned(),
@@ -143,7 +143,7 @@
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
                 if grant.upstream.starts_with("new") && now.since(start) < COLD.lasts {
                     let late = random.random_bool(0.5);
-                    writes.push(if late { now + CONNECT_PATIENCE } else { now });
+                    writes.push(if late { now + CONNECT_TIMEOUT } else { now });
                 }
                 router.release(&grant.upstream, grant.request.call, AttemptReport::Unmeasured, now);
             }
@@ -216,8 +216,8 @@
     let mut known = directory(1, &["old"]);
     let now = MonotonicTime::from_millis(10_000);
     let cold = ColdUpstream { name: entry("old").1.name(), left: Duration::from_secs(2) };
-    assert!(known.note_cold(vec![cold.clone()], now));
-    assert!(!known.note_cold(vec![cold.clone()], now), "that is no news");
+    assert!(known.record_cold(vec![cold.clone()], now));
+    assert!(!known.record_cold(vec![cold.clone()], now), "that is no news");
     let mut peer = directory(1, &["old"]);
     assert!(peer.merge(known.snapshot(now + Duration::from_secs(1)), now));
     for (list, until) in [(known, 12_000), (peer, 11_000)] {
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -12,7 +12,7 @@
     let declarations =
         DeclarationsBuilder::new("test", Duration::from_secs(1)).stage("desk", stage).build();
     let entry = DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: "u1".to_owned(),
         pool: "desk".to_owned(),
         address: "10.9.0.1:80".parse().expect("an address"),
@@ -40,7 +40,7 @@
         homes: HomeRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
-    grant.expect("the pool is there").expect("a place is free").kept_connections
+    grant.expect("the pool is there").expect("a place is free").max_idle_connections
 }
 
 // Sixty daemons keep a few idle connections each to an upstream that takes a hundred from all. The
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -73,7 +73,7 @@
             ));
             while let Some(entry) = unread.first_entry().filter(|entry| entry.key().0 <= now) {
                 let ((_, call), (daemon, engine)) = entry.remove_entry();
-                routers[daemon].flowing(&engine, CallId(call));
+                routers[daemon].record_first_event(&engine, CallId(call));
             }
             while let Some(entry) = open.first_entry().filter(|entry| entry.key().0 <= now) {
                 let ((_, call), (daemon, engine)) = entry.remove_entry();
@@ -119,7 +119,7 @@
 
 fn directory(engines: usize) -> UpstreamDirectory {
     let entry = |index: usize| DirectoryEntry {
-        born: None,
+        started_at_ms: None,
         id: format!("engine-{index}"),
         pool: "reader".to_owned(),
         address: format!("10.1.0.{}:80", index + 1).parse().expect("an address"),
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -10,7 +10,7 @@
     AnswerHead, AttemptEvent, CallerRequest, ForwardHead, RelayOrder, RequestContent, RunProof,
 };
 use crocusdale_core::rate_limiting::{RateNotice, RequestRate};
-use crocusdale_core::routing::{CONNECT_PATIENCE, DirectoryEntry, UpstreamNotice};
+use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
@@ -113,7 +113,7 @@
         *revision += 1;
         for (written, entry) in entries.iter_mut().filter(|(_, entry)| entry.id == LIMITED) {
             *written = *revision;
-            entry.born = entry.born.map(|born| born + 1);
+            entry.started_at_ms = entry.started_at_ms.map(|started_at_ms| started_at_ms + 1);
         }
     }
 
@@ -190,7 +190,7 @@
 
     fn take_relays(&mut self) {
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
-            let late = if self.writes_are_late { CONNECT_PATIENCE } else { Duration::ZERO };
+            let late = if self.writes_are_late { CONNECT_TIMEOUT } else { Duration::ZERO };
             self.push(at + late, daemon, AttemptStep::Arrive(order));
         }
     }
@@ -257,7 +257,7 @@
 pub fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
-        born: Some(7),
+        started_at_ms: Some(7),
         pool: "notify".to_owned(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z0".to_owned(),
