--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -9,200 +9,221 @@
     UpstreamDirectory, ZoneEvacuation,
 };
 
-/// Time in which a platform in order answers a reading, without the time that the list takes on the link.
-/// One that takes longer is slow or away, or the path to it is; no bound is due then, and callers must
-/// not wait for it.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Time that an upstream of the list takes on a link of ten megabits a second: about 400 bytes.
-const ENTRY_TIME: Duration = Duration::from_micros(320);
-/// Time for which a failed reading says that the platform, or the path to it, is out of order. The next
-/// one ends 1.9 s later at the latest: the longest pause, and the patience of a reading.
-const FAILURE_LIFE: Duration = Duration::from_millis(2_500);
-/// First pause after a failed read, and the longest one.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(1_000));
-/// Time after which a fetch from a peer counts as lost.
-const FETCH_PATIENCE: Duration = Duration::from_millis(800);
-/// Time for which reads must have failed for the list to count as away: entries may have lapsed
-/// meanwhile.
-const AWAY_AFTER: Duration = Duration::from_millis(700);
-
-/// Time after its start for which a daemon waits to meet a peer before it reads by itself, and for which
-/// one that has met the reader of its zone waits for a list from its peers.
-const FIRST_READING: (Duration, Duration) =
+/// Response time of a healthy platform to a read of the upstream list, without the transfer time of
+/// the list. A slower response means that the platform or the network path to it has failed.
+/// Staleness bounds do not apply then, and callers must not wait for the response.
+const BASE_RESPONSE_TIME: Duration = Duration::from_millis(400);
+/// Transfer time of one upstream entry, about 400 bytes, over a link of ten megabits a second.
+const TRANSFER_TIME_PER_UPSTREAM: Duration = Duration::from_micros(320);
+/// Time for which a failed read counts as evidence of a platform outage. The next read ends at most
+/// 1.9 s after a failed one: the longest backoff plus the read timeout.
+const FAILURE_VALIDITY: Duration = Duration::from_millis(2_500);
+/// Shortest and longest backoff after a failed read of the platform.
+const READ_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_millis(1_000));
+/// Timeout of a list fetch from a peer, after which another fetch may start.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time for which reads must have failed before the platform counts as unavailable. Upstream
+/// entries may have expired in the store by then, because upstreams could not renew them.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(700);
+
+/// Startup delays before the daemon reads the list from the platform itself. The first is the wait
+/// for contact with any peer. The second is the wait for a peer's list, if another daemon reads the
+/// platform for this zone.
+const STARTUP_WAITS: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(1_000));
-/// Pause between two looks for a peer meanwhile.
-const MEETING_PAUSE: Duration = Duration::from_millis(30);
+/// Interval at which a daemon that starts checks whether it has met a peer.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time after the return of the published list within which a missing upstream may come back. The
-/// users state two seconds for entries that lapsed while the list could not be written.
-const RETURN_GRACE: Duration = Duration::from_millis(2_000);
+/// Time after an outage within which an upstream that is missing from the list may be listed again.
+/// Users specify two seconds for entries that expired while the store accepted no writes.
+const OUTAGE_GRACE: Duration = Duration::from_millis(2_000);
 
-/// The published upstreams, and when to read what the platform publishes.
+/// The list of published upstreams, and the schedule of reads that keep it fresh.
 #[derive(Debug, Default)]
 pub(super) struct DirectoryState {
-    pace: NewsPace,
-    started: MonotonicTime,
+    intervals: NewsPace,
+    started_at: MonotonicTime,
     pub(super) directory: UpstreamDirectory,
-    reading: Option<OpenReading>,
-    /// When the next look is due.
-    next_look: Option<MonotonicTime>,
-    /// Whether attempts wait for a reading.
-    overdue: bool,
-    /// Whether the open reading was begun because this process slept through the one before.
-    repeated: bool,
-    /// The last reading in vain.
-    failed: Option<FailedReading>,
-    failures: u32,
-    last_read: Option<MonotonicTime>,
-    /// When a reader was last asked.
-    last_asked: Option<MonotonicTime>,
-    /// When list and configuration were last known to be the latest, by a reading of this daemon or of
-    /// another.
-    current: Option<MonotonicTime>,
-    /// When the first of the readings in vain ended, since the list was last known to be the latest.
+    pending_read: Option<PendingRead>,
+    /// When the next poll is due. `None` before the first one.
+    next_poll: Option<MonotonicTime>,
+    /// Whether the last check found the list too old to route by, so that attempts wait for a read.
+    is_expired: bool,
+    /// Whether the pending read repeats one that failed while this process was paused.
+    is_repeated_read: bool,
+    /// The last failed read, kept also after later successes.
+    last_failure: Option<FailedRead>,
+    consecutive_failures: u32,
+    last_success: Option<MonotonicTime>,
+    /// When a daemon that reads the platform for this one was last asked for the age of its list.
+    last_query: Option<MonotonicTime>,
+    /// Time at which the list and the configuration were last known to be up to date, as confirmed
+    /// by a read of this daemon or of a peer. `None` before the first confirmation.
+    verified_at: Option<MonotonicTime>,
+    /// End of the first failed read since the list was last known to be up to date.
     failing_since: Option<MonotonicTime>,
-    /// Whether entries may have lapsed since the last read that succeeded.
-    away: bool,
-    /// Peer that was asked for its list, and when.
-    fetching: Option<(String, MonotonicTime)>,
+    /// Whether reads failed for [`OUTAGE_THRESHOLD`] since the last success, so that entries may
+    /// have expired in the store.
+    had_outage: bool,
+    /// Peer that is being asked for its list, and the time of the request.
+    pending_fetch: Option<(String, MonotonicTime)>,
 }
 
-/// All that one reading of the platform found.
+/// Result of one full read of the platform.
 #[derive(Debug)]
-pub(super) struct PublishedList {
+pub(super) struct PlatformSnapshot {
     position: StorePosition,
     entries: Vec<(u64, DirectoryEntry)>,
     evacuations: Vec<ZoneEvacuation>,
-    cold: Vec<ColdUpstream>,
+    cold_upstreams: Vec<ColdUpstream>,
 }
 
-impl PublishedList {
-    /// What was read at `position`; revisions are of its era.
+impl PlatformSnapshot {
+    /// Creates the result of a read at `position`. The revisions of entries and evacuations belong
+    /// to the era of `position`.
     pub(super) fn new(
         position: StorePosition,
         entries: Vec<(u64, DirectoryEntry)>,
         evacuations: Vec<(u64, String)>,
     ) -> Self {
-        let placed = |(revision, zone)| ZoneEvacuation {
+        let with_position = |(revision, zone)| ZoneEvacuation {
             written: StorePosition { era: position.era, revision },
             zone,
         };
-        let evacuations = evacuations.into_iter().map(placed).collect();
-        Self { position, entries, evacuations, cold: Vec::new() }
+        let evacuations = evacuations.into_iter().map(with_position).collect();
+        Self { position, entries, evacuations, cold_upstreams: Vec::new() }
     }
 
-    /// Sets the upstreams that are cold.
-    pub(super) fn cold(mut self, cold: Vec<ColdUpstream>) -> Self {
-        self.cold = cold;
+    /// Sets the upstreams that are in their cold start.
+    pub(super) fn with_cold_upstreams(mut self, cold_upstreams: Vec<ColdUpstream>) -> Self {
+        self.cold_upstreams = cold_upstreams;
         self
     }
 }
 
-/// A reading that has no answer yet.
+/// A read of the platform that has not returned yet.
 #[derive(Debug)]
-struct OpenReading {
-    began: MonotonicTime,
-    /// When a platform in order has answered it.
-    answer_due: MonotonicTime,
-    /// Whether this process was paused since.
-    slept: bool,
+struct PendingRead {
+    started_at: MonotonicTime,
+    /// Time by which a healthy platform has responded.
+    response_due: MonotonicTime,
+    /// Whether this process was paused after the read began.
+    was_paused: bool,
 }
 
-/// A reading in vain.
+/// Start and end of a read that failed.
 #[derive(Debug)]
-struct FailedReading {
-    began: MonotonicTime,
-    ended: MonotonicTime,
+struct FailedRead {
+    started_at: MonotonicTime,
+    failed_at: MonotonicTime,
 }
 
 impl DirectoryState {
-    /// Knows nothing yet at `started`, and reads at `pace`.
-    pub(super) fn new(pace: NewsPace, started: MonotonicTime) -> Self {
-        Self { pace, started, ..Self::default() }
+    /// Creates an empty state for a daemon that starts at `started_at` and refreshes its list at
+    /// the intervals in `intervals`.
+    pub(super) fn new(intervals: NewsPace, started_at: MonotonicTime) -> Self {
+        Self { intervals, started_at, ..Self::default() }
     }
 
-    /// Reads the list if this daemon is a reader, for which `reader` is `None`, or if nobody is
-    /// known to have read it of late. Returns the reader that is to be asked, if it is time.
+    /// Starts a read of the platform if it is due. It is due for a daemon that reads for its zone,
+    /// for which `reader` is `None`, and for any daemon whose list has become too old. Otherwise
+    /// returns the daemon to ask for the age of its list, if that query is due.
     ///
-    /// Guards against a platform that is asked for its whole list by every process of a fleet that starts
-    /// at one moment: a daemon first meets others (`has_met`), and has their list if it reads for nobody.
-    pub(super) fn look(
+    /// Guards against a fleet whose processes all start at one moment and each read the whole list
+    /// from the platform. A daemon first waits to meet other daemons (`has_met`). It then takes the
+    /// list from them, unless it reads for its zone.
+    pub(super) fn poll(
         &mut self,
         reader: Option<String>,
         has_met: bool,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> Option<String> {
-        // A timer of before the last reading is not the next look.
-        if self.reading.is_some() || self.next_look.is_some_and(|at| now < at) {
+        // A timer that was set before the last read fires too early and must not start a poll.
+        if self.pending_read.is_some() || self.next_poll.is_some_and(|at| now < at) {
             return None;
         }
-        let alone = !has_met && !self.directory.is_known();
-        if alone && now.since(self.started) < FIRST_READING.0 {
-            self.set_look(now + MEETING_PAUSE, out);
+        let is_isolated = !has_met && !self.directory.is_known();
+        if is_isolated && now.since(self.started_at) < STARTUP_WAITS.0 {
+            self.schedule_poll(now + STARTUP_POLL_INTERVAL, out);
             return None;
         }
         if reader.is_none() || self.is_stale(now) {
-            self.begin_reading(reader, now, out);
+            self.start_read(reader, now, out);
             return None;
         }
-        let due = self.last_asked.is_none_or(|last| now.since(last) >= self.pace.ask_pause);
-        if due {
-            self.last_asked = Some(now);
+        let is_query_due = self
+            .last_query
+            .is_none_or(|last_query| now.since(last_query) >= self.intervals.query_interval);
+        if is_query_due {
+            self.last_query = Some(now);
         }
-        // To the millisecond: looks that came late made the list as much older.
-        let ask = self.last_asked.map_or(now, |last| last + self.pace.ask_pause);
-        let first = self.started + FIRST_READING.1;
-        let stale = self.current.map_or(first, |current| current + self.pace.stale_after);
-        self.set_look(ask.min(stale), out);
-        reader.filter(|_| due)
+        // Computed from the time of the last query rather than from `now`, because each millisecond
+        // of a late poll would add to the age of the list.
+        let next_query_at =
+            self.last_query.map_or(now, |last_query| last_query + self.intervals.query_interval);
+        let startup_limit = self.started_at + STARTUP_WAITS.1;
+        let stale_at = self
+            .verified_at
+            .map_or(startup_limit, |verified_at| verified_at + self.intervals.self_read_age);
+        self.schedule_poll(next_query_at.min(stale_at), out);
+        reader.filter(|_| is_query_due)
     }
 
-    /// Whether the list is too old to choose by. If so, it is being read.
+    /// Returns whether the list is too old to route by, and makes sure that a read is under way if
+    /// so.
     ///
-    /// It is fit again with an answer, from the platform or from a peer, and whatever its age once a
-    /// reading has failed or stays unanswered for longer than a platform in order needs.
-    pub(super) fn is_overdue(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
-        let old =
-            self.directory.is_known() && self.age(now).is_some_and(|age| age >= self.pace.fit_for);
-        let failing = self.is_failing(now);
-        if old && !failing && self.reading.is_none() {
-            self.begin_reading(None, now, out);
+    /// The list becomes usable again with a response from the platform or from a peer. It also
+    /// becomes usable, whatever its age, once a read has failed or has taken longer than a healthy
+    /// platform needs: work must not wait for a platform outage to end.
+    pub(super) fn is_expired(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
+        let is_too_old = self.directory.is_known()
+            && self.age(now).is_some_and(|age| age >= self.intervals.max_age);
+        let has_failed = self.has_recent_failure(now);
+        if is_too_old && !has_failed && self.pending_read.is_none() {
+            self.start_read(None, now, out);
         }
-        let silent = self.reading.as_ref().is_some_and(|reading| now >= reading.answer_due);
-        let overdue = old && !failing && !silent;
-        if overdue && !self.overdue {
-            let age_ms = self.age(now).map(millis);
+        let is_unanswered =
+            self.pending_read.as_ref().is_some_and(|pending_read| now >= pending_read.response_due);
+        let is_expired = is_too_old && !has_failed && !is_unanswered;
+        if is_expired && !self.is_expired {
+            let age_ms = self.age(now).map(whole_millis);
             out.push(Command::Note(StateChange::DirectoryOverdue { age_ms }));
         }
-        self.overdue = overdue;
-        overdue
+        self.is_expired = is_expired;
+        is_expired
     }
 
-    /// This process was paused for `pause` until now: an answer that was due meanwhile may lie unread.
-    /// Once for each reading, as a process that stutters must see an outage too.
+    /// Extends the deadline of the pending read after this process was paused for `pause`, which
+    /// ended at `now`. The response may have arrived during the pause and not been processed yet.
+    ///
+    /// The deadline is extended once for each read, so that a process with frequent pauses still
+    /// detects a platform outage.
     pub(super) fn woke(&mut self, pause: Duration, now: MonotonicTime) {
-        let answer_time = self.answer_time();
-        if let Some(reading) = &mut self.reading
-            && !reading.slept
+        let expected_response_time = self.expected_response_time();
+        if let Some(pending_read) = &mut self.pending_read
+            && !pending_read.was_paused
         {
-            reading.slept = true;
-            if reading.answer_due + pause > now {
-                reading.answer_due = now + answer_time;
+            pending_read.was_paused = true;
+            if pending_read.response_due + pause > now {
+                pending_read.response_due = now + expected_response_time;
             }
         }
     }
 
-    /// Takes what a peer says of its readings in the answer to a heartbeat that was sent at `sent`;
-    /// `revision` is that of the configuration in force here. Returns since when what is known here is
-    /// known to be the latest.
+    /// Applies the list age that a peer reported in its response to a heartbeat sent at `sent`.
+    /// `revision` is the configuration in force in this daemon. Returns the time at which the local
+    /// list and configuration were last known to be up to date, or `None` if the report proves
+    /// nothing about them.
     ///
-    /// Guards against a list that is taken for younger than it is, because its age is reckoned from
-    /// when the answer came, or from a later question: a notice that lies in between seems to be
-    /// known, and its upstream gets requests for longer than it may, 0.8 s where the answer of a peer
-    /// was that slow. What the answer says was true when its own question was sent, less the age that
-    /// it names, and what is known here was the latest then if it lacks nothing that the peer knows.
-    pub(super) fn heard_age(
+    /// Guards against a list that is considered fresher than it is. If its age is counted from the
+    /// arrival of the response or from a later query, the leaving notice of an upstream in between
+    /// seems to be included. That upstream then receives requests for too long, by 0.8 s where the
+    /// peer's response took as long. The report held when the peer was asked, so the age is
+    /// subtracted from the time of the heartbeat. The local list was up to date at that time only
+    /// if it lacks nothing that the peer knows.
+    pub(super) fn apply_peer_age(
         &mut self,
         message: &ExchangeMessage,
         revision: u64,
@@ -212,287 +233,301 @@
         if message.directory > self.directory.position() || message.revision > revision {
             return None;
         }
-        let current = MonotonicTime::from_start(sent.since_start().checked_sub(age)?);
-        self.set_current(current);
-        self.current
+        let verified_at = MonotonicTime::from_start(sent.since_start().checked_sub(age)?);
+        self.set_verified_at(verified_at);
+        self.verified_at
     }
 
-    /// Takes how old a peer's list was, which is known here now, in answer to a question of `asked`.
-    fn take_age(&mut self, told: ListAge, revision: u64, asked: MonotonicTime) {
-        let since_start = asked.since_start().checked_sub(told.age);
-        if told.revision <= revision
+    /// Applies the age of a list that was fetched from a peer by a request sent at `requested_at`.
+    /// The age is ignored if the peer has a newer configuration in force than `revision`.
+    fn apply_list_age(&mut self, list_age: ListAge, revision: u64, requested_at: MonotonicTime) {
+        let since_start = requested_at.since_start().checked_sub(list_age.age);
+        if list_age.revision <= revision
             && let Some(since_start) = since_start
         {
-            self.set_current(MonotonicTime::from_start(since_start));
+            self.set_verified_at(MonotonicTime::from_start(since_start));
         }
     }
 
-    fn set_current(&mut self, current: MonotonicTime) {
-        self.current = self.current.max(Some(current));
-        // A peer has read since: what failed before is over. An outage that was long enough for entries
-        // to lapse ends only with a reading of this daemon, which then waits for them.
-        if !self.away && self.failing_since.is_some_and(|since| current > since) {
+    fn set_verified_at(&mut self, verified_at: MonotonicTime) {
+        self.verified_at = self.verified_at.max(Some(verified_at));
+        // A peer has read the platform successfully, so earlier failures are obsolete. After an
+        // outage in which entries may have expired, only a read by this daemon ends the failure
+        // state, because that read starts the grace period for those entries.
+        if !self.had_outage
+            && self.failing_since.is_some_and(|failing_since| verified_at > failing_since)
+        {
             self.failing_since = None;
         }
     }
 
-    /// When the list was last known to be the latest.
-    pub(super) fn current(&self) -> Option<MonotonicTime> {
-        self.current
+    /// Time at which the list and the configuration were last known to be up to date.
+    pub(super) fn verified_at(&self) -> Option<MonotonicTime> {
+        self.verified_at
     }
 
-    /// Takes a whole list. Returns whether routing must change.
-    pub(super) fn read_whole(
+    /// Replaces the list with the result of a full read. Returns whether routing must be updated.
+    pub(super) fn apply_full_read(
         &mut self,
-        read: PublishedList,
+        snapshot: PlatformSnapshot,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let PublishedList { position, entries, evacuations, cold } = read;
+        let PlatformSnapshot { position, entries, evacuations, cold_upstreams } = snapshot;
         let age = self.age(now);
-        let is_back = self.succeeded(now, out);
-        let before = self.directory.position();
-        let is_restored = self.directory.is_known() && position.era > before.era;
-        // What this reading lists and a later one does not is gone: only what lapsed before the
-        // list came back may still be on its way.
-        let grace = match (is_back, is_restored) {
-            (true, false) => Some(self.return_grace(now)),
+        let is_after_outage = self.record_success(now, out);
+        let previous_position = self.directory.position();
+        let is_store_restored = self.directory.is_known() && position.era > previous_position.era;
+        // An upstream that this read lists and a later one omits has really gone. Only entries that
+        // expired during an outage, or that a restored store lacks, may still be written again.
+        let grace_end = match (is_after_outage, is_store_restored) {
+            (true, false) => Some(self.outage_grace_end(now)),
             (_, true) => Some(now + RESTORE_GRACE),
             (false, false) => None,
         };
-        let zones = self.evacuated_zones();
-        let restored = is_restored.then_some(now + RESTORE_GRACE);
-        let mut changed = self.directory.replace_evacuations(position, evacuations, restored);
-        changed |= self.directory.replace(position, entries, grace);
-        let told = cold.clone();
-        if self.directory.note_cold(cold, now) {
+        let previous_zones = self.evacuated_zones();
+        let restore_grace_end = is_store_restored.then_some(now + RESTORE_GRACE);
+        let mut changed =
+            self.directory.replace_evacuations(position, evacuations, restore_grace_end);
+        changed |= self.directory.replace(position, entries, grace_end);
+        let reported_upstreams = cold_upstreams.clone();
+        if self.directory.note_cold(cold_upstreams, now) {
             changed = true;
-            self.note_cold_starts(told, now, out);
+            self.log_cold_starts(reported_upstreams, now, out);
         }
-        self.note_evacuations(&zones, None, out);
-        self.note_restore(before, None, out);
-        self.note(changed, None, age, out);
+        self.log_evacuations(&previous_zones, None, out);
+        self.log_restore(previous_position, None, out);
+        self.log_list_change(changed, None, age, out);
         changed
     }
 
-    /// A read failed.
-    pub(super) fn read_failed(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Records a failed read and schedules the next one after a backoff.
+    pub(super) fn record_read_failure(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         out.push(Command::Count(CounterName::PlatformReadsFailed));
-        let reading = self.reading.take();
-        if reading.as_ref().is_some_and(|reading| reading.slept) && !self.repeated {
-            // Guards against a process that takes its own sleep for an outage of the platform, and so
-            // goes on by a list from before it: the answer may have come meanwhile, unread.
-            self.repeated = true;
-            self.begin_reading(None, now, out);
+        let pending_read = self.pending_read.take();
+        if pending_read.as_ref().is_some_and(|pending_read| pending_read.was_paused)
+            && !self.is_repeated_read
+        {
+            // Guards against a process that mistakes its own pause for a platform outage and
+            // continues to route by the list from before the pause. The response may have arrived
+            // unprocessed during the pause, so the read is repeated at once.
+            self.is_repeated_read = true;
+            self.start_read(None, now, out);
             return;
         }
-        self.repeated = false;
-        let began = reading.map_or(now, |reading| reading.began);
-        self.failed = Some(FailedReading { began, ended: now });
-        if self.failures == 0 && self.directory.is_known() {
+        self.is_repeated_read = false;
+        let started_at = pending_read.map_or(now, |pending_read| pending_read.started_at);
+        self.last_failure = Some(FailedRead { started_at, failed_at: now });
+        if self.consecutive_failures == 0 && self.directory.is_known() {
             out.push(Command::Note(StateChange::PlatformLost));
         }
-        self.failures += 1;
-        let since = *self.failing_since.get_or_insert(now);
-        self.away |= now.since(since) >= AWAY_AFTER;
-        let pause = BACK_OFF.0 * 2_u32.pow(self.failures.min(4) - 1);
-        self.set_look(now + pause.min(BACK_OFF.1), out);
+        self.consecutive_failures += 1;
+        let failing_since = *self.failing_since.get_or_insert(now);
+        self.had_outage |= now.since(failing_since) >= OUTAGE_THRESHOLD;
+        let pause = READ_BACKOFF.0 * 2_u32.pow(self.consecutive_failures.min(4) - 1);
+        self.schedule_poll(now + pause.min(READ_BACKOFF.1), out);
     }
 
-    /// Asks `vm`, which knows of a later change, for what is not known here.
+    /// Fetches changes from the peer on `vm` if its last change, at `changed`, is newer than the
+    /// local list.
     ///
-    /// Guards against a change that is missed for good: pages of a list are no snapshot, so that the last
-    /// change of a list may be later than one that it lacks. Everything is known up to its position only.
-    pub(super) fn heard_of(
+    /// Guards against a change that is lost for good. A paged read is not an atomic snapshot, so it
+    /// can return a change with a higher revision than one that it missed. The comparison therefore
+    /// uses the position up to which the list is complete, not the position of its last change.
+    pub(super) fn fetch_newer_list(
         &mut self,
         vm: &str,
         changed: StorePosition,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let newer = changed > self.directory.position();
-        let fetching = self.fetching.as_ref();
-        let fetching = fetching.is_some_and(|(_, since)| now.since(*since) < FETCH_PATIENCE);
-        if newer && !fetching {
-            self.fetching = Some((vm.to_owned(), now));
+        let is_newer = changed > self.directory.position();
+        let pending_fetch = self.pending_fetch.as_ref();
+        let is_fetching =
+            pending_fetch.is_some_and(|(_, requested_at)| now.since(*requested_at) < FETCH_TIMEOUT);
+        if is_newer && !is_fetching {
+            self.pending_fetch = Some((vm.to_owned(), now));
             out.push(Command::Count(CounterName::DirectoryFetches));
             let (vm, known) = (vm.to_owned(), self.directory.known_to_peers());
             out.push(Command::FetchDirectory { known, vm });
         }
     }
 
-    /// Takes the list of a peer; `revision` is that of the configuration in force here. Returns whether
-    /// routing must change.
+    /// Merges the list that was fetched from a peer; `None` means that the fetch failed. `revision`
+    /// is the configuration in force in this daemon. Returns whether routing must be updated.
     ///
-    /// Guards against fleets in which every daemon reads for itself: where some upstream changes with each
-    /// reading, the answer to a heartbeat always names a change that is not known yet, and only the list
-    /// that is fetched then is as young as the peer's.
-    pub(super) fn fetched(
+    /// Guards against a fleet in which every daemon reads the platform itself. Where some upstream
+    /// changes between any two reads, each heartbeat names a change that this daemon lacks, so the
+    /// age in the heartbeat can't be applied. Only the age of the fetched list can.
+    pub(super) fn apply_peer_list(
         &mut self,
         list: Option<PeerDirectory>,
         revision: u64,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let fetching = self.fetching.take();
-        let asked = fetching.as_ref().map(|(_, asked)| *asked);
-        let peer = fetching.map(|(vm, _)| vm);
+        let pending_fetch = self.pending_fetch.take();
+        let requested_at = pending_fetch.as_ref().map(|(_, requested_at)| *requested_at);
+        let peer = pending_fetch.map(|(vm, _)| vm);
         let Some(list) = list else {
             out.push(Command::Count(CounterName::DirectoryFetchesFailed));
             return false;
         };
-        let (before, zones) = (self.directory.position(), self.evacuated_zones());
-        let (told, position) = (list.age, list.position);
+        let (previous_position, previous_zones) =
+            (self.directory.position(), self.evacuated_zones());
+        let (list_age, position) = (list.age, list.position);
         let changed = self.directory.merge(list, now);
-        let is_taken = self.directory.position() == position;
-        if let Some((told, asked)) = told.filter(|_| is_taken).zip(asked) {
-            self.take_age(told, revision, asked);
+        let is_applied = self.directory.position() == position;
+        if let Some((list_age, requested_at)) = list_age.filter(|_| is_applied).zip(requested_at) {
+            self.apply_list_age(list_age, revision, requested_at);
         }
-        self.note_evacuations(&zones, peer.as_deref(), out);
-        self.note_restore(before, peer.as_deref(), out);
-        self.note(changed, peer, self.age(now), out);
+        self.log_evacuations(&previous_zones, peer.as_deref(), out);
+        self.log_restore(previous_position, peer.as_deref(), out);
+        self.log_list_change(changed, peer, self.age(now), out);
         changed
     }
 
-    /// Drops upstreams and evacuations that stayed missing. Returns whether there were any.
+    /// Removes upstreams and evacuations whose grace period ended before they were listed again.
+    /// Returns whether any were removed.
     pub(super) fn drop_missing(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
-        let zones = self.evacuated_zones();
-        let dropped = self.directory.drop_missing(now);
-        self.note_evacuations(&zones, None, out);
-        dropped
+        let previous_zones = self.evacuated_zones();
+        let has_dropped = self.directory.drop_missing(now);
+        self.log_evacuations(&previous_zones, None, out);
+        has_dropped
     }
 
-    /// Time since the list was last known to be the latest.
+    /// Time since the list was last known to be up to date. `None` if it never was.
     pub(super) fn age(&self, now: MonotonicTime) -> Option<Duration> {
-        self.current.map(|current| now.since(current))
+        self.verified_at.map(|verified_at| now.since(verified_at))
     }
 
-    /// Whether a reading that was begun since the list was last known to be the latest has failed, of
-    /// late.
+    /// Whether a read that started after the list was last known to be up to date has failed
+    /// recently.
     ///
-    /// Guards against a failure of long ago that stands for an outage: a daemon whose list is kept young
-    /// by another one does not read again after it.
-    fn is_failing(&self, now: MonotonicTime) -> bool {
-        self.failed.as_ref().is_some_and(|failed| {
-            let since = self.current.is_none_or(|current| failed.began > current);
-            since && now.since(failed.ended) < FAILURE_LIFE
+    /// Guards against an old failure that is mistaken for a current outage. A daemon whose list is
+    /// kept fresh by another daemon does not read again after a failure, so no success would clear
+    /// it.
+    fn has_recent_failure(&self, now: MonotonicTime) -> bool {
+        self.last_failure.as_ref().is_some_and(|last_failure| {
+            let is_newer_than_list =
+                self.verified_at.is_none_or(|verified_at| last_failure.started_at > verified_at);
+            is_newer_than_list && now.since(last_failure.failed_at) < FAILURE_VALIDITY
         })
     }
 
-    /// Time in which a platform in order has answered a reading.
-    fn answer_time(&self) -> Duration {
+    /// Time in which a healthy platform responds to a read of a list of the current size.
+    fn expected_response_time(&self) -> Duration {
         let entries = u32::try_from(self.directory.entries().count()).unwrap_or(u32::MAX);
-        ANSWER_TIME + ENTRY_TIME.saturating_mul(entries)
+        BASE_RESPONSE_TIME + TRANSFER_TIME_PER_UPSTREAM.saturating_mul(entries)
     }
 
-    fn begin_reading(
-        &mut self,
-        reader: Option<String>,
-        now: MonotonicTime,
-        out: &mut Vec<Command>,
-    ) {
-        let answer_due = now + self.answer_time();
-        self.reading = Some(OpenReading { began: now, answer_due, slept: false });
-        out.push(Command::SetTimer { timer: TimerKey::DirectoryAnswer, at: answer_due });
+    fn start_read(&mut self, reader: Option<String>, now: MonotonicTime, out: &mut Vec<Command>) {
+        let response_due = now + self.expected_response_time();
+        self.pending_read = Some(PendingRead { started_at: now, response_due, was_paused: false });
+        out.push(Command::SetTimer { timer: TimerKey::DirectoryAnswer, at: response_due });
         out.push(Command::Count(CounterName::DirectoryReads));
         if let Some(reader) = reader {
             out.push(Command::Count(CounterName::DirectoryReadsForAge));
-            let age_ms = self.age(now).map(millis);
+            let age_ms = self.age(now).map(whole_millis);
             out.push(Command::Note(StateChange::DirectoryAged { age_ms, reader }));
         }
         out.push(Command::ReadDirectory);
     }
 
-    /// Until when upstreams are waited for that the first reading after an outage does not list.
+    /// End of the grace period for upstreams that the first read after an outage does not list.
     ///
-    /// Guards against requests to one that has left while this daemon alone was cut off: it may have
-    /// been back since its last reading in vain began, which with the pause after it can be two
-    /// seconds ago, and is counted on [`NewsPace::contact`] after its return.
-    fn return_grace(&self, now: MonotonicTime) -> MonotonicTime {
-        let began = self.failed.as_ref().map_or(now, |failed| failed.began);
-        let counted_on = began + self.pace.contact;
-        let last =
-            MonotonicTime::from_start(counted_on.since_start().saturating_sub(CONNECT_PATIENCE));
-        last.min(now + RETURN_GRACE)
+    /// Guards against requests to an upstream that left while only this daemon was cut off from the
+    /// platform. The connection may have recovered just after the last failed read began, up to two
+    /// seconds ago including the backoff. The daemon must meet its staleness bounds within
+    /// [`NewsPace::recovery_time`] of that recovery.
+    fn outage_grace_end(&self, now: MonotonicTime) -> MonotonicTime {
+        let started_at =
+            self.last_failure.as_ref().map_or(now, |last_failure| last_failure.started_at);
+        let recovery_end = started_at + self.intervals.recovery_time;
+        let last_usable =
+            MonotonicTime::from_start(recovery_end.since_start().saturating_sub(CONNECT_PATIENCE));
+        last_usable.min(now + OUTAGE_GRACE)
     }
 
-    fn set_look(&mut self, at: MonotonicTime, out: &mut Vec<Command>) {
-        self.next_look = Some(at);
+    fn schedule_poll(&mut self, at: MonotonicTime, out: &mut Vec<Command>) {
+        self.next_poll = Some(at);
         out.push(Command::SetTimer { timer: TimerKey::Directory, at });
     }
 
     fn is_stale(&self, now: MonotonicTime) -> bool {
-        match self.current {
-            Some(current) => now.since(current) >= self.pace.stale_after,
-            None => now.since(self.started) >= FIRST_READING.1,
+        match self.verified_at {
+            Some(verified_at) => now.since(verified_at) >= self.intervals.self_read_age,
+            None => now.since(self.started_at) >= STARTUP_WAITS.1,
         }
     }
 
-    /// A read succeeded. Returns whether it was the first one after a time in which entries may have
-    /// lapsed.
-    fn succeeded(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
-        if self.failures > 0 && self.last_read.is_some() {
+    /// Records a successful read. Returns whether it is the first one after an outage in which
+    /// entries may have expired.
+    fn record_success(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
+        if self.consecutive_failures > 0 && self.last_success.is_some() {
             out.push(Command::Note(StateChange::PlatformRegained));
         }
-        let began = self.reading.take().map(|reading| reading.began);
-        self.failures = 0;
-        self.repeated = false;
+        let started_at = self.pending_read.take().map(|pending_read| pending_read.started_at);
+        self.consecutive_failures = 0;
+        self.is_repeated_read = false;
         self.failing_since = None;
-        self.last_read = Some(now);
-        self.current = self.current.max(began);
-        // From its beginning, as the age of the list is: one of thousands of upstreams takes its time.
-        let next = began.unwrap_or(now) + self.pace.read_pause;
-        self.set_look(next.max(now), out);
-        std::mem::take(&mut self.away)
+        self.last_success = Some(now);
+        self.verified_at = self.verified_at.max(started_at);
+        // Counted from the start of the read, as the age of the list is, because the transfer of
+        // thousands of upstreams takes a noticeable time.
+        let next_read_at = started_at.unwrap_or(now) + self.intervals.read_interval;
+        self.schedule_poll(next_read_at.max(now), out);
+        std::mem::take(&mut self.had_outage)
     }
 
     fn evacuated_zones(&self) -> Vec<String> {
         self.directory.evacuated_zones().map(str::to_owned).collect()
     }
 
-    /// Tells which availability zones were evacuated or opened since `before`.
-    fn note_evacuations(&self, before: &[String], peer: Option<&str>, out: &mut Vec<Command>) {
-        let after = self.evacuated_zones();
-        for zone in after.iter().filter(|zone| !before.contains(zone)) {
+    /// Logs which availability zones were evacuated or reopened compared with `previous`.
+    fn log_evacuations(&self, previous: &[String], peer: Option<&str>, out: &mut Vec<Command>) {
+        let current = self.evacuated_zones();
+        for zone in current.iter().filter(|zone| !previous.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
             out.push(Command::Note(StateChange::ZoneEvacuated { zone, peer }));
         }
-        for zone in before.iter().filter(|zone| !after.contains(zone)) {
+        for zone in previous.iter().filter(|zone| !current.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
             out.push(Command::Note(StateChange::ZoneOpened { zone, peer }));
         }
     }
 
-    /// Takes the word of an upstream that is cold. Returns whether that matters to routing.
-    pub(super) fn hear_cold(
+    /// Records that an upstream reported its cold start. Returns whether routing must be updated.
+    pub(super) fn record_cold_start(
         &mut self,
-        cold: ColdUpstream,
+        upstream: ColdUpstream,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let is_news = self.directory.note_cold(vec![cold.clone()], now);
-        if is_news {
-            self.note_cold_starts(vec![cold], now, out);
+        let has_changed = self.directory.note_cold(vec![upstream.clone()], now);
+        if has_changed {
+            self.log_cold_starts(vec![upstream], now, out);
         }
-        is_news
+        has_changed
     }
 
-    /// Tells which upstreams are cold.
-    fn note_cold_starts(
+    /// Logs the upstreams that are in their cold start, with the time left for each.
+    fn log_cold_starts(
         &self,
-        cold: Vec<ColdUpstream>,
+        cold_upstreams: Vec<ColdUpstream>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        for ColdUpstream { name: upstream, .. } in cold {
+        for ColdUpstream { name: upstream, .. } in cold_upstreams {
             let until = self.directory.cold_until(&upstream);
-            let left_ms = until.map_or(0, |until| millis(until.since(now)));
+            let left_ms = until.map_or(0, |until| whole_millis(until.since(now)));
             out.push(Command::Note(StateChange::UpstreamCold { upstream, left_ms }));
         }
     }
 
-    /// Tells of a store that came back from an older copy.
-    fn note_restore(&self, before: StorePosition, peer: Option<&str>, out: &mut Vec<Command>) {
+    /// Logs that the store was restored from an older copy, if the era of the list has risen since
+    /// `before`.
+    fn log_restore(&self, before: StorePosition, peer: Option<&str>, out: &mut Vec<Command>) {
         let after = self.directory.position();
         if before.is_none() || after.era <= before.era {
             return;
@@ -502,7 +537,7 @@
         out.push(Command::Note(StateChange::StoreRestored { before, after, missing, peer }));
     }
 
-    fn note(
+    fn log_list_change(
         &self,
         changed: bool,
         peer: Option<String>,
@@ -512,14 +547,14 @@
         if changed {
             let StorePosition { era, revision } = self.directory.changed();
             let upstreams = self.directory.staying().count();
-            let age_ms = age.map(millis);
-            let taken = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
-            out.push(Command::Note(taken));
+            let age_ms = age.map(whole_millis);
+            let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
+            out.push(Command::Note(change));
         }
     }
 }
 
-/// Whole milliseconds of `time`.
-fn millis(time: Duration) -> u64 {
+/// Converts `time` to whole milliseconds, capped at `u64::MAX`.
+fn whole_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::core_state::RequestBasis;
-use super::directory_state::PublishedList;
+use super::directory_state::PlatformSnapshot;
 use super::{Command, CounterName, DaemonCore, DaemonEvent};
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::{ExchangeMessage, VmRoster};
@@ -25,7 +25,7 @@
                 self.state.take_leaving(&news, now, out);
                 self.heard(&message, now, out);
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
-                let current = lock(&self.state.directory).heard_age(&message, revision, sent);
+                let current = lock(&self.state.directory).apply_peer_age(&message, revision, sent);
                 if current.is_some() {
                     lock(&self.state.fleet).directory_current = current;
                 }
@@ -35,15 +35,18 @@
                 // First, so that no list says that it is young with an older configuration in force.
                 self.take_configuration(configuration, now, out);
                 let mut directory = lock(&self.state.directory);
-                let read = PublishedList::new(position, entries, evacuations).cold(cold);
-                let changed = directory.read_whole(read, now, out);
+                let read =
+                    PlatformSnapshot::new(position, entries, evacuations).with_cold_upstreams(cold);
+                let changed = directory.apply_full_read(read, now, out);
                 drop(directory);
                 self.directory_read(changed, now, out);
             }
-            DaemonEvent::DirectoryUnread => lock(&self.state.directory).read_failed(now, out),
+            DaemonEvent::DirectoryUnread => {
+                lock(&self.state.directory).record_read_failure(now, out)
+            }
             DaemonEvent::DirectoryFetched(list) => {
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
-                let changed = lock(&self.state.directory).fetched(list, revision, now, out);
+                let changed = lock(&self.state.directory).apply_peer_list(list, revision, now, out);
                 self.directory_read(changed, now, out);
             }
             DaemonEvent::ExchangeFailed(vm) => {
@@ -117,7 +120,7 @@
             let fleet = lock(&self.state.fleet);
             (fleet.directory_reader(), fleet.has_met_fleet())
         };
-        let asked = lock(&self.state.directory).look(reader, has_met, now, out);
+        let asked = lock(&self.state.directory).poll(reader, has_met, now, out);
         if let Some(reader) = asked {
             lock(&self.state.fleet).exchange_with(vec![reader], now, out);
         }
@@ -130,7 +133,7 @@
             let restarted = state.directory.take_restarted();
             out.extend(restarted.into_iter().map(Command::ForgetConnections));
             let known = StorePosition::from(u64::from(state.directory.is_known()));
-            (state.directory.changed().max(known), state.current())
+            (state.directory.changed().max(known), state.verified_at())
         };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
@@ -166,7 +169,7 @@
             self.refresh_basis();
         }
         self.state.router().set_daemons(daemons);
-        lock(&self.state.directory).heard_of(vm, message.directory, now, out);
+        lock(&self.state.directory).fetch_newer_list(vm, message.directory, now, out);
     }
 
     pub(super) fn take_roster(
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -21,7 +21,7 @@
     pub(super) fn check_list(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let (overdue, released) = {
             let mut directory = lock(&self.directory);
-            let overdue = directory.is_overdue(now, out);
+            let overdue = directory.is_expired(now, out);
             (overdue, lock(&self.held).set_closed(overdue))
         };
         let Some(released) = released else { return };
--- a/crates/crocusdale_core/src/daemon/news_bounds.rs
+++ b/crates/crocusdale_core/src/daemon/news_bounds.rs
@@ -2,39 +2,42 @@
 
 use crate::routing::CONNECT_PATIENCE;
 
-/// Part of the shortest bound for which what was read may be used, at most.
-const FIT_SHARE: f64 = 0.75;
-/// What is left of the shortest bound once a request was written: clocks, wake-ups and links that were
-/// a little late.
-const MARGIN: Duration = Duration::from_millis(200);
-/// Least time for which what was read may be used. A bound that allows less can't be kept: an answer of
-/// the platform alone may take as long.
-const LEAST_FIT: Duration = Duration::from_millis(300);
-/// Parts of that time. A reader reads after a third of it, and a daemon that relies on a reader asks it
-/// after four fifteenths: together nine fifteenths, so that with the answers' ways no daemon has to read
-/// for itself, at eleven, unless something went wrong. The last four are for that reading.
-const READ_SHARE: f64 = 5.0 / 15.0;
-const ASK_SHARE: f64 = 4.0 / 15.0;
-const STALE_SHARE: f64 = 11.0 / 15.0;
-/// Questions a second that a reader answers, which bounds its processor time.
-const QUESTIONS_PER_S: f64 = 40.0;
+/// Largest share of the shortest bound for which the list and the configuration may be used without
+/// confirmation.
+const MAX_AGE_SHARE: f64 = 0.75;
+/// Part of the shortest bound that is reserved for clock error, late wake-ups and network delay
+/// after a request was sent.
+const LATENCY_MARGIN: Duration = Duration::from_millis(200);
+/// Lower limit of the maximum age. A bound that would require less can't be met, because a single
+/// response of the platform may take as long.
+const MAX_AGE_FLOOR: Duration = Duration::from_millis(300);
+/// Shares of the maximum age. A daemon that reads for its zone does so after 5/15, and the others
+/// query it after 4/15. An age of up to 9/15 is therefore normal, and delays of the responses fit
+/// in before 11/15, where a daemon reads the platform itself because something went wrong. The last
+/// 4/15 are reserved for that read.
+const READ_INTERVAL_SHARE: f64 = 5.0 / 15.0;
+const QUERY_INTERVAL_SHARE: f64 = 4.0 / 15.0;
+const SELF_READ_AGE_SHARE: f64 = 11.0 / 15.0;
+/// Queries per second that a daemon which reads for others should answer, to limit its CPU load.
+const MAX_QUERIES_PER_S: f64 = 40.0;
 
-/// Bounds that the users set on how late news of the platform may take effect.
+/// Limits, set by users, on how long a change that the platform publishes may go unnoticed.
 #[derive(Clone, Copy, Debug)]
 pub struct NewsBounds {
-    /// Time from the notice of an upstream that leaves to the last request that may reach it.
+    /// Time from the leaving notice of an upstream to the last request that may reach it.
     pub notice: Duration,
-    /// Time from the acknowledgement of a configuration to the first request that must be judged by it.
+    /// Time from the acknowledgement of a new configuration to the first request that must be
+    /// handled under it.
     pub configuration: Duration,
-    /// Time from the request to evacuate an availability zone to the last request that may reach its
-    /// upstreams.
+    /// Time from the request to evacuate an availability zone to the last request that may reach an
+    /// upstream in it.
     pub evacuation: Duration,
-    /// Time after which a daemon that reaches the platform again must keep these bounds.
+    /// Time after which a daemon that can reach the platform again must meet the other limits.
     pub contact: Duration,
 }
 
 impl Default for NewsBounds {
-    /// The shortest bounds that are known to be asked for.
+    /// The strictest limits that users are known to need.
     fn default() -> Self {
         Self {
             notice: Duration::from_millis(2_000),
@@ -45,43 +48,46 @@
     }
 }
 
-/// How often what the platform publishes is asked for, and for how long an answer is good.
+/// Refresh schedule of the list and the configuration, derived from [`NewsBounds`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewsPace {
-    /// Age of what is known beyond which no choice rests on it. With the time in which a request that
-    /// was given to an upstream is sent there, [`CONNECT_PATIENCE`], it stays below the bounds.
-    pub(super) fit_for: Duration,
-    /// Age at which a daemon reads itself, whoever should read for it.
-    pub(super) stale_after: Duration,
-    /// Pause between two readings. The list is always read whole: each upstream renews its entry about
-    /// every second, so that a watch would end as soon, and it would miss what changes while the store
-    /// forgets its history.
-    pub(super) read_pause: Duration,
-    /// Pause between two questions to the daemon that reads for this one.
-    pub(super) ask_pause: Duration,
-    /// See [`NewsBounds::contact`].
-    pub(super) contact: Duration,
+    /// Age beyond which the list and the configuration must not be used for routing. A request may
+    /// still be sent up to [`CONNECT_PATIENCE`] after its upstream was chosen, so this age plus
+    /// that time stays below the shortest bound.
+    pub(super) max_age: Duration,
+    /// Age at which a daemon reads the platform itself, although another daemon should read for it.
+    pub(super) self_read_age: Duration,
+    /// Interval between two reads of the platform. Each read fetches the whole list. A watch would
+    /// bring no gain, because it would fire at once: each upstream renews its entry about every
+    /// second. It would also miss changes while the store compacts its history.
+    pub(super) read_interval: Duration,
+    /// Interval between two queries to the daemon that reads the platform for this one.
+    pub(super) query_interval: Duration,
+    /// Time after the platform can be reached again by which the bounds hold again, as in
+    /// [`NewsBounds::contact`].
+    pub(super) recovery_time: Duration,
 }
 
 impl From<NewsBounds> for NewsPace {
     fn from(bounds: NewsBounds) -> Self {
-        let shortest = bounds.notice.min(bounds.configuration).min(bounds.evacuation);
-        let sent = shortest.saturating_sub(CONNECT_PATIENCE + MARGIN);
-        let fit_for = shortest.mul_f64(FIT_SHARE).min(sent).max(LEAST_FIT);
+        let shortest_bound = bounds.notice.min(bounds.configuration).min(bounds.evacuation);
+        let max_age_before_send = shortest_bound.saturating_sub(CONNECT_PATIENCE + LATENCY_MARGIN);
+        let max_age =
+            shortest_bound.mul_f64(MAX_AGE_SHARE).min(max_age_before_send).max(MAX_AGE_FLOOR);
         Self {
-            fit_for,
-            stale_after: fit_for.mul_f64(STALE_SHARE),
-            read_pause: fit_for.mul_f64(READ_SHARE),
-            ask_pause: fit_for.mul_f64(ASK_SHARE),
-            contact: bounds.contact,
+            max_age,
+            self_read_age: max_age.mul_f64(SELF_READ_AGE_SHARE),
+            read_interval: max_age.mul_f64(READ_INTERVAL_SHARE),
+            query_interval: max_age.mul_f64(QUERY_INTERVAL_SHARE),
+            recovery_time: bounds.contact,
         }
     }
 }
 
 impl NewsPace {
-    /// Daemons of a zone for each one that reads for the others.
+    /// Number of daemons in a zone for each one that reads the platform, at least 1.
     pub(super) fn daemons_per_reader(&self) -> usize {
-        ((QUESTIONS_PER_S * self.ask_pause.as_secs_f64()).round() as usize).max(1)
+        ((MAX_QUERIES_PER_S * self.query_interval.as_secs_f64()).round() as usize).max(1)
     }
 }
 
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -43,7 +43,7 @@
         }
         if let Some(left) = notice.cold {
             let cold = ColdUpstream { name: upstream.to_owned(), left };
-            let is_news = lock(&self.directory).hear_cold(cold, now, out);
+            let is_news = lock(&self.directory).record_cold_start(cold, now, out);
             if let Some(declarations) = self.declarations_in_force().filter(|_| is_news) {
                 self.reroute(&declarations, now, out);
             }
