--- a/crates/crocusdale_core/src/daemon/configuration_watch.rs
+++ b/crates/crocusdale_core/src/daemon/configuration_watch.rs
@@ -19,10 +19,10 @@
     /// A few readers of each zone keep watching; the others hear of revisions from peers. That
     /// keeps the reads of a large fleet far below what the service allows, also after an outage.
     pub fn watch_ended(&mut self, read: Option<u64>, now: MonotonicTime, out: &mut Vec<Command>) {
-        self.watching = false;
-        self.failures = 0;
+        self.is_watching = false;
+        self.failed_watches = 0;
         if let Some(revision) = read {
-            self.service_revision = revision;
+            self.watched_revision = revision;
         }
         self.decide_watch(now, out);
     }
@@ -30,10 +30,10 @@
     /// Takes a failed read, and decides when to read next.
     pub fn watch_failed(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         out.push(Command::Count(CounterName::PlatformReadsFailed));
-        self.watching = false;
-        self.failures += 1;
-        let longest = BACK_OFF.0 * 2_u32.pow(self.failures.min(8));
-        let pause = self.jittered(longest.min(BACK_OFF.1));
+        self.is_watching = false;
+        self.failed_watches += 1;
+        let longest = BACK_OFF.0 * 2_u32.pow(self.failed_watches.min(8));
+        let pause = self.with_jitter(longest.min(BACK_OFF.1));
         out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + pause });
     }
 
@@ -42,7 +42,7 @@
     /// A store is read whole at a pace of its own, see [`NewsPace`]. There a watch only has a change
     /// take effect within milliseconds.
     pub fn decide_watch(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
-        if self.watching {
+        if self.is_watching {
             return;
         }
         let bound = MonotonicTime::from_start(now.since_start().saturating_sub(READ_BOUND));
@@ -53,10 +53,10 @@
             self.is_reader() || none_yet || !self.view.heard_since(bound)
         };
         if watches {
-            self.watching = true;
-            out.push(Command::WatchConfiguration { known: self.service_revision });
+            self.is_watching = true;
+            out.push(Command::WatchConfiguration { known: self.watched_revision });
         } else {
-            let pause = self.jittered(READER_CHECK);
+            let pause = self.with_jitter(READER_CHECK);
             out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + pause });
         }
     }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -27,10 +27,10 @@
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
                 let current = lock(&self.state.directory).apply_peer_age(&message, revision, sent);
                 if current.is_some() {
-                    lock(&self.state.fleet).directory_current = current;
+                    lock(&self.state.fleet).directory_verified_at = current;
                 }
             }
-            DaemonEvent::GreetingFailed => lock(&self.state.fleet).greeting_failed(out),
+            DaemonEvent::GreetingFailed => lock(&self.state.fleet).record_seed_failure(out),
             DaemonEvent::DirectoryRead { position, entries, evacuations, cold, configuration } => {
                 // First, so that no list says that it is young with an older configuration in force.
                 self.take_configuration(configuration, now, out);
@@ -50,10 +50,10 @@
                 self.directory_read(changed, now, out);
             }
             DaemonEvent::ExchangeFailed(vm) => {
-                lock(&self.state.fleet).exchange_failed(&vm, now, out);
+                lock(&self.state.fleet).record_heartbeat_failure(&vm, now, out);
             }
             DaemonEvent::ConfigurationFetched(fetched) => {
-                lock(&self.state.fleet).fetch_ended();
+                lock(&self.state.fleet).finish_configuration_fetch();
                 self.take_configuration(fetched, now, out);
             }
             DaemonEvent::ConfigurationWatched(read) => {
@@ -64,14 +64,14 @@
             DaemonEvent::ConfigurationUnread => lock(&self.state.fleet).watch_failed(now, out),
             DaemonEvent::RosterRead(read) => {
                 self.take_roster(read, now, out);
-                lock(&self.state.fleet).await_roster(now, out);
+                lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
             DaemonEvent::RosterUnread => {
                 out.push(Command::Count(CounterName::PlatformReadsFailed));
-                lock(&self.state.fleet).await_roster(now, out);
+                lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
             DaemonEvent::PlacementRead { upstream, held } => {
-                lock(&self.state.fleet).placement_read(upstream, held, out);
+                lock(&self.state.fleet).reconcile_engine(upstream, held, out);
             }
             DaemonEvent::OrderAnswered { taken: true } => {}
             DaemonEvent::OrderAnswered { taken: false } => {
@@ -85,7 +85,7 @@
 
     /// Serves callers from the moment on from which the daemon may.
     pub(super) fn check_ready(&self, now: MonotonicTime) {
-        let ready = lock(&self.state.fleet).become_ready(now);
+        let ready = lock(&self.state.fleet).update_readiness(now);
         if ready {
             self.refresh_basis();
         }
@@ -100,7 +100,7 @@
         let Some((revision, text)) = offered else { return };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
-            if !fleet.offer(revision, &text, now, out) {
+            if !fleet.apply_configuration(revision, &text, now, out) {
                 return;
             }
             fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
@@ -118,7 +118,7 @@
     pub(super) fn look_at_directory(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let (reader, has_met) = {
             let fleet = lock(&self.state.fleet);
-            (fleet.directory_reader(), fleet.has_met_fleet())
+            (fleet.directory_reader(), fleet.has_finished_discovery())
         };
         let asked = lock(&self.state.directory).poll(reader, has_met, now, out);
         if let Some(reader) = asked {
@@ -138,9 +138,9 @@
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
             fleet.directory = revision;
-            fleet.directory_current = current;
+            fleet.directory_verified_at = current;
             if changed {
-                fleet.tell_at_once(now, out);
+                fleet.send_early_heartbeats(now, out);
             }
             fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
         };
@@ -162,7 +162,7 @@
         let vm = &message.sender.instance.vm;
         let (news, daemons) = {
             let mut fleet = lock(&self.state.fleet);
-            let news = fleet.take_places(now, out);
+            let news = fleet.refresh_vm_list(now, out);
             (news, fleet.view.alive_count() + 1)
         };
         if news {
@@ -178,8 +178,8 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let Some(roster) = read else { return };
-        if lock(&self.state.fleet).take_roster(roster, now, out) {
+        let Some(vm_list) = read else { return };
+        if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
             self.refresh_basis();
             self.state.router().take_roster(self.state.basis().history.current());
         }
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -15,147 +15,159 @@
 use crate::quarantine::CrashRecord;
 use crate::rate_limiting::{LimitRecord, RateShare};
 
-/// Peers that are told at once of a new revision.
-const EAGER_PARTNERS: usize = 4;
-/// Peers that are told at once of a drain.
-const FAREWELL_PARTNERS: usize = 16;
-/// Pause between two reads of the VM list, unless set.
-const ROSTER_PERIOD: Duration = Duration::from_secs(2);
-/// Pause between two reads of the VM list for each daemon of the fleet, which bounds the reads
-/// of the whole fleet to 200 a second.
-const ROSTER_SHARE: Duration = Duration::from_millis(5);
-/// Pause between two looks at the engines that a daemon keeps in order.
-const ORDER_PERIOD: Duration = Duration::from_secs(1);
-/// Time after which a fetch from a peer counts as lost.
-const FETCH_PATIENCE: Duration = Duration::from_secs(2);
-/// Pause between two greetings of a seed, while no peer is known and afterwards. Greetings of
-/// seeds that are known already find the other side again after a partition.
-const SEED_PACE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(3));
-/// Address answers name a draining daemon for up to this many times as long as they may be kept:
-/// some callers keep them three times as long as they are told.
-const HOLD_FACTOR: u32 = 3;
-/// Time after the start for which a daemon without a VM list asks each partner for all that it knows, and
-/// the pause between two partners meanwhile. What is known doubles with each exchange.
-const SETTLING: (Duration, Duration) = (Duration::from_secs(3), Duration::from_millis(150));
-/// Peers whose answers are enough for a daemon that starts: what is in force is so nearly everywhere
-/// within a second, so eight daemons that all lack it would have to be met by chance. Asking each
-/// peer of a large fleet would take longer than [`START_GRACE`], in which callers are refused.
-const START_SAMPLE: usize = 8;
-/// Time after the start for which an unheard peer keeps a daemon from being ready.
-const START_GRACE: Duration = Duration::from_secs(2);
-
-/// Membership and configuration of one daemon, under one lock.
+/// Number of peers that receive a heartbeat at once after a change, ahead of the regular period.
+const UPDATE_FANOUT: usize = 4;
+/// Number of peers that receive a heartbeat at once when this daemon starts to drain or has
+/// received its first VM list.
+const ANNOUNCEMENT_FANOUT: usize = 16;
+/// Interval between two reads of the VM list, unless the configuration of the process sets one.
+const DEFAULT_VM_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Lower limit of the interval between two reads of the VM list, for each daemon in the fleet. It
+/// limits the reads of the whole fleet to 200 per second.
+const VM_LIST_INTERVAL_PER_PEER: Duration = Duration::from_millis(5);
+/// Interval at which this daemon checks the engines that it manages.
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a configuration fetch from a peer, after which another fetch may start.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Intervals between two heartbeats to seed addresses: while no peer is known, and after one is.
+/// Heartbeats to seeds continue after startup, so that both sides of a network partition find each
+/// other again.
+const SEED_INTERVALS: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(3));
+/// Factor on the time for which callers may cache an address answer, where upstreams are published.
+/// Some callers cache answers three times as long as they may, so a draining daemon must stay
+/// reachable for that long.
+const ADDRESS_HOLD_FACTOR: u32 = 3;
+/// Duration of member discovery after the start of a daemon without a VM list, and the longest
+/// heartbeat period during it. Each heartbeat in this phase asks for all members that the peer
+/// knows, so the number of known members doubles with each one.
+const DISCOVERY_PHASE: (Duration, Duration) = (Duration::from_secs(3), Duration::from_millis(150));
+/// Number of peers that a starting daemon must have asked before it is ready. A new configuration
+/// reaches nearly every daemon within a second, so it is very unlikely that eight peers all lack
+/// it. Contacting every peer of a large fleet would take longer than [`MAX_STARTUP_WAIT`], and
+/// callers are refused meanwhile.
+const SUFFICIENT_STARTUP_PEERS: usize = 8;
+/// Longest time after the start for which peers that have not answered can keep a daemon from being
+/// ready.
+const MAX_STARTUP_WAIT: Duration = Duration::from_secs(2);
+
+/// Membership and configuration of one daemon, guarded by one lock.
 #[derive(Debug)]
 pub struct FleetState {
-    /// What is believed of the peers.
+    /// Status of each peer, as known from heartbeats.
     pub view: MemberView,
-    /// Which configuration is in force.
+    /// Configuration in force, and the last rejected one.
     pub ledger: ConfigurationLedger,
-    /// VM lists in use.
+    /// VM lists that were in use recently, and the current one.
     pub history: RosterHistory,
     pub(super) zone: String,
-    started: MonotonicTime,
-    roster_period: Duration,
-    pub(super) service_revision: u64,
-    pub(super) watching: bool,
-    pub(super) failures: u32,
-    fetching: Option<MonotonicTime>,
-    /// Newest position that any peer had in force.
-    highest_heard: (u64, u64),
-    ready: bool,
-    /// Position of the last change of the published upstreams that is known here.
+    started_at: MonotonicTime,
+    vm_list_interval: Duration,
+    pub(super) watched_revision: u64,
+    pub(super) is_watching: bool,
+    pub(super) failed_watches: u32,
+    fetch_started_at: Option<MonotonicTime>,
+    /// Highest revision and digest of a configuration that any peer reported as in force.
+    newest_peer_position: (u64, u64),
+    is_ready: bool,
+    /// Position of the last known change to the published upstreams.
     pub directory: StorePosition,
-    /// Summary of what is known here of upstreams that ended under requests.
+    /// Digest of the known crash records of upstreams, compared with peers to detect differences.
     pub(super) crash_summary: u64,
-    /// Digest of what is known here of the rates that upstreams name.
+    /// Digest of the known rate limits that upstreams requested, compared with peers to detect
+    /// differences.
     pub(super) limit_digest: u64,
-    /// When that was last known to be the last change.
-    pub directory_current: Option<MonotonicTime>,
-    /// Whether one store publishes configuration and upstreams, which must both be known before callers
-    /// are served.
+    /// Time at which the list of published upstreams was last known to be up to date. `None` if it
+    /// never was.
+    pub directory_verified_at: Option<MonotonicTime>,
+    /// Whether a store publishes both the configuration and the upstreams. Both must be known then
+    /// before the daemon is ready.
     pub(super) needs_directory: bool,
-    pub(super) pace: NewsPace,
+    pub(super) intervals: NewsPace,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
-    seeds_failed: usize,
-    known: KnownDaemons,
-    /// Whether the last share of cold upstreams' requests was withheld, if there was one.
-    share_withheld: Option<bool>,
+    failed_seed_attempts: usize,
+    known_daemons: KnownDaemons,
+    /// Whether the last computed share of the cold upstreams' request rate was withheld. `None`
+    /// before the first one.
+    was_share_withheld: Option<bool>,
     random: SmallRng,
 }
 
 impl FleetState {
-    /// The state of a daemon in `zone` that starts at `started`.
+    /// Creates the state of a daemon in the availability zone `zone` that starts at `started_at`.
+    /// `seed` initializes the random number generator.
     #[must_use]
-    pub fn new(view: MemberView, zone: &str, started: MonotonicTime, seed: u64) -> Self {
+    pub fn new(view: MemberView, zone: &str, started_at: MonotonicTime, seed: u64) -> Self {
         Self {
             view,
             ledger: ConfigurationLedger::default(),
-            history: RosterHistory::new(started),
+            history: RosterHistory::new(started_at),
             zone: zone.to_owned(),
-            started,
-            roster_period: ROSTER_PERIOD,
-            service_revision: 0,
-            watching: false,
-            failures: 0,
-            fetching: None,
-            highest_heard: (0, 0),
-            ready: false,
+            started_at,
+            vm_list_interval: DEFAULT_VM_LIST_INTERVAL,
+            watched_revision: 0,
+            is_watching: false,
+            failed_watches: 0,
+            fetch_started_at: None,
+            newest_peer_position: (0, 0),
+            is_ready: false,
             directory: StorePosition::default(),
             crash_summary: 0,
             limit_digest: 0,
-            directory_current: None,
+            directory_verified_at: None,
             needs_directory: false,
-            pace: NewsPace::default(),
+            intervals: NewsPace::default(),
             seeds: Vec::new(),
             next_seed: 0,
-            seeds_failed: 0,
-            known: KnownDaemons::default(),
-            share_withheld: None,
+            failed_seed_attempts: 0,
+            known_daemons: KnownDaemons::default(),
+            was_share_withheld: None,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Sets what reads configurations.
+    /// Sets the reader that parses and validates configurations.
     pub fn set_reader(&mut self, reader: DeclarationReader) {
         self.ledger = ConfigurationLedger::new(reader);
     }
 
-    /// Sets how often what the platform publishes is asked for.
-    pub(super) fn set_pace(&mut self, pace: NewsPace) {
-        self.pace = pace;
+    /// Sets the refresh intervals of the list and the configuration that the platform publishes.
+    pub(super) fn set_pace(&mut self, intervals: NewsPace) {
+        self.intervals = intervals;
     }
 
-    /// Finds peers through `seeds` and what members tell of each other, not through a VM list, and
-    /// needs the published upstreams.
+    /// Switches to discovery: peers are found through the addresses in `seeds` and through gossip
+    /// rather than in a VM list. The daemon then also needs the list of published upstreams to be
+    /// ready.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: MonotonicTime) {
         self.seeds = seeds;
         self.needs_directory = true;
         self.view.ask_for_all(true);
-        self.take_places(now, &mut Vec::new());
+        self.refresh_vm_list(now, &mut Vec::new());
     }
 
-    /// Greets the next seed.
+    /// Sends a heartbeat to the next seed address and schedules the one after it.
     pub fn greet_seed(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let own = self.view.own().place.as_ref().map(|place| place.peer);
-        let others: Vec<SocketAddr> =
+        let other_seeds: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|seed| Some(*seed) != own).collect();
-        if others.is_empty() {
-            self.seeds_failed = usize::MAX;
+        if other_seeds.is_empty() {
+            self.failed_seed_attempts = usize::MAX;
             return;
         }
-        let address = others[self.next_seed % others.len()];
+        let address = other_seeds[self.next_seed % other_seeds.len()];
         self.next_seed += 1;
-        let message = Box::new(self.message_to("", now));
+        let message = Box::new(self.heartbeat_for("", now));
         out.push(Command::Greet { address, message });
-        let alone = self.view.peer_count() == 0;
-        let pause = if alone { SEED_PACE.0 } else { SEED_PACE.1 };
-        let at = now + self.jittered(pause);
+        let is_isolated = self.view.peer_count() == 0;
+        let pause = if is_isolated { SEED_INTERVALS.0 } else { SEED_INTERVALS.1 };
+        let at = now + self.with_jitter(pause);
         out.push(Command::SetTimer { timer: TimerKey::Seeds, at });
     }
 
-    /// Takes where members say that they are as the VM list. Returns whether that is news.
-    pub fn take_places(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
+    /// Derives the VM list from the addresses that members report about themselves, if there is no
+    /// VM list to read. Returns whether the list has changed.
+    pub fn refresh_vm_list(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
         if self.view.own().place.is_none() {
             return false;
         }
@@ -165,99 +177,115 @@
         if current.vms == vms {
             return false;
         }
-        let roster = VmRoster { revision: current.revision + 1, vms };
-        self.take_roster(roster, now, out)
+        let vm_list = VmRoster { revision: current.revision + 1, vms };
+        self.apply_vm_list(vm_list, now, out)
     }
 
-    /// Sets the pause between two reads of the VM list.
+    /// Sets the shortest interval between two reads of the VM list.
     pub fn set_roster_period(&mut self, period: Duration) {
-        self.roster_period = period;
+        self.vm_list_interval = period;
     }
 
-    /// Arms the next read of the VM list.
-    pub fn await_roster(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Schedules the next read of the VM list.
+    pub fn schedule_vm_list_read(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let peers = u32::try_from(self.view.peer_count()).unwrap_or(u32::MAX);
-        let pause = self.jittered(self.roster_period.max(ROSTER_SHARE.saturating_mul(peers)));
+        let pause = self.with_jitter(
+            self.vm_list_interval.max(VM_LIST_INTERVAL_PER_PEER.saturating_mul(peers)),
+        );
         out.push(Command::SetTimer { timer: TimerKey::Roster, at: now + pause });
     }
 
-    /// Whether the daemon may serve callers; once it may, it always may.
+    /// Whether the daemon serves callers. Never becomes false again.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.ready
+        self.is_ready
     }
 
-    /// Decides whether the daemon may serve callers from now on; returns whether that is new. It
-    /// needs a configuration and a VM list, its peers must have been asked, or enough of them, and
-    /// what any of them has in force must be in force here.
+    /// Updates whether the daemon serves callers, and returns whether it just became ready. It
+    /// needs a configuration and a VM list. Enough peers must have been asked, or the startup wait
+    /// must be over, and this daemon must have caught up with the newest configuration that any
+    /// peer has in force.
     ///
-    /// Guards against a fresh process that reads an old revision from a stale service while its
-    /// peers act on a newer one: it would serve callers by the old one until the fetch has ended.
-    pub fn become_ready(&mut self, now: MonotonicTime) -> bool {
-        let asked = self.view.has_asked(START_SAMPLE) || now.since(self.started) >= START_GRACE;
-        let (revision, digest) = self.highest_heard;
-        let asked = asked && (self.has_met_fleet() || now.since(self.started) >= START_GRACE);
-        let ready = self.ledger.in_force().is_some()
+    /// Guards against a new process that reads an outdated revision from a stale configuration
+    /// service while its peers have a newer one in force. It would serve callers under the outdated
+    /// revision until its fetch from a peer ends.
+    pub fn update_readiness(&mut self, now: MonotonicTime) -> bool {
+        let has_asked_peers = self.view.has_asked(SUFFICIENT_STARTUP_PEERS)
+            || now.since(self.started_at) >= MAX_STARTUP_WAIT;
+        let (revision, digest) = self.newest_peer_position;
+        let has_asked_peers = has_asked_peers
+            && (self.has_finished_discovery() || now.since(self.started_at) >= MAX_STARTUP_WAIT);
+        let is_ready = self.ledger.in_force().is_some()
             && (!self.needs_directory || !self.directory.is_none())
             && self.history.current().revision > 0
-            && asked
+            && has_asked_peers
             && !self.ledger.wants(revision, digest);
-        if self.ready || !ready {
+        if self.is_ready || !is_ready {
             return false;
         }
-        self.ready = true;
+        self.is_ready = true;
         self.view.become_ready();
         true
     }
 
-    /// Whether a peer is known, or none of the seeds could be reached.
+    /// Whether a peer is known, or no seed could be reached.
     ///
-    /// Guards against a process that is ready before the answer to its first greeting has come: it knows
-    /// no peer that it could ask, and would serve callers by the older configuration that it reads from a
-    /// store which came back from a copy.
-    pub(super) fn has_met_fleet(&self) -> bool {
-        let others = self.seeds.len().saturating_sub(1);
-        self.seeds.is_empty() || self.view.peer_count() > 0 || self.seeds_failed >= others.max(1)
-    }
-
-    /// Nobody answered a greeting.
-    pub(super) fn greeting_failed(&mut self, out: &mut Vec<Command>) {
-        self.seeds_failed = self.seeds_failed.saturating_add(1);
+    /// Guards against a process that is ready before the response to its first heartbeat arrives.
+    /// It knows no peer to ask, and would serve callers under an outdated configuration if the
+    /// store was restored from an older copy.
+    pub(super) fn has_finished_discovery(&self) -> bool {
+        let other_seeds = self.seeds.len().saturating_sub(1);
+        self.seeds.is_empty()
+            || self.view.peer_count() > 0
+            || self.failed_seed_attempts >= other_seeds.max(1)
+    }
+
+    /// Records that no daemon answered at a seed address.
+    pub(super) fn record_seed_failure(&mut self, out: &mut Vec<Command>) {
+        self.failed_seed_attempts = self.failed_seed_attempts.saturating_add(1);
         out.push(Command::Count(CounterName::ExchangesFailed));
     }
 
-    /// Runs one heartbeat period.
+    /// Sends the heartbeats of one period and schedules the next period.
     pub fn heartbeat(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let settling = self.is_settling(now);
-        self.view.ask_for_all(settling);
+        let is_discovering = self.is_discovering_members(now);
+        self.view.ask_for_all(is_discovering);
         let partners = self.view.tick(now);
         self.exchange_with(partners, now, out);
-        let pause = if settling { SETTLING.1.min(self.view.period()) } else { self.view.period() };
-        let pause = self.jittered(pause);
+        let pause = if is_discovering {
+            DISCOVERY_PHASE.1.min(self.view.period())
+        } else {
+            self.view.period()
+        };
+        let pause = self.with_jitter(pause);
         out.push(Command::SetTimer { timer: TimerKey::Heartbeat, at: now + pause });
     }
 
-    /// This daemon's share of the requests of cold upstreams, if it is another one than was told last.
+    /// Returns this daemon's share of the request rate of cold upstreams, or `None` if the share
+    /// has not changed since the last call.
     pub(super) fn changed_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
         let names = self.view.records().map(|record| record.instance.vm.as_str());
-        let changed = self.known.note(names, now);
-        let withheld = self.is_settling(now);
-        let is_news = changed || self.share_withheld != Some(withheld);
-        self.share_withheld = Some(withheld);
+        let has_changed = self.known_daemons.note(names, now);
+        let is_share_withheld = self.is_discovering_members(now);
+        let is_new_share = has_changed || self.was_share_withheld != Some(is_share_withheld);
+        self.was_share_withheld = Some(is_share_withheld);
         let own = &self.view.own().instance.vm;
-        is_news.then(|| RateShare::new(own, self.known.names()).withheld(withheld))
+        is_new_share
+            .then(|| RateShare::new(own, self.known_daemons.names()).withheld(is_share_withheld))
     }
 
-    /// Whether this daemon still has to learn who its peers are, for lack of a VM list.
+    /// Whether this daemon is still discovering its peers because there is no VM list.
     ///
-    /// Guards against the time after a start of the whole fleet. Each daemon is ready at once and
-    /// knows a few others; until it knows all it takes other daemons for dispatchers than they do.
-    /// Pools are called from many sides then, calls are small, and upstreams decline them.
-    fn is_settling(&self, now: MonotonicTime) -> bool {
-        self.view.own().place.is_some() && now.since(self.started) < SETTLING.0
+    /// Guards against inefficient batches just after the whole fleet has started. Each daemon is
+    /// ready at once and knows only a few others, so daemons disagree on which of them dispatches
+    /// for a pool. Several daemons then call the same pool with small batches, and upstreams
+    /// decline them.
+    fn is_discovering_members(&self, now: MonotonicTime) -> bool {
+        self.view.own().place.is_some() && now.since(self.started_at) < DISCOVERY_PHASE.0
     }
 
-    /// Takes a peer's half of an exchange; returns the upstreams newly known to leave.
+    /// Applies a heartbeat from a peer, and fetches the peer's configuration if it is newer.
+    /// Returns the upstreams that are newly known to be leaving.
     pub fn take_message(
         &mut self,
         message: &ExchangeMessage,
@@ -265,41 +293,50 @@
         out: &mut Vec<Command>,
     ) -> Vec<crate::membership::LeavingUpstream> {
         let vm = &message.sender.instance.vm;
-        let before = self.view.status(vm);
-        let news = self.view.take_message(message, now);
-        self.note_status(vm, before, out);
-        self.highest_heard = self.highest_heard.max((message.revision, message.digest));
-        let fetching = self.fetching.is_some_and(|since| now.since(since) < FETCH_PATIENCE);
-        if !fetching && self.ledger.wants(message.revision, message.digest) {
-            self.fetching = Some(now);
+        let previous_status = self.view.status(vm);
+        let leaving_upstreams = self.view.take_message(message, now);
+        self.log_peer_status(vm, previous_status, out);
+        self.newest_peer_position =
+            self.newest_peer_position.max((message.revision, message.digest));
+        let is_fetching = self
+            .fetch_started_at
+            .is_some_and(|fetch_started_at| now.since(fetch_started_at) < FETCH_TIMEOUT);
+        if !is_fetching && self.ledger.wants(message.revision, message.digest) {
+            self.fetch_started_at = Some(now);
             let known = self.ledger.position().0;
             out.push(Command::FetchConfiguration { vm: vm.clone(), known });
         }
-        news
+        leaving_upstreams
     }
 
-    /// Takes the news that a heartbeat failed.
-    pub fn exchange_failed(&mut self, vm: &str, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Records that a heartbeat to the peer on `vm` failed.
+    pub fn record_heartbeat_failure(
+        &mut self,
+        vm: &str,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
         out.push(Command::Count(CounterName::ExchangesFailed));
-        let before = self.view.status(vm);
+        let previous_status = self.view.status(vm);
         self.view.exchange_failed(vm, now);
-        self.note_status(vm, before, out);
+        self.log_peer_status(vm, previous_status, out);
     }
 
-    /// A fetch from a peer has ended.
-    pub fn fetch_ended(&mut self) {
-        self.fetching = None;
+    /// Records that the configuration fetch from a peer has ended, successfully or not.
+    pub fn finish_configuration_fetch(&mut self) {
+        self.fetch_started_at = None;
     }
 
-    /// Offers a revision to the ledger; returns whether another one is in force now.
-    pub fn offer(
+    /// Puts the configuration `text` in force if it is valid and newer than the current one.
+    /// Returns whether the configuration in force has changed.
+    pub fn apply_configuration(
         &mut self,
         revision: u64,
         text: &str,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
-        let before = self.ledger.position();
+        let previous_position = self.ledger.position();
         match self.ledger.offer(revision, text) {
             LedgerVerdict::Accepted => {
                 out.push(Command::Count(CounterName::ConfigurationsAccepted));
@@ -323,72 +360,78 @@
             | LedgerVerdict::Older
             | LedgerVerdict::RejectedBefore => {}
         }
-        let changed = before != self.ledger.position();
-        if changed {
-            self.tell_at_once(now, out);
+        let has_changed = previous_position != self.ledger.position();
+        if has_changed {
+            self.send_early_heartbeats(now, out);
         }
-        changed
+        has_changed
     }
 
-    /// Exchanges heartbeats with a few peers at once, because there is news.
-    pub fn tell_at_once(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let partners = self.view.random_partners(EAGER_PARTNERS);
+    /// Sends heartbeats to a few peers without waiting for the next period, to spread a change
+    /// quickly.
+    pub fn send_early_heartbeats(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+        let partners = self.view.random_partners(UPDATE_FANOUT);
         self.exchange_with(partners, now, out);
     }
 
-    /// Takes a VM list; returns whether it is in use now.
-    pub fn take_roster(
+    /// Applies a VM list. Returns whether it replaced the one in use.
+    pub fn apply_vm_list(
         &mut self,
-        roster: VmRoster,
+        vm_list: VmRoster,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
         let key_life = self.key_life();
-        if !self.history.take(roster, now, key_life) {
+        if !self.history.take(vm_list, now, key_life) {
             return false;
         }
         let current = self.history.current().clone();
-        let first = self.view.peer_count() == 0;
+        let is_first_list = self.view.peer_count() == 0;
         self.view.take_roster(&current, now);
         let (revision, vms) = (current.revision, current.vms.len());
         out.push(Command::Note(StateChange::RosterTaken { revision, vms }));
-        if first {
-            let partners = self.view.random_partners(FAREWELL_PARTNERS);
+        if is_first_list {
+            let partners = self.view.random_partners(ANNOUNCEMENT_FANOUT);
             self.exchange_with(partners, now, out);
         }
         true
     }
 
-    /// How long keys are remembered under what is in force.
+    /// Time for which idempotency keys are remembered: as configured, or one hour while no
+    /// configuration is in force.
     #[must_use]
     pub fn key_life(&self) -> Duration {
         let in_force = self.ledger.in_force();
         in_force.map_or(Duration::from_secs(3_600), |each| each.declarations.deployment().key_life)
     }
 
-    /// Asks the engines that this daemon keeps what they hold.
+    /// Asks the engines that this daemon manages which model placement they hold, and schedules the
+    /// next check.
     pub fn look_at_engines(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
-        if let Some(in_force) = self.ledger.in_force().filter(|_| self.ready) {
+        if let Some(in_force) = self.ledger.in_force().filter(|_| self.is_ready) {
             let keeper = OrderKeeper::new(&in_force.declarations, in_force.revision);
             for engine in keeper.kept(self.history.current(), &self.view) {
                 let (upstream, address) = (engine.name.clone(), engine.address);
                 out.push(Command::ReadPlacement { upstream, address });
             }
         }
-        let pause = self.jittered(ORDER_PERIOD);
+        let pause = self.with_jitter(ENGINE_POLL_INTERVAL);
         out.push(Command::SetTimer { timer: TimerKey::Orders, at: now + pause });
     }
 
-    /// Takes what an engine says that it holds, and gives it an order if it must have one.
-    pub fn placement_read(
+    /// Compares the placement that an engine reported with the desired one, and sends an order if
+    /// they differ. `None` in `held_order` means that the engine did not report any.
+    pub fn reconcile_engine(
         &mut self,
         upstream: String,
-        held: Option<EngineOrder>,
+        held_order: Option<EngineOrder>,
         out: &mut Vec<Command>,
     ) {
-        let (Some(held), Some(in_force)) = (held, self.ledger.in_force()) else { return };
+        let (Some(held_order), Some(in_force)) = (held_order, self.ledger.in_force()) else {
+            return;
+        };
         let keeper = OrderKeeper::new(&in_force.declarations, in_force.revision);
-        match keeper.decide(&upstream, &held) {
+        match keeper.decide(&upstream, &held_order) {
             OrderStep::Nothing => {}
             OrderStep::Newer => out.push(Command::Count(CounterName::OrdersOutdated)),
             OrderStep::Give { address, order } => {
@@ -398,24 +441,26 @@
         }
     }
 
-    /// Announces that this daemon drains.
+    /// Announces to peers that this daemon is draining.
     pub fn drain(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         self.view.leave();
-        let partners = self.view.random_partners(FAREWELL_PARTNERS);
+        let partners = self.view.random_partners(ANNOUNCEMENT_FANOUT);
         self.exchange_with(partners, now, out);
     }
 
-    /// Time between the announcement of a drain and the last address answer that names this
-    /// daemon having been forgotten.
+    /// Time after the start of a drain until callers have dropped every cached address answer that
+    /// names this daemon. Includes four heartbeat periods in which peers learn of the drain.
     #[must_use]
     pub fn drain_window(&self) -> Duration {
-        let hold = self.ledger.in_force();
-        let hold = hold.map_or(Duration::ZERO, |each| each.declarations.deployment().address_hold);
-        let kept = if self.needs_directory { hold * HOLD_FACTOR } else { hold };
-        kept + self.view.period() * 4
+        let address_hold = self.ledger.in_force();
+        let address_hold =
+            address_hold.map_or(Duration::ZERO, |each| each.declarations.deployment().address_hold);
+        let announced_time =
+            if self.needs_directory { address_hold * ADDRESS_HOLD_FACTOR } else { address_hold };
+        announced_time + self.view.period() * 4
     }
 
-    /// Exchanges heartbeats with `partners`.
+    /// Sends a heartbeat to each of `partners`.
     pub fn exchange_with(
         &mut self,
         partners: Vec<String>,
@@ -423,14 +468,14 @@
         out: &mut Vec<Command>,
     ) {
         for vm in partners {
-            let message = Box::new(self.message_to(&vm, now));
+            let message = Box::new(self.heartbeat_for(&vm, now));
             out.push(Command::Exchange { vm, message });
         }
     }
 
-    /// Tells those of whom all others hear soon that upstreams ended under requests, or what rates they
-    /// name: the daemons that read for others, which each daemon asks several times a second. Without
-    /// such, a few at random.
+    /// Sends new crash records and rate limits of upstreams to the daemons that read the platform
+    /// for others. Every other daemon queries one of those several times per second, so the records
+    /// spread quickly. Without such daemons, a few random peers receive the records.
     pub fn tell_readers(
         &mut self,
         crashes: &[CrashRecord],
@@ -441,19 +486,19 @@
         let partners = if self.needs_directory {
             self.all_directory_readers()
         } else {
-            self.view.random_partners(EAGER_PARTNERS)
+            self.view.random_partners(UPDATE_FANOUT)
         };
         for vm in partners {
             let message = ExchangeMessage {
                 crashes: crashes.to_vec(),
                 limits: limits.to_vec(),
-                ..self.message_to(&vm, now)
+                ..self.heartbeat_for(&vm, now)
             };
             out.push(Command::Exchange { vm, message: Box::new(message) });
         }
     }
 
-    fn message_to(&mut self, vm: &str, now: MonotonicTime) -> ExchangeMessage {
+    fn heartbeat_for(&mut self, vm: &str, now: MonotonicTime) -> ExchangeMessage {
         let message = self.view.message(vm, self.ledger.position(), self.directory_news(now));
         ExchangeMessage {
             crash_summary: self.crash_summary,
@@ -462,21 +507,22 @@
         }
     }
 
-    /// `pause`, shortened at random by up to a quarter, so that daemons don't act in step.
-    pub fn jittered(&mut self, pause: Duration) -> Duration {
+    /// Shortens `pause` by a random amount of up to a quarter, so that daemons do not act in
+    /// lockstep.
+    pub fn with_jitter(&mut self, pause: Duration) -> Duration {
         pause.mul_f64(self.random.random_range(0.75..=1.0))
     }
 
-    /// What this daemon tells of its list of published upstreams.
+    /// Position and age of the local list of published upstreams, as reported in heartbeats.
     #[must_use]
     pub fn directory_news(&self, now: MonotonicTime) -> DirectoryNews {
-        let age = self.directory_current.map(|current| now.since(current));
+        let age = self.directory_verified_at.map(|verified_at| now.since(verified_at));
         DirectoryNews { changed: self.directory, age }
     }
 
-    fn note_status(&self, vm: &str, before: Option<MemberStatus>, out: &mut Vec<Command>) {
-        let after = self.view.status(vm);
-        if let Some(status) = after.filter(|status| Some(*status) != before) {
+    fn log_peer_status(&self, vm: &str, previous: Option<MemberStatus>, out: &mut Vec<Command>) {
+        let current = self.view.status(vm);
+        if let Some(status) = current.filter(|status| Some(*status) != previous) {
             let (vm, status) = (vm.to_owned(), status.to_string());
             out.push(Command::Note(StateChange::PeerStatus { vm, status }));
         }
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -25,7 +25,7 @@
             let news = LeavingUpstream { upstream: upstream.to_owned(), life: upstream.to_owned() };
             let mut fleet = lock(&self.fleet);
             if fleet.view.take_leaving_upstream(&news, now) {
-                fleet.tell_at_once(now, out);
+                fleet.send_early_heartbeats(now, out);
             }
             drop(fleet);
             self.take_leaving(&[news], now, out);
--- a/crates/crocusdale_core/src/daemon/reader_choice.rs
+++ b/crates/crocusdale_core/src/daemon/reader_choice.rs
@@ -29,7 +29,7 @@
     pub fn directory_reader(&self) -> Option<String> {
         let own = self.view.own().instance.vm.as_str();
         let ranked = self.zone_ranks(DIRECTORY_DUTY);
-        let readers = &ranked[..ranked.len().div_ceil(self.pace.daemons_per_reader())];
+        let readers = &ranked[..ranked.len().div_ceil(self.intervals.daemons_per_reader())];
         if readers.contains(&own) {
             return None;
         }
@@ -44,7 +44,7 @@
         let mut readers = Vec::new();
         for zone in zones {
             let ranked = self.ranks_in(zone, DIRECTORY_DUTY);
-            let count = ranked.len().div_ceil(self.pace.daemons_per_reader());
+            let count = ranked.len().div_ceil(self.intervals.daemons_per_reader());
             readers.extend(ranked.into_iter().take(count).filter(|vm| *vm != own));
         }
         readers.into_iter().map(str::to_owned).collect()
