--- a/crates/crocusdale_core/src/daemon/held_work.rs
+++ b/crates/crocusdale_core/src/daemon/held_work.rs
@@ -2,89 +2,94 @@
 use crate::pipeline::{CallerRequest, RefusalReason};
 use crate::routing::SlotRequest;
 
-/// Work that waits until what the platform publishes has been read.
+/// Queues of work that waits until the list of upstreams is fresh enough to route by.
 ///
-/// Whether work waits is decided under the same lock as it is put aside. Guards against an attempt that
-/// is put aside by one thread just as another one lets all go on: it would wait until its deadline.
+/// The check whether to hold work and the insertion into a queue happen under one lock. Guards
+/// against an attempt that one thread queues just after another thread has released the queues: it
+/// would wait until its deadline.
 #[derive(Debug, Default)]
 pub(super) struct HeldWork {
-    is_closed: bool,
-    released: ReleasedWork,
+    is_holding: bool,
+    queued: QueuedWork,
 }
 
-/// Work that may go on.
+/// Contents of the queues, returned when the work may continue.
 #[derive(Debug, Default)]
-pub(super) struct ReleasedWork {
-    /// Attempts that need an upstream, and why their requests are refused if there is none.
+pub(super) struct QueuedWork {
+    /// Attempts that need an upstream, each with the reason for which its request is refused if
+    /// none can be assigned.
     pub(super) attempts: Vec<(SlotRequest, RefusalReason)>,
-    /// Requests that have not been judged.
+    /// Requests that have not been admitted or refused yet, in order of arrival.
     pub(super) requests: Vec<HeldRequest>,
 }
 
-/// A request that has not been judged.
+/// A request that has not been admitted or refused yet.
 #[derive(Debug)]
 pub(super) struct HeldRequest {
     pub(super) call: CallId,
     pub(super) request: CallerRequest,
-    /// When it came.
+    /// When the request arrived, from which its deadline is counted.
     pub(super) arrived: MonotonicTime,
 }
 
 impl HeldWork {
-    /// Whether work waits.
+    /// Whether new work is queued.
     pub(super) fn is_closed(&self) -> bool {
-        self.is_closed
+        self.is_holding
     }
 
-    /// Sets whether work waits. Returns what may go on if it no longer does, and `None` if nothing has
-    /// changed.
-    pub(super) fn set_closed(&mut self, is_closed: bool) -> Option<ReleasedWork> {
-        if std::mem::replace(&mut self.is_closed, is_closed) == is_closed {
+    /// Sets whether new work is queued. Returns the queued work when queuing ends, an empty value
+    /// when queuing begins, and `None` if neither happens.
+    pub(super) fn set_holding(&mut self, is_holding: bool) -> Option<QueuedWork> {
+        if std::mem::replace(&mut self.is_holding, is_holding) == is_holding {
             return None;
         }
-        Some(if is_closed { ReleasedWork::default() } else { std::mem::take(&mut self.released) })
+        Some(if is_holding { QueuedWork::default() } else { std::mem::take(&mut self.queued) })
     }
 
-    /// Lets an attempt wait, or gives it back if it may go on.
+    /// Queues an attempt while work is held; otherwise returns it to the caller, who continues with
+    /// it.
     pub(super) fn hold_attempt(
         &mut self,
         request: SlotRequest,
         reason: RefusalReason,
     ) -> Option<SlotRequest> {
-        if !self.is_closed {
+        if !self.is_holding {
             return Some(request);
         }
-        self.released.attempts.push((request, reason));
+        self.queued.attempts.push((request, reason));
         None
     }
 
-    /// Lets a request wait, or gives it back if it may go on.
-    pub(super) fn hold_request(&mut self, held: HeldRequest) -> Option<HeldRequest> {
-        if !self.is_closed {
-            return Some(held);
+    /// Queues a request while work is held; otherwise returns it to the caller, who continues with
+    /// it.
+    pub(super) fn hold_request(&mut self, held_request: HeldRequest) -> Option<HeldRequest> {
+        if !self.is_holding {
+            return Some(held_request);
         }
-        self.released.requests.push(held);
+        self.queued.requests.push(held_request);
         None
     }
 
-    /// Takes out what waits for the call and the stage of `request`.
+    /// Removes queued attempts for the same call and stage as `request`.
     pub(super) fn withdraw(&mut self, request: &SlotRequest) {
-        let other = |held: &SlotRequest| held.call != request.call || held.stage != request.stage;
-        self.released.attempts.retain(|(held, _)| other(held));
+        let is_other =
+            |attempt: &SlotRequest| attempt.call != request.call || attempt.stage != request.stage;
+        self.queued.attempts.retain(|(attempt, _)| is_other(attempt));
     }
 
-    /// Takes out the request of `call`, whose caller is gone.
+    /// Removes the queued request of `call`, because its caller has disconnected.
     pub(super) fn abandon(&mut self, call: CallId) {
-        self.released.requests.retain(|held| held.call != call);
+        self.queued.requests.retain(|held_request| held_request.call != call);
     }
 
-    /// Takes out all requests that wait.
+    /// Removes and returns all queued requests.
     pub(super) fn take_requests(&mut self) -> Vec<HeldRequest> {
-        std::mem::take(&mut self.released.requests)
+        std::mem::take(&mut self.queued.requests)
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub(super) fn request_count(&self) -> usize {
-        self.released.requests.len()
+        self.queued.requests.len()
     }
 }
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts wait while what the platform publishes is too old to choose by.
+//! Holds back requests and attempts while the list of upstreams is too old to route by.
 
 use super::core_state::CoreState;
 use super::held_work::HeldRequest;
@@ -9,40 +9,41 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Decides at `now` whether what the platform publishes, configuration and list of upstreams, is
-    /// known well enough to choose by, before anything is chosen.
+    /// Checks at `now` whether the configuration and the list of upstreams are fresh enough to
+    /// route by, and holds or releases work accordingly. Runs before any routing decision.
     ///
-    /// Guards against requests to an upstream that has left, and against requests that are judged by a
-    /// configuration that was replaced, because what is known was not renewed in time: this process got
-    /// no processor, or a timer, a peer or a reading was late. It shows as a leaving upstream that is
-    /// called seconds after its notice, or as an access key that works for seconds after it was taken
-    /// away. The guard holds because it is asked where the choice is made, and needs nothing to be on
-    /// time.
+    /// Guards against requests to an upstream that has left, and against requests that are handled
+    /// under a replaced configuration. Both happen if the data was not refreshed in time, because
+    /// this process got no CPU time, or because a timer, a peer or a platform read was late. The
+    /// symptoms are a leaving upstream that is called seconds after its notice, or a revoked access
+    /// key that works for seconds longer. Checking at the point of decision makes the guard
+    /// independent of any timer.
     pub(super) fn check_list(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let (overdue, released) = {
+        let (is_expired, released_work) = {
             let mut directory = lock(&self.directory);
-            let overdue = directory.is_expired(now, out);
-            (overdue, lock(&self.held).set_closed(overdue))
+            let is_expired = directory.is_expired(now, out);
+            (is_expired, lock(&self.held).set_holding(is_expired))
         };
-        let Some(released) = released else { return };
-        self.router().hold(overdue);
-        lock(&self.dispatcher).hold(overdue);
-        if overdue {
+        let Some(released_work) = released_work else { return };
+        self.router().hold(is_expired);
+        lock(&self.dispatcher).hold(is_expired);
+        if is_expired {
             return;
         }
         let mut steps = Vec::new();
-        for (request, reason) in released.attempts {
+        for (request, reason) in released_work.attempts {
             self.acquire(request, reason, now, &mut steps);
         }
         steps.extend(self.run_grants(self.router().serve_all_waiting(now), now));
         self.turn_dispatcher(now, &mut steps, out);
         self.run_steps(steps, now, out);
-        for held in released.requests {
-            self.submit(held, now, out);
+        for held_request in released_work.requests {
+            self.submit(held_request, now, out);
         }
     }
 
-    /// Finds an upstream for an attempt, lets it wait for one, or denies it for `reason`.
+    /// Assigns an upstream to an attempt, queues the attempt until one is free, or denies it for
+    /// `reason`.
     pub(super) fn acquire(
         &self,
         request: SlotRequest,
@@ -50,10 +51,11 @@
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
     ) {
-        // Asked where an upstream is chosen, so that nothing that began before the quarantine gets one.
-        if let Some(left) = self.quarantine_left(request.digest, now) {
-            let why = (RefusalReason::Quarantined, left);
-            self.shard(request.call.0).denied_for(request.call, why, now, steps);
+        // Checked when an upstream is chosen, so that attempts of requests that started before the
+        // quarantine are denied too.
+        if let Some(retry_after) = self.quarantine_left(request.digest, now) {
+            let refusal = (RefusalReason::Quarantined, retry_after);
+            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
             return;
         }
         let Some(request) = lock(&self.held).hold_attempt(request, reason) else {
@@ -64,29 +66,35 @@
             Ok(Some(grant)) => self.shard(grant.request.call.0).granted(grant, now, steps),
             Ok(None) => {}
             Err(request) => match self.router().away_for(&request, now) {
-                Some(left) => {
-                    let why = (RefusalReason::Overload, left);
-                    self.shard(request.call.0).denied_for(request.call, why, now, steps);
+                Some(retry_after) => {
+                    let refusal = (RefusalReason::Overload, retry_after);
+                    self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
                 }
                 None => self.shard(request.call.0).denied(request.call, reason, now, steps),
             },
         }
     }
 
-    /// Begins a request, refuses it, or lets it wait until it can be judged.
-    pub(super) fn receive(&self, held: HeldRequest, now: MonotonicTime, out: &mut Vec<Command>) {
-        let held = lock(&self.held).hold_request(held);
-        match held {
-            Some(held) => self.submit(held, now, out),
+    /// Starts or refuses a request, or holds it until the list and the configuration are fresh.
+    pub(super) fn receive(
+        &self,
+        held_request: HeldRequest,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
+        let held_request = lock(&self.held).hold_request(held_request);
+        match held_request {
+            Some(held_request) => self.submit(held_request, now, out),
             None => out.push(Command::Count(CounterName::RequestsHeld)),
         }
     }
 
-    /// Ends the requests that wait to be judged: the process is about to end.
+    /// Submits all held requests without waiting for a fresh list, because the process is about to
+    /// exit and callers must get an answer before that.
     pub(super) fn end_held(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let requests = lock(&self.held).take_requests();
-        for held in requests {
-            self.submit(held, now, out);
+        for held_request in requests {
+            self.submit(held_request, now, out);
         }
     }
 }
