--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -59,9 +59,11 @@
             DaemonEvent::ConfigurationWatched(read) => {
                 let revision = read.as_ref().map(|(revision, _)| *revision);
                 self.take_configuration(read, now, out);
-                lock(&self.state.fleet).watch_ended(revision, now, out);
+                lock(&self.state.fleet).finish_watch(revision, now, out);
+            }
+            DaemonEvent::ConfigurationUnread => {
+                lock(&self.state.fleet).record_watch_failure(now, out)
             }
-            DaemonEvent::ConfigurationUnread => lock(&self.state.fleet).watch_failed(now, out),
             DaemonEvent::RosterRead(read) => {
                 self.take_roster(read, now, out);
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
--- a/crates/crocusdale_core/src/daemon/reader_choice.rs
+++ b/crates/crocusdale_core/src/daemon/reader_choice.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform for the others.
+//! Election of the daemons that read the platform on behalf of others.
 
 use std::collections::BTreeSet;
 
@@ -6,29 +6,32 @@
 use crate::identity::stable_hash;
 use crate::membership::MemberStatus;
 
-/// Ranks the daemons that read the store for others.
-const DIRECTORY_DUTY: &str = "directory reader";
-/// Daemons of each zone that hold the watch on the configuration service.
-const READERS_PER_ZONE: usize = 2;
+/// Hash input that ranks daemons for reading the list of upstreams from the store.
+const DIRECTORY_READER_ROLE: &str = "directory reader";
+/// Number of daemons in each availability zone that watch the configuration service.
+const CONFIGURATION_WATCHERS_PER_ZONE: usize = 2;
 
 impl FleetState {
-    /// Whether this daemon watches the configuration service for its availability zone.
+    /// Whether this daemon watches the configuration service on behalf of its availability zone.
     #[must_use]
-    pub(super) fn is_reader(&self) -> bool {
+    pub(super) fn is_configuration_watcher(&self) -> bool {
         let own = self.view.own().instance.vm.as_str();
-        self.zone_ranks("configuration reader").iter().take(READERS_PER_ZONE).any(|vm| *vm == own)
+        self.rank_own_zone("configuration reader")
+            .iter()
+            .take(CONFIGURATION_WATCHERS_PER_ZONE)
+            .any(|vm| *vm == own)
     }
 
-    /// Whom this daemon asks whether what it knows of the store is still the latest: one of the daemons
-    /// of its zone that read the store, or `None` if it is one of them.
+    /// The daemon that this daemon asks for the age of its list: one of those in its availability
+    /// zone that read the store. `None` if this daemon reads the store itself.
     ///
-    /// One daemon of sixteen reads, of more if the bounds allow longer pauses, so that the reads of a
-    /// fleet grow a good deal more slowly than the fleet: each costs the platform a call and both sides
-    /// as much as the list is long.
+    /// With the default bounds, one daemon in sixteen reads the store; longer bounds allow fewer
+    /// readers. Reads therefore grow much more slowly than the fleet. Each read is a call to the
+    /// platform, and its cost on both sides grows with the length of the list.
     #[must_use]
     pub fn directory_reader(&self) -> Option<String> {
         let own = self.view.own().instance.vm.as_str();
-        let ranked = self.zone_ranks(DIRECTORY_DUTY);
+        let ranked = self.rank_own_zone(DIRECTORY_READER_ROLE);
         let readers = &ranked[..ranked.len().div_ceil(self.intervals.daemons_per_reader())];
         if readers.contains(&own) {
             return None;
@@ -36,45 +39,50 @@
         readers.iter().max_by_key(|vm| stable_hash(&[vm, own])).map(|vm| (*vm).to_owned())
     }
 
-    /// All other daemons that others ask, in all zones.
+    /// All daemons in all availability zones, except this one, that read the store on behalf of
+    /// others.
     pub(super) fn all_directory_readers(&self) -> Vec<String> {
         let own = self.view.own().instance.vm.as_str();
         let zones: BTreeSet<&str> =
             self.history.current().entries().map(|vm| vm.zone.as_str()).collect();
         let mut readers = Vec::new();
         for zone in zones {
-            let ranked = self.ranks_in(zone, DIRECTORY_DUTY);
-            let count = ranked.len().div_ceil(self.intervals.daemons_per_reader());
-            readers.extend(ranked.into_iter().take(count).filter(|vm| *vm != own));
+            let ranked = self.rank_daemons(zone, DIRECTORY_READER_ROLE);
+            let reader_count = ranked.len().div_ceil(self.intervals.daemons_per_reader());
+            readers.extend(ranked.into_iter().take(reader_count).filter(|vm| *vm != own));
         }
         readers.into_iter().map(str::to_owned).collect()
     }
 
-    /// Usable daemons of this daemon's zone, itself included, ranked for `duty`. VMs with half of the
-    /// capacity of the largest one come first: a list of thousands of upstreams fills a small link.
-    fn zone_ranks(&self, duty: &str) -> Vec<&str> {
-        self.ranks_in(&self.zone, duty)
+    /// Daemons in the availability zone of this daemon that are neither leaving nor suspected of
+    /// failure, itself included, ranked by a hash of `role` and their names. VMs with less than
+    /// half of the capacity of the largest one come last, because the transfer of a list of
+    /// thousands of upstreams would fill a slow link.
+    fn rank_own_zone(&self, role: &str) -> Vec<&str> {
+        self.rank_daemons(&self.zone, role)
     }
 
-    fn ranks_in(&self, zone: &str, duty: &str) -> Vec<&str> {
+    fn rank_daemons(&self, zone: &str, role: &str) -> Vec<&str> {
         let own = self.view.own().instance.vm.as_str();
-        let usable = |vm: &str| {
-            let doubted = self.view.status(vm).is_some_and(|status| {
+        let is_eligible = |vm: &str| {
+            let is_suspected = self.view.status(vm).is_some_and(|status| {
                 matches!(status, MemberStatus::Suspect | MemberStatus::Unreachable)
             });
-            vm == own || !(self.view.is_leaving(vm) || doubted)
+            vm == own || !(self.view.is_leaving(vm) || is_suspected)
         };
-        let roster = self.history.current();
-        let others = roster.entries().filter(|vm| vm.zone == zone && vm.name != own);
-        let own_too = (zone == self.zone).then_some(own);
-        let all = others.map(|vm| vm.name.as_str()).chain(own_too);
-        let mut ranked: Vec<&str> = all.filter(|vm| usable(vm)).collect();
+        let vm_list = self.history.current();
+        let other_daemons = vm_list.entries().filter(|vm| vm.zone == zone && vm.name != own);
+        let own_entry = (zone == self.zone).then_some(own);
+        let candidates = other_daemons.map(|vm| vm.name.as_str()).chain(own_entry);
+        let mut ranked: Vec<&str> = candidates.filter(|vm| is_eligible(vm)).collect();
         let largest = ranked.iter().filter_map(|vm| self.view.capacity(vm)).max();
-        let carries = |vm: &str| {
+        let has_capacity = |vm: &str| {
             let capacity = self.view.capacity(vm).zip(largest);
             capacity.is_none_or(|(capacity, largest)| capacity.carries(largest))
         };
-        ranked.sort_by_cached_key(|vm| (!carries(vm), std::cmp::Reverse(stable_hash(&[duty, vm]))));
+        ranked.sort_by_cached_key(|vm| {
+            (!has_capacity(vm), std::cmp::Reverse(stable_hash(&[role, vm])))
+        });
         ranked
     }
 }
