--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -131,12 +131,12 @@
     /// returns the daemon to ask for the age of its list, if that query is due.
     ///
     /// Guards against a fleet whose processes all start at one moment and each read the whole list
-    /// from the platform. A daemon first waits to meet other daemons (`has_met`). It then takes the
+    /// from the platform. A daemon first waits to meet other daemons (`has_met_peers`). It then takes the
     /// list from them, unless it reads for its zone.
     pub(super) fn poll(
         &mut self,
         reader: Option<String>,
-        has_met: bool,
+        has_met_peers: bool,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> Option<String> {
@@ -144,7 +144,7 @@
         if self.pending_read.is_some() || self.next_poll.is_some_and(|at| now < at) {
             return None;
         }
-        let is_isolated = !has_met && !self.directory.is_known();
+        let is_isolated = !has_met_peers && !self.directory.is_known();
         if is_isolated && now.since(self.started_at) < STARTUP_WAITS.0 {
             self.schedule_poll(now + STARTUP_POLL_INTERVAL, out);
             return None;
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -1,4 +1,4 @@
-//! What is heard of peers, of the platform and of the configuration.
+//! Events from peers, from the platform and from the configuration service.
 
 use std::sync::Arc;
 
@@ -21,23 +21,25 @@
                 let sender = &message.sender.instance.vm;
                 self.state.take_crashes(&message.crashes, sender, now, out);
                 self.state.take_limits(&message.limits, sender, now, out);
-                let news = lock(&self.state.fleet).take_message(&message, now, out);
-                self.state.take_leaving(&news, now, out);
+                let leaving_upstreams = lock(&self.state.fleet).take_message(&message, now, out);
+                self.state.take_leaving(&leaving_upstreams, now, out);
                 self.heard(&message, now, out);
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
-                let current = lock(&self.state.directory).apply_peer_age(&message, revision, sent);
-                if current.is_some() {
-                    lock(&self.state.fleet).directory_verified_at = current;
+                let verified_at =
+                    lock(&self.state.directory).apply_peer_age(&message, revision, sent);
+                if verified_at.is_some() {
+                    lock(&self.state.fleet).directory_verified_at = verified_at;
                 }
             }
             DaemonEvent::GreetingFailed => lock(&self.state.fleet).record_seed_failure(out),
             DaemonEvent::DirectoryRead { position, entries, evacuations, cold, configuration } => {
-                // First, so that no list says that it is young with an older configuration in force.
-                self.take_configuration(configuration, now, out);
+                // Applied before the list, so that the list's age never counts as confirmed while
+                // an older configuration is in force.
+                self.apply_configuration(configuration, now, out);
                 let mut directory = lock(&self.state.directory);
-                let read =
+                let snapshot =
                     PlatformSnapshot::new(position, entries, evacuations).with_cold_upstreams(cold);
-                let changed = directory.apply_full_read(read, now, out);
+                let changed = directory.apply_full_read(snapshot, now, out);
                 drop(directory);
                 self.directory_read(changed, now, out);
             }
@@ -52,20 +54,20 @@
             DaemonEvent::ExchangeFailed(vm) => {
                 lock(&self.state.fleet).record_heartbeat_failure(&vm, now, out);
             }
-            DaemonEvent::ConfigurationFetched(fetched) => {
+            DaemonEvent::ConfigurationFetched(configuration) => {
                 lock(&self.state.fleet).finish_configuration_fetch();
-                self.take_configuration(fetched, now, out);
+                self.apply_configuration(configuration, now, out);
             }
-            DaemonEvent::ConfigurationWatched(read) => {
-                let revision = read.as_ref().map(|(revision, _)| *revision);
-                self.take_configuration(read, now, out);
+            DaemonEvent::ConfigurationWatched(configuration) => {
+                let revision = configuration.as_ref().map(|(revision, _)| *revision);
+                self.apply_configuration(configuration, now, out);
                 lock(&self.state.fleet).finish_watch(revision, now, out);
             }
             DaemonEvent::ConfigurationUnread => {
                 lock(&self.state.fleet).record_watch_failure(now, out)
             }
-            DaemonEvent::RosterRead(read) => {
-                self.take_roster(read, now, out);
+            DaemonEvent::RosterRead(vm_list) => {
+                self.apply_vm_list(vm_list, now, out);
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
             DaemonEvent::RosterUnread => {
@@ -80,26 +82,26 @@
                 out.push(Command::Count(CounterName::OrdersRefused));
             }
             DaemonEvent::DrainAsked => self.drain(now, out),
-            _ => debug_assert!(false, "an event of a request reached the fleet"),
+            _ => debug_assert!(false, "fleet_event received an event of a request"),
         }
         self.check_ready(now);
     }
 
-    /// Serves callers from the moment on from which the daemon may.
+    /// Lets the daemon serve callers as soon as all conditions for readiness are met.
     pub(super) fn check_ready(&self, now: MonotonicTime) {
-        let ready = lock(&self.state.fleet).update_readiness(now);
-        if ready {
+        let is_newly_ready = lock(&self.state.fleet).update_readiness(now);
+        if is_newly_ready {
             self.refresh_basis();
         }
     }
 
-    pub(super) fn take_configuration(
+    pub(super) fn apply_configuration(
         &self,
-        offered: Option<(u64, String)>,
+        configuration: Option<(u64, String)>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let Some((revision, text)) = offered else { return };
+        let Some((revision, text)) = configuration else { return };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
             if !fleet.apply_configuration(revision, &text, now, out) {
@@ -108,7 +110,7 @@
             fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
         };
         if let Some(declarations) = declarations {
-            self.state.reroute(&declarations, now, out);
+            self.state.rebuild_router(&declarations, now, out);
         }
         self.refresh_basis();
         let grants = self.state.router().serve_all_waiting(now);
@@ -116,45 +118,48 @@
         self.state.run_steps(steps, now, out);
     }
 
-    /// Has what is published read, or asks the daemon that reads it for this one.
+    /// Polls the published list of upstreams: starts a read of the platform, or asks the daemon
+    /// that reads the platform for this one.
     pub(super) fn look_at_directory(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let (reader, has_met) = {
+        let (reader, has_met_peers) = {
             let fleet = lock(&self.state.fleet);
             (fleet.directory_reader(), fleet.has_finished_discovery())
         };
-        let asked = lock(&self.state.directory).poll(reader, has_met, now, out);
-        if let Some(reader) = asked {
+        let reader_to_query = lock(&self.state.directory).poll(reader, has_met_peers, now, out);
+        if let Some(reader) = reader_to_query {
             lock(&self.state.fleet).exchange_with(vec![reader], now, out);
         }
     }
 
-    /// The published upstreams were read or heard of.
+    /// Propagates a new or confirmed list of published upstreams to membership, and to routing if
+    /// the list has changed.
     pub(super) fn directory_read(&self, changed: bool, now: MonotonicTime, out: &mut Vec<Command>) {
-        let (revision, current) = {
+        let (position, verified_at) = {
             let mut state = lock(&self.state.directory);
             let restarted = state.directory.take_restarted();
             out.extend(restarted.into_iter().map(Command::ForgetConnections));
-            let known = StorePosition::from(u64::from(state.directory.is_known()));
-            (state.directory.changed().max(known), state.verified_at())
+            let lowest_position = StorePosition::from(u64::from(state.directory.is_known()));
+            (state.directory.changed().max(lowest_position), state.verified_at())
         };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
-            fleet.directory = revision;
-            fleet.directory_verified_at = current;
+            fleet.directory = position;
+            fleet.directory_verified_at = verified_at;
             if changed {
                 fleet.send_early_heartbeats(now, out);
             }
             fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
         };
         if let Some(declarations) = declarations.filter(|_| changed) {
-            self.state.reroute(&declarations, now, out);
+            self.state.rebuild_router(&declarations, now, out);
             let grants = self.state.router().serve_all_waiting(now);
             let steps = self.state.run_grants(grants, now);
             self.state.run_steps(steps, now, out);
         }
     }
 
-    /// A peer's half of a heartbeat came: takes what it says of others and of the upstreams.
+    /// Applies a peer's heartbeat to membership and routing, and fetches the peer's list of
+    /// upstreams if it is newer.
     pub(super) fn heard(
         &self,
         message: &ExchangeMessage,
@@ -162,25 +167,25 @@
         out: &mut Vec<Command>,
     ) {
         let vm = &message.sender.instance.vm;
-        let (news, daemons) = {
+        let (has_vm_list_changed, daemon_count) = {
             let mut fleet = lock(&self.state.fleet);
-            let news = fleet.refresh_vm_list(now, out);
-            (news, fleet.view.alive_count() + 1)
+            let has_vm_list_changed = fleet.refresh_vm_list(now, out);
+            (has_vm_list_changed, fleet.view.alive_count() + 1)
         };
-        if news {
+        if has_vm_list_changed {
             self.refresh_basis();
         }
-        self.state.router().set_daemons(daemons);
+        self.state.router().set_daemons(daemon_count);
         lock(&self.state.directory).fetch_newer_list(vm, message.directory, now, out);
     }
 
-    pub(super) fn take_roster(
+    pub(super) fn apply_vm_list(
         &self,
-        read: Option<VmRoster>,
+        vm_list: Option<VmRoster>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let Some(vm_list) = read else { return };
+        let Some(vm_list) = vm_list else { return };
         if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
             self.refresh_basis();
             self.state.router().take_roster(self.state.basis().history.current());
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -87,7 +87,7 @@
     next_seed: usize,
     failed_seed_attempts: usize,
     known_daemons: KnownDaemons,
-    /// Whether the last computed share of the cold upstreams' request rate was withheld. `None`
+    /// Whether this daemon's last computed share of upstream request rates was withheld. `None`
     /// before the first one.
     was_share_withheld: Option<bool>,
     random: SmallRng,
@@ -261,8 +261,8 @@
         out.push(Command::SetTimer { timer: TimerKey::Heartbeat, at: now + pause });
     }
 
-    /// Returns this daemon's share of the request rate of cold upstreams, or `None` if the share
-    /// has not changed since the last call.
+    /// Returns this daemon's share of the request rates that upstreams accept from all daemons
+    /// together, or `None` if the share has not changed since the last call.
     pub(super) fn changed_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
         let names = self.view.records().map(|record| record.instance.vm.as_str());
         let has_changed = self.known_daemons.note(names, now);
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -1,4 +1,5 @@
-//! Upstreams that name how many requests a second they take from all daemons together.
+//! Rate limits that upstreams request: how many requests per second each accepts from all daemons
+//! together.
 
 use super::core_state::CoreState;
 use super::crash_flow::NEWS_DELAY;
@@ -9,8 +10,8 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Takes what the answer of `upstream` to a request that was sent at `sent` says of its rate.
-    pub(super) fn take_rate(
+    /// Applies the rate limit in the response of `upstream` to a request that was sent at `sent`.
+    pub(super) fn apply_rate_notice(
         &self,
         upstream: &str,
         notice: RateNotice,
@@ -20,11 +21,11 @@
     ) {
         let change = self.limiter.hear(upstream, notice, sent, now);
         if change.is_some() || self.limiter.has_untold() {
-            self.follow_limits(change.map(|change| (upstream, change)), None, now, out);
+            self.apply_limit_changes(change.map(|change| (upstream, change)), None, now, out);
         }
     }
 
-    /// Takes what the daemon on `vm` tells.
+    /// Applies the rate limits of upstreams that the daemon on `vm` reported.
     pub(super) fn take_limits(
         &self,
         records: &[LimitRecord],
@@ -35,55 +36,56 @@
         if records.is_empty() {
             return;
         }
-        let taken = records
+        let applied = records
             .iter()
             .filter_map(|record| Some((record.upstream.as_str(), self.limiter.take(record, now)?)));
-        let changes: Vec<(&str, LimitChange)> = taken.collect();
-        self.follow_limits(changes, Some(vm), now, out);
+        let changes: Vec<(&str, LimitChange)> = applied.collect();
+        self.apply_limit_changes(changes, Some(vm), now, out);
     }
 
-    /// Forgets limits of which nothing is heard any more.
+    /// Removes rate limits that no daemon has received from their upstreams for a long time.
     pub(super) fn forget_limits(&self, now: MonotonicTime) {
         if self.limiter.forget(now) {
-            self.share_limit_digest();
+            self.publish_limit_digest();
         }
     }
 
-    /// Refuses attempts that wait in vain for upstreams that name a rate.
+    /// Refuses queued attempts that can't get a request slot before their deadline at the current
+    /// rate limits of their upstreams.
     pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         for (request, retry_after) in self.router().take_unservable(now) {
-            let why = (RefusalReason::Overload, retry_after);
-            self.shard(request.call.0).denied_for(request.call, why, now, steps);
+            let refusal = (RefusalReason::Overload, retry_after);
+            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
         }
     }
 
-    fn follow_limits<'a>(
+    fn apply_limit_changes<'a>(
         &self,
         changes: impl IntoIterator<Item = (&'a str, LimitChange)>,
         peer: Option<&str>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let mut has_ended = false;
+        let mut has_limit_ended = false;
         for (upstream, change) in changes {
             let (upstream, peer) = (upstream.to_owned(), peer.map(str::to_owned));
-            has_ended |= matches!(change, LimitChange::Ended(_));
+            has_limit_ended |= matches!(change, LimitChange::Ended(_));
             out.push(Command::Note(match change {
                 LimitChange::Limited(rate) => StateChange::UpstreamLimited { upstream, rate, peer },
                 LimitChange::Ended(sent) => StateChange::UpstreamUnlimited { upstream, sent, peer },
             }));
         }
-        self.share_limit_digest();
+        self.publish_limit_digest();
         if self.limiter.has_untold() {
             out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
         }
-        if has_ended {
+        if has_limit_ended {
             let steps = self.run_grants(self.router().serve_all_waiting(now), now);
             self.run_steps(steps, now, out);
         }
     }
 
-    fn share_limit_digest(&self) {
+    fn publish_limit_digest(&self) {
         let digest = self.limiter.digest();
         lock(&self.fleet).limit_digest = digest;
     }
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! Handling of what upstreams report about themselves in their responses.
 
 use std::sync::Arc;
 
@@ -11,7 +11,8 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Takes what `upstream` said of itself in the answer to a request that was sent at `sent`.
+    /// Applies what `upstream` reported about itself in the response to a request that was sent at
+    /// `sent`.
     pub(super) fn take_notice(
         &self,
         upstream: &str,
@@ -21,59 +22,63 @@
         out: &mut Vec<Command>,
     ) {
         if notice.leaving {
-            // Published upstreams have another name in each life.
-            let news = LeavingUpstream { upstream: upstream.to_owned(), life: upstream.to_owned() };
+            // Each run of a published upstream process has a unique name, so the name also
+            // identifies the run.
+            let leaving_upstream =
+                LeavingUpstream { upstream: upstream.to_owned(), life: upstream.to_owned() };
             let mut fleet = lock(&self.fleet);
-            if fleet.view.take_leaving_upstream(&news, now) {
+            if fleet.view.take_leaving_upstream(&leaving_upstream, now) {
                 fleet.send_early_heartbeats(now, out);
             }
             drop(fleet);
-            self.take_leaving(&[news], now, out);
+            self.take_leaving(&[leaving_upstream], now, out);
         }
-        if let Some(time) = notice.stay_away {
-            let mut away = lock(&self.away);
-            away.retain(|_, until| *until > now);
-            away.insert(upstream.to_owned(), now + time);
-            drop(away);
-            self.router().stay_away(upstream, now + time);
-            lock(&self.dispatcher).stay_away(upstream, now + time);
-            let stay_away_ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+        if let Some(duration) = notice.stay_away {
+            let mut unavailable_until = lock(&self.away);
+            unavailable_until.retain(|_, until| *until > now);
+            unavailable_until.insert(upstream.to_owned(), now + duration);
+            drop(unavailable_until);
+            self.router().stay_away(upstream, now + duration);
+            lock(&self.dispatcher).stay_away(upstream, now + duration);
+            let stay_away_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
             out.push(Command::Note(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
         if let Some(left) = notice.cold {
-            let cold = ColdUpstream { name: upstream.to_owned(), left };
-            let is_news = lock(&self.directory).record_cold_start(cold, now, out);
-            if let Some(declarations) = self.declarations_in_force().filter(|_| is_news) {
-                self.reroute(&declarations, now, out);
+            let cold_upstream = ColdUpstream { name: upstream.to_owned(), left };
+            let has_changed = lock(&self.directory).record_cold_start(cold_upstream, now, out);
+            if let Some(declarations) = self.declarations_in_force().filter(|_| has_changed) {
+                self.rebuild_router(&declarations, now, out);
             }
         }
-        self.take_rate(upstream, notice.rate, sent, now, out);
+        self.apply_rate_notice(upstream, notice.rate, sent, now, out);
     }
 
-    /// Takes the news that upstreams leave, and lets the work that waits for them go elsewhere.
+    /// Marks upstreams as leaving, and lets attempts that wait for them continue at other
+    /// upstreams.
     pub(super) fn take_leaving(
         &self,
-        news: &[LeavingUpstream],
+        leaving_upstreams: &[LeavingUpstream],
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let (mut has_news, mut list_changed) = (false, false);
-        for leaving in news {
-            let is_routed = self.router().take_leaving(leaving);
-            let is_listed = lock(&self.directory).directory.note_leaving(&leaving.upstream, now);
+        let (mut has_changed, mut has_list_changed) = (false, false);
+        for leaving_upstream in leaving_upstreams {
+            let is_routed = self.router().take_leaving(leaving_upstream);
+            let is_listed =
+                lock(&self.directory).directory.note_leaving(&leaving_upstream.upstream, now);
             if is_routed || is_listed {
-                let upstream = leaving.upstream.clone();
+                let upstream = leaving_upstream.upstream.clone();
                 out.push(Command::Note(StateChange::UpstreamLeaving { upstream }));
             }
-            has_news |= is_routed || is_listed;
-            list_changed |= is_listed;
+            has_changed |= is_routed || is_listed;
+            has_list_changed |= is_listed;
         }
-        if !has_news {
+        if !has_changed {
             return;
         }
-        if let Some(declarations) = self.declarations_in_force().filter(|_| list_changed) {
-            self.reroute(&declarations, now, out);
+        if let Some(declarations) = self.declarations_in_force().filter(|_| has_list_changed) {
+            self.rebuild_router(&declarations, now, out);
         }
         let steps = self.run_grants(self.router().serve_all_waiting(now), now);
         self.run_steps(steps, now, out);
@@ -84,8 +89,9 @@
         fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
     }
 
-    /// Takes pools and upstreams as they are now.
-    pub(super) fn reroute(
+    /// Replaces the router, and updates the batch dispatcher, after a change of the configuration
+    /// or of the list of upstreams.
+    pub(super) fn rebuild_router(
         &self,
         declarations: &Declarations,
         now: MonotonicTime,
@@ -94,9 +100,10 @@
         let directory = lock(&self.directory).directory.clone();
         let router = self.router().reconfigured(declarations, &directory, now);
         router.take_roster(self.basis().history.current());
-        // What was known of an upstream goes with its entry, which may lapse and come back.
-        let away = lock(&self.away).clone();
-        for (upstream, until) in &away {
+        // An upstream's entry may expire and come back. The new router has lost how long the
+        // upstream refuses requests, so that is set again.
+        let unavailable_until = lock(&self.away).clone();
+        for (upstream, until) in &unavailable_until {
             router.stay_away(upstream, *until);
         }
         self.set_router(router);
@@ -104,7 +111,7 @@
         lock(&self.dispatcher).reconfigure(
             declarations,
             &directory,
-            &away,
+            &unavailable_until,
             now,
             &mut dispatch_steps,
         );
--- a/crates/crocusdale_core/src/daemon/pause_watch.rs
+++ b/crates/crocusdale_core/src/daemon/pause_watch.rs
@@ -2,45 +2,47 @@
 
 use crate::identity::MonotonicTime;
 
-/// Longest time between two events of a process that runs: its housekeeping comes every 100 ms, and
-/// a timer may be late by as much as a process waits for its turn on a shared core. Below it, a pause
-/// adds less to a time than times of sound upstreams differ by.
-const LONGEST_GAP: Duration = Duration::from_millis(180);
+/// Longest time between two events in a process that is not paused. A housekeeping timer fires
+/// every 100 ms, and may be late by the time that a process waits for a shared core. A shorter gap
+/// is within the normal variation of upstream response times.
+const MAX_EVENT_GAP: Duration = Duration::from_millis(180);
 
-/// Notices pauses of this process: it was suspended, or got no processor.
+/// Detects pauses of this process, in which it was suspended or got no CPU time.
 ///
-/// Guards against charging them to others. What was under way through a pause seems to have taken as
-/// much longer: an upstream that answered in 0.26 s is taken for ten times slower, nothing can be in
-/// time there any more, and so it gets no work that would show otherwise. In a simulated fleet whose
-/// dispatchers stood still for 3 s, that kept seven of ten upstreams idle for the ten seconds after.
-/// The process can't tell how much of a time was its own pause, as the answer may have come in it; so
-/// whatever was under way then teaches nothing.
+/// Guards against attributing a pause to upstreams. A response that was pending during a pause
+/// appears to have taken longer by the length of the pause. An upstream that responded in 0.26 s
+/// seems ten times slower, so it can no longer meet any deadline, and gets no work that would
+/// correct the estimate. In a simulated fleet whose dispatchers paused for 3 s, seven of ten
+/// upstreams stayed idle for the next ten seconds. The pause can't be subtracted, because the
+/// response may have arrived at any time during it. Measurements that overlap a pause are therefore
+/// discarded.
 #[derive(Debug)]
 pub(super) struct PauseWatch {
     last_event: MonotonicTime,
-    /// End of the last pause.
-    woke_at: Option<MonotonicTime>,
+    /// End of the last pause. `None` if there was none.
+    resumed_at: Option<MonotonicTime>,
 }
 
 impl PauseWatch {
-    /// Watches from `now` on.
+    /// Starts the detection at `now`.
     pub(super) fn new(now: MonotonicTime) -> Self {
-        Self { last_event: now, woke_at: None }
+        Self { last_event: now, resumed_at: None }
     }
 
-    /// An event is handled at `now`. Returns the pause that ends with it, if there was one.
+    /// Records an event at `now`. Returns the length of the pause that ended with it, if there was
+    /// one.
     pub(super) fn note_event(&mut self, now: MonotonicTime) -> Option<Duration> {
         let gap = now.since(self.last_event);
         self.last_event = self.last_event.max(now);
-        let paused = gap > LONGEST_GAP;
-        if paused {
-            self.woke_at = Some(now);
+        let was_paused = gap > MAX_EVENT_GAP;
+        if was_paused {
+            self.resumed_at = Some(now);
         }
-        paused.then_some(gap)
+        was_paused.then_some(gap)
     }
 
-    /// Whether this process ran all the time since `since`, so that times measured from then hold.
+    /// Whether there was no pause after `since`, so that durations measured from then on are valid.
     pub(super) fn ran_since(&self, since: MonotonicTime) -> bool {
-        self.woke_at.is_none_or(|woke_at| since >= woke_at)
+        self.resumed_at.is_none_or(|resumed_at| since >= resumed_at)
     }
 }
--- a/crates/crocusdale_core/src/daemon/timer_key.rs
+++ b/crates/crocusdale_core/src/daemon/timer_key.rs
@@ -1,42 +1,44 @@
 use crate::identity::{AttemptId, CallId};
 
-/// What a timer is for.
+/// Identifies a timer by the action that is due when it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum TimerKey {
     /// Deadline of a request.
     Deadline(CallId),
-    /// End of the patience with witnesses.
+    /// Timeout of the claim of a request's key at its witnesses.
     Claim(CallId),
-    /// Check of an attempt for silence.
+    /// Check whether an attempt has gone without a response for too long.
     Silence(AttemptId),
-    /// End of an inquiry.
+    /// Timeout of an inquiry for the outcome of a key whose request this daemon does not run.
     Inquiry(CallId),
-    /// Next question to the holder of a key.
+    /// Next query to the daemon that holds a key for the outcome of its request.
     Holder(CallId),
-    /// Next heartbeat.
+    /// Next heartbeat period.
     Heartbeat,
-    /// Next look at waiting work, pauses and the drain.
+    /// Next housekeeping run, which serves queued work, expires records and checks whether a drain
+    /// is complete.
     Housekeeping,
-    /// Next look at the engines that this daemon keeps in order.
+    /// Next check of the engines that this daemon manages.
     Orders,
     /// Next read of the VM list.
     Roster,
-    /// Next read of the configuration service.
+    /// Next watch of the configuration, or next check whether to watch it.
     Configuration,
-    /// Next read of the published upstreams.
+    /// Next poll of the list of published upstreams.
     Directory,
-    /// Time by which a platform in order has answered a reading of the published upstreams.
+    /// Time by which a healthy platform has responded to a pending read of the list of upstreams.
     DirectoryAnswer,
-    /// Next turn of unwanted results.
+    /// Next release of results that are no longer needed.
     Results,
-    /// Time to tell others of upstreams that ended under requests, or name a rate.
+    /// Time to send new crash records and rate limits of upstreams to other daemons.
     UpstreamNews,
-    /// Next greeting of the seeds.
+    /// Next heartbeat to a seed address.
     Seeds,
-    /// Last moment at which a draining process can still answer its open requests.
+    /// Time at which a draining process refuses its open requests, while callers can still receive
+    /// the responses.
     EndRequests,
-    /// Last moment at which a draining process can still end by itself.
+    /// Time at which a draining process exits, shortly before it would be killed.
     Exit,
-    /// End of the time for which addresses given out may still point here.
+    /// Time at which callers no longer use cached address answers that name this daemon.
     Drain,
 }
