--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -10,191 +10,191 @@
     AttemptOrder, FinalAnswer, PieceFault, PieceOrder, PlacedResult, RelayOrder, ResultHandle,
 };
 
-/// What the process around the core has to do.
+/// Side effect that the state machine of the daemon asks its surrounding process to perform.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Give `call` its final answer.
+    /// Send the final answer to the caller of `call`.
     Reply {
-        /// The call.
+        /// Caller's call that ends with this answer.
         call: CallId,
-        /// Its answer.
+        /// Status and body that the caller gets.
         answer: FinalAnswer,
     },
-    /// Pass a piece of the last stage's stream on to `call`.
+    /// Forward one event of the last stage's stream to the caller of `call`.
     Forward {
-        /// The call.
+        /// Caller's call that receives the event.
         call: CallId,
-        /// The piece.
+        /// Text of the event.
         text: String,
     },
-    /// Call an upstream.
+    /// Send one attempt of a pipeline step to an upstream.
     Send(AttemptOrder),
-    /// Pass a caller's own request to an upstream.
+    /// Proxy a caller's HTTP request to an upstream.
     Relay(RelayOrder),
-    /// Pass the answer that an attempt waits with on to its caller.
+    /// Stream the upstream's answer, which an attempt has held back so far, to the caller.
     PassOn {
-        /// The caller's call.
+        /// Caller's call that receives the answer.
         call: CallId,
-        /// The attempt.
+        /// Attempt whose answer was held back.
         attempt: AttemptId,
     },
-    /// Give up a call of an upstream, and close its connection.
+    /// Abort an attempt and close its connection to the upstream.
     Cancel(AttemptId),
-    /// Have another daemon make the pieces of a step.
+    /// Send the items of a batched step to another daemon, which is the dispatcher of their pool.
     SendPieces {
-        /// The daemon.
+        /// VM of the dispatcher.
         vm: String,
-        /// The pieces.
+        /// Items with their attempt, pool and deadline.
         order: Box<PieceOrder>,
     },
-    /// Tell the daemon that makes pieces that nobody wants them any more.
+    /// Tell the dispatcher of an attempt's items that the results are no longer needed.
     CancelPieces(AttemptId),
-    /// Tell another daemon what became of the pieces that it offered.
+    /// Report the outcome of a batched step to the daemon that sent its items.
     AnswerPieces {
-        /// Attempt that the pieces were for.
+        /// Attempt that the items belong to.
         attempt: AttemptId,
-        /// Their results, or why there are none.
+        /// Results in the order of the items, or the reason why the step failed.
         outcome: Result<Vec<PlacedResult>, PieceFault>,
-        /// How long new pieces would wait in the pool.
+        /// Expected queueing time of new items in the pool.
         wait: PoolWait,
     },
-    /// Call a batched upstream.
+    /// Send one batch to a batched upstream.
     CallBatch(BatchOrder),
-    /// Give up a call of a batched upstream, and close its connection.
+    /// Abort a batch and close its connection to the upstream.
     CancelBatch(BatchId),
-    /// Tell upstreams that results are not needed any more.
+    /// Tell upstreams to free results that are no longer needed.
     FreeResults {
-        /// The results.
+        /// Handles of the results to free.
         results: Vec<ResultHandle>,
-        /// Addresses of upstreams that are not told.
+        /// Addresses of rate-limited upstreams, which get no such call. Their results expire.
         spared: Vec<SocketAddr>,
     },
     /// Ask a batched upstream how much of its memory for results is free.
     AskRoom {
         /// Name of the upstream.
         upstream: String,
-        /// Where it listens.
+        /// Address that the upstream listens on.
         address: SocketAddr,
     },
-    /// Tell another daemon, which dispatches `pool`, that results are not needed any more.
+    /// Tell the dispatcher of `pool`, on another daemon, that results are no longer needed.
     SendUnwanted {
-        /// The daemon.
+        /// VM of the dispatcher.
         vm: String,
-        /// Pool whose upstreams made them.
+        /// Pool whose upstreams hold the results.
         pool: String,
-        /// The results.
+        /// Handles of the results to free.
         results: Vec<ResultHandle>,
     },
-    /// Close all idle connections to an upstream.
+    /// Close all idle connections to the named upstream.
     Distrust(String),
-    /// Close the idle connections to an address whose process has started again.
+    /// Close the idle connections to an address whose process has restarted.
     ForgetConnections(SocketAddr),
-    /// Ask a witness to claim `key` for this process, or to bury it.
+    /// Ask a witness to claim `key` for this process, or to write a tombstone for it.
     Register {
-        /// Call that the reply goes to.
+        /// Caller's call that gets the witness's reply.
         call: CallId,
-        /// The witness.
+        /// VM of the witness.
         witness: String,
-        /// The key.
+        /// Idempotency key to claim or to bury.
         key: RequestKey,
-        /// All witnesses of the key.
+        /// All witnesses of `key`, as this daemon computes them.
         witnesses: WitnessSet,
-        /// Whether to bury.
+        /// Whether the witness writes a tombstone instead of a claim.
         bury: bool,
     },
-    /// Leave an outcome with a witness.
+    /// Store the outcome of a request at a witness of its key.
     RecordOutcome {
-        /// The witness.
+        /// VM of the witness.
         witness: String,
-        /// The key.
+        /// Idempotency key of the request.
         key: RequestKey,
-        /// JSON of the outcome.
+        /// Outcome as JSON.
         body: Arc<[u8]>,
     },
-    /// Ask the holder of a key how its request ended.
+    /// Ask the process that has claimed a key how the request ended.
     AskHolder {
-        /// Call that the reply goes to.
+        /// Caller's call that gets the holder's reply.
         call: CallId,
-        /// The key.
+        /// Idempotency key of the request.
         key: RequestKey,
-        /// Its holder.
+        /// Process that has claimed `key`.
         holder: InstanceId,
     },
     /// Exchange heartbeats with a peer.
     Exchange {
-        /// The peer.
+        /// VM of the peer.
         vm: String,
-        /// This daemon's half.
+        /// Heartbeat of this daemon.
         message: Box<ExchangeMessage>,
     },
-    /// Exchange heartbeats with whoever listens for daemons at an address.
+    /// Exchange heartbeats with whichever daemon listens on a seed address.
     Greet {
-        /// The address.
+        /// Seed address, which may be stale.
         address: SocketAddr,
-        /// This daemon's half.
+        /// Heartbeat of this daemon.
         message: Box<ExchangeMessage>,
     },
-    /// Fetch the published upstreams that a peer knows.
+    /// Fetch a peer's list of published upstreams.
     FetchDirectory {
-        /// Position up to which the peer need not tell anything.
+        /// Store position up to which this daemon already has all changes.
         known: StorePosition,
-        /// The peer.
+        /// VM of the peer.
         vm: String,
     },
-    /// Read all that a store publishes: upstreams and configuration.
+    /// Read everything that the platform's store publishes: upstreams and configuration.
     ReadDirectory,
     /// Fetch the configuration that a peer has in force.
     FetchConfiguration {
-        /// The peer.
+        /// VM of the peer.
         vm: String,
-        /// Revision in force here.
+        /// Configuration revision in force on this daemon, 0 for none.
         known: u64,
     },
-    /// Find out whether an upstream under which attempts broke off refuses connections. Answered
-    /// by [`super::DaemonEvent::UpstreamProbed`].
+    /// Probe whether an upstream refuses connections after attempts there broke off. The result
+    /// comes back as [`super::DaemonEvent::UpstreamProbed`].
     ProbeUpstream {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Where it listens, or did.
+        /// Address that the upstream listened on when the attempts were sent.
         address: SocketAddr,
     },
-    /// Wait for a configuration other than `known`, at a configuration service or a store.
+    /// Long-poll a configuration service or a store for a configuration other than `known`.
     WatchConfiguration {
-        /// Revision that was last read from the service.
+        /// Configuration revision of the last successful read.
         known: u64,
     },
-    /// Read the VM list, if it is newer than `known`.
+    /// Read the VM list if it is newer than `known`.
     ReadRoster {
-        /// Revision of the list in use.
+        /// Revision of the VM list in use, 0 for none.
         known: u64,
     },
-    /// Ask an engine what it holds.
+    /// Ask a model engine which engine order it holds: model, version, adapter and role.
     ReadPlacement {
-        /// The engine.
+        /// Name of the engine's upstream.
         upstream: String,
-        /// Where it listens.
+        /// Address that the engine listens on.
         address: SocketAddr,
     },
-    /// Give an engine an order.
+    /// Tell a model engine which model, version, adapter and role to take.
     GiveOrder {
-        /// The engine.
+        /// Name of the engine's upstream.
         upstream: String,
-        /// Where it listens.
+        /// Address that the engine listens on.
         address: SocketAddr,
-        /// The order.
+        /// Model, version, adapter and role, with the revision as fencing number.
         order: EngineOrder,
     },
-    /// Give back [`super::DaemonEvent::Timer`] at `at`.
+    /// Deliver [`super::DaemonEvent::Timer`] at `at`.
     SetTimer {
-        /// What for.
+        /// Key that the timer event carries.
         timer: TimerKey,
-        /// When.
+        /// Time at which the timer fires.
         at: MonotonicTime,
     },
-    /// Raise a counter by one.
+    /// Increment a counter by one.
     Count(CounterName),
-    /// Log a change of state.
+    /// Write a state change to the log.
     Note(StateChange),
-    /// End the process: it has drained.
+    /// Exit the process, as its drain has finished.
     Exit,
 }
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -10,154 +10,154 @@
 
 use super::TimerKey;
 
-/// What happened around the core.
+/// Input of the daemon's state machine: a network event, a platform read or a timer.
 #[derive(Debug)]
 pub enum DaemonEvent {
     /// A caller sent a request.
     Submitted {
-        /// Its call, from [`super::DaemonCore::open_call`].
+        /// Identity of the caller's call, from [`super::DaemonCore::open_call`].
         call: CallId,
-        /// The request.
+        /// Request with its idempotency key, deadline and body.
         request: Box<CallerRequest>,
     },
-    /// A caller asked what became of a key.
+    /// A caller asked for the outcome of an idempotency key.
     Inquired {
-        /// Its call.
+        /// Identity of the caller's call, from [`super::DaemonCore::open_call`].
         call: CallId,
-        /// The key.
+        /// Idempotency key of the earlier request.
         key: RequestKey,
-        /// Time since the caller first sent it, if the caller said so.
+        /// Time since the caller first sent the request, or `None` if the caller did not say.
         age: Option<Duration>,
     },
-    /// The caller of a call is gone.
+    /// A caller closed the connection of its call.
     Abandoned(CallId),
-    /// An upstream did something about an attempt.
+    /// An upstream's connection made progress or failed.
     Attempt {
-        /// The attempt.
+        /// Attempt that the connection belongs to.
         attempt: AttemptId,
-        /// What it did.
+        /// Progress or failure of the attempt.
         event: AttemptEvent,
     },
-    /// A witness replied, or did not.
+    /// A witness replied to a claim or tombstone request, or the request to it failed.
     RegisterReplied {
-        /// Call that asked.
+        /// Caller's call on whose behalf the witness was asked.
         call: CallId,
-        /// The witness.
+        /// VM of the witness.
         witness: String,
-        /// Its reply.
+        /// Reply of the witness, or `None` if the request to it failed.
         reply: Option<RegisterReply>,
     },
-    /// The holder of a key replied, or did not.
+    /// The process that has claimed a key replied to an inquiry, or the inquiry failed.
     HolderReplied {
-        /// Call that asked.
+        /// Caller's call on whose behalf the holder was asked.
         call: CallId,
-        /// Its reply.
+        /// Reply of the holder, or `None` if the inquiry failed.
         reply: Option<HolderReply>,
     },
     /// A peer answered a heartbeat.
     Exchanged {
-        /// Its answer.
+        /// Heartbeat of the peer.
         message: Box<ExchangeMessage>,
-        /// When the heartbeat that it answers was sent.
+        /// Time at which this daemon sent its own heartbeat.
         sent: MonotonicTime,
     },
-    /// A peer did not answer a heartbeat.
+    /// The named peer did not answer a heartbeat.
     ExchangeFailed(String),
-    /// A peer sent its configuration, or did not.
+    /// A peer's configuration was fetched, as revision and text; `None` if the fetch failed.
     ConfigurationFetched(Option<(u64, String)>),
-    /// The configuration service answered; `None` if it had nothing new.
+    /// The configuration service answered with a revision and its text; `None` without a change.
     ConfigurationWatched(Option<(u64, String)>),
     /// The configuration service did not answer.
     ConfigurationUnread,
-    /// An upstream said something of itself in an answer.
+    /// The headers of an upstream's answer described the state of the upstream.
     UpstreamNoticed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// What it said.
+        /// State from the headers: rate limit, cold start, backoff or leaving.
         notice: UpstreamNotice,
-        /// When the request was sent that it answered, or earlier.
+        /// Lower bound of the time at which the answered request was sent.
         sent: MonotonicTime,
     },
-    /// An upstream under which attempts broke off was looked at.
+    /// The probe of an upstream where attempts broke off has ended.
     UpstreamProbed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Whether it refuses connections.
+        /// Whether the upstream refused the connection, which means that its process has ended.
         has_ended: bool,
     },
-    /// All that a store publishes was read.
+    /// The platform's store was read completely.
     DirectoryRead {
-        /// Position of the store.
+        /// Era and revision of the store at the read.
         position: StorePosition,
-        /// All published upstreams, each with the revision of its last change in that era.
+        /// All published upstreams, each with the revision of its last change in this era.
         entries: Vec<(u64, DirectoryEntry)>,
-        /// Evacuated availability zones, each with the revision of that request in that era.
+        /// Evacuated availability zones, each with the revision of the evacuation in this era.
         evacuations: Vec<(u64, String)>,
-        /// Published upstreams that are cold.
+        /// Published upstreams that are still in their cold start.
         cold: Vec<ColdUpstream>,
-        /// The configuration, if it is another one than at the reading before.
+        /// Configuration revision and text, or `None` if unchanged since the read before.
         configuration: Option<(u64, String)>,
     },
-    /// What a store publishes could not be read.
+    /// A read of the platform's store failed.
     DirectoryUnread,
-    /// A peer told the published upstreams that it knows, or did not.
+    /// A peer's list of published upstreams was fetched; `None` if the fetch failed.
     DirectoryFetched(Option<PeerDirectory>),
-    /// Nobody answered a greeting at a seed.
+    /// No daemon answered a heartbeat at a seed address.
     GreetingFailed,
-    /// A dispatcher said how long new pieces would wait in a pool.
+    /// A dispatcher reported the expected queueing time of its pool.
     WaitTold {
-        /// The pool.
+        /// Name of the pool, or of one of its sections.
         pool: String,
-        /// How long.
+        /// Expected queueing time of new items.
         wait: PoolWait,
     },
-    /// Another daemon offers pieces of a step.
+    /// Another daemon sent the items of a batched step to this daemon as their dispatcher.
     PiecesOffered(Box<PieceOrder>),
-    /// Another daemon no longer wants pieces.
+    /// Another daemon cancelled the items of a batched step.
     PiecesWithdrawn {
-        /// Attempt that they were for.
+        /// Attempt that the items belong to.
         attempt: AttemptId,
-        /// Their pool.
+        /// Pool that the items are queued in.
         pool: String,
     },
-    /// Another daemon no longer needs results of a pool that this one dispatches.
+    /// Another daemon no longer needs results from a pool that this daemon dispatches.
     ResultsUnwanted {
-        /// The pool.
+        /// Pool whose upstreams hold the results.
         pool: String,
-        /// The results.
+        /// Handles of the results to free.
         results: Vec<ResultHandle>,
     },
-    /// A batched upstream said how much of its memory for results is free, or nothing.
+    /// A batched upstream was asked how much of its memory for results is free.
     RoomTold {
         /// Name of the upstream.
         upstream: String,
-        /// Free memory in bytes.
+        /// Free memory in bytes, or `None` if the upstream did not say.
         free: Option<u64>,
     },
-    /// A call of a batched upstream ended.
+    /// A batch was answered by its upstream, or failed.
     BatchEnded {
-        /// The call.
+        /// Identity of the batch.
         batch: BatchId,
-        /// How it ended.
+        /// Outcome of each item, or the reason why the batch failed.
         outcome: BatchOutcome,
     },
-    /// The VM list was read; `None` if it had nothing new.
+    /// The VM list was read; `None` if it is unchanged.
     RosterRead(Option<VmRoster>),
-    /// The VM list did not answer.
+    /// A read of the VM list failed.
     RosterUnread,
-    /// An engine said what it holds, or did not.
+    /// A model engine was asked which engine order it holds.
     PlacementRead {
-        /// The engine.
+        /// Name of the engine's upstream.
         upstream: String,
-        /// What it holds.
+        /// Engine order that it holds, or `None` if it did not answer with one.
         held: Option<EngineOrder>,
     },
-    /// An engine took an order, or did not.
+    /// A model engine accepted or refused an engine order.
     OrderAnswered {
-        /// Whether it took it.
+        /// Whether the engine accepted the order.
         taken: bool,
     },
-    /// A timer is due.
+    /// A timer fired.
     Timer(TimerKey),
     /// The process was asked to drain.
     DrainAsked,
--- a/crates/crocusdale_core/src/daemon/mod.rs
+++ b/crates/crocusdale_core/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of a daemon behind one pair of events and commands.
+//! State machine of a daemon: it consumes events and emits commands, and does no I/O itself.
 
 mod command;
 mod configuration_watch;
