--- a/crates/crocusdale_core/src/daemon/counter_name.rs
+++ b/crates/crocusdale_core/src/daemon/counter_name.rs
@@ -1,4 +1,4 @@
-/// Counters; each is a metric.
+/// Names of the daemon's counters, each of which is exported as a metric.
 #[derive(
     Clone,
     Copy,
@@ -14,85 +14,85 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum CounterName {
-    /// Attempts handed out to be sent.
+    /// Attempts dispatched to an upstream.
     AttemptsSent,
-    /// Attempts that waited because the list of published upstreams was too old.
+    /// Attempts queued because the list of published upstreams was too old to choose from.
     AttemptsHeld,
-    /// Requests that waited to be judged until what the platform publishes had been read.
+    /// Requests queued before admission because the platform's data was too old to decide on.
     RequestsHeld,
-    /// Attempts of which no byte was written.
+    /// Attempts that failed before any byte of them was written.
     AttemptsNotSent,
     /// Attempts that an upstream answered with an error status.
     AttemptsDeclined,
-    /// Attempts that an upstream says it did not run.
+    /// Attempts that an upstream reports as not executed.
     AttemptsNotRun,
-    /// Batched steps that a dispatcher gave up.
+    /// Batched steps that their dispatcher failed.
     PiecesFailed,
-    /// Batched steps that were handed to the next dispatcher of their pool before any call.
+    /// Batched steps handed over to the pool's next dispatcher before any batch held their items.
     PiecesMoved,
-    /// Dispatchers that were lost while they had pieces of this daemon.
+    /// Dispatchers that became unreachable while they held batched steps of this daemon.
     DispatchersLost,
-    /// Batched steps begun anew because their results were gone.
+    /// Batched steps that ran again because upstreams had lost or freed their results.
     StepsRemade,
-    /// Calls of batched upstreams.
+    /// Batches sent to batched upstreams.
     BatchCalls,
-    /// Questions how much of an upstream's memory for results is free.
+    /// Queries to batched upstreams for their free result memory.
     RoomQuestions,
-    /// Attempts after a failed one.
+    /// Attempts that retry a failed attempt.
     Retries,
-    /// Retries that the budget did not allow.
+    /// Retries denied because the retry budget was spent.
     RetriesDenied,
-    /// Answers with the id of another attempt; dropped.
+    /// Answers dropped because they carried the id of another attempt.
     ForeignAnswers,
-    /// Answers that were cut or could not be read; dropped.
+    /// Answers dropped because they were truncated or could not be parsed.
     BrokenAnswers,
-    /// Requests that were quarantined because upstreams ended under them.
+    /// Requests quarantined because upstreams crashed while they ran them.
     RequestsQuarantined,
-    /// Attempts given up because nothing came.
+    /// Attempts cancelled because the upstream sent nothing before the idle timeout.
     SilentAttempts,
-    /// Answers to attempts that had ended; dropped.
+    /// Answers dropped because their attempt had already ended.
     LateAnswers,
-    /// Requests given up because their caller was gone.
+    /// Requests cancelled because their caller had disconnected.
     CallersGone,
-    /// Keys that could not be claimed.
+    /// Idempotency keys that this daemon failed to claim.
     ClaimsRefused,
-    /// Votes that this daemon abstained from as a witness.
+    /// Votes on idempotency keys from which this daemon abstained as a witness.
     WitnessAbstentions,
-    /// Claims that this daemon wrote as a witness.
+    /// Claims that this daemon stored as a witness.
     WitnessClaims,
-    /// Tombstones that this daemon wrote as a witness.
+    /// Tombstones that this daemon stored as a witness.
     WitnessTombstones,
-    /// Outcomes that a witness of their key could not be told.
+    /// Outcomes that could not be stored at a witness of their key.
     OutcomesUnrecorded,
-    /// Heartbeats that failed.
+    /// Heartbeats that a peer did not answer.
     ExchangesFailed,
-    /// Revisions taken into force.
+    /// Configuration revisions put in force.
     ConfigurationsAccepted,
-    /// Revisions rejected.
+    /// Configuration revisions rejected as invalid.
     ConfigurationsRejected,
-    /// Two texts under one revision.
+    /// Times that two different configurations carried the same revision.
     ConfigurationConflicts,
-    /// Readings of the published upstreams that were begun.
+    /// Reads of the published upstreams that were started.
     DirectoryReads,
-    /// Of these, those of a daemon that lets another one read for it, begun because it had not heard
-    /// of a reading for too long.
+    /// Reads of the published upstreams by a daemon that normally relies on another daemon's reads.
+    /// The daemon starts them once it has not heard of such a read for too long.
     DirectoryReadsForAge,
-    /// Lists of published upstreams that a peer was asked for.
+    /// Requests to a peer for its list of published upstreams.
     DirectoryFetches,
-    /// Of these, those that did not come.
+    /// Requests to a peer for its list of published upstreams that failed.
     DirectoryFetchesFailed,
     /// Reads of the platform that failed.
     PlatformReadsFailed,
-    /// Times that the store was seen to have come back from an older copy.
+    /// Times that the platform's store was found to be restored from an older backup.
     StoreRestores,
-    /// Items of the platform's store that could not be read.
+    /// Items of the platform's store that could not be parsed.
     StoreItemsUnreadable,
-    /// Orders given to engines.
+    /// Engine orders sent to model engines.
     OrdersGiven,
-    /// Orders that an engine refused, for its fencing number or another cause.
+    /// Engine orders that a model engine refused, for their fencing number or another reason.
     OrdersRefused,
-    /// Engines left alone because they hold the order of a later revision.
+    /// Engine orders withheld because the model engine already held one of a later revision.
     OrdersOutdated,
-    /// Pauses of this process that were noticed.
+    /// Pauses of this process that it detected, such as a suspension or a lack of CPU time.
     PausesNoticed,
 }
--- a/crates/crocusdale_core/src/daemon/state_change.rs
+++ b/crates/crocusdale_core/src/daemon/state_change.rs
@@ -2,180 +2,183 @@
 use crate::pipeline::BreakReason;
 use crate::rate_limiting::RequestRate;
 
-/// Changes of state that are worth a line in the log.
+/// State change of the daemon that is written to the log as a structured event.
 #[derive(Clone, Debug, strum::IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum StateChange {
-    /// A revision is in force.
+    /// A configuration revision was put in force.
     ConfigurationInForce {
-        /// The revision.
+        /// Revision that is in force now.
         revision: u64,
     },
-    /// A revision was rejected.
+    /// A configuration revision was rejected as invalid.
     ConfigurationRejected {
-        /// The revision.
+        /// Revision that was rejected.
         revision: u64,
-        /// First of its errors.
+        /// First validation error.
         error: String,
-        /// Number of its errors.
+        /// Number of validation errors.
         errors: usize,
     },
-    /// Two texts have the same revision.
+    /// Two different configurations carry the same revision.
     ConfigurationConflict {
-        /// The revision.
+        /// Revision that both configurations carry.
         revision: u64,
     },
     /// A new VM list is in use.
     RosterTaken {
-        /// Its revision.
+        /// Revision of the VM list.
         revision: u64,
-        /// Its number of VMs.
+        /// Number of VMs on the VM list.
         vms: usize,
     },
-    /// Published upstreams changed.
+    /// The list of published upstreams changed.
     DirectoryTaken {
-        /// Era of the store at the change.
+        /// Era of the store at the change. It rises each time that the store is restored.
         era: u64,
-        /// Revision of the change in that era.
+        /// Revision of the change within its era.
         revision: u64,
-        /// Upstreams that stay.
+        /// Number of published upstreams that are not leaving.
         upstreams: usize,
-        /// Peer whose list it is, or `None` for a reading of this daemon.
+        /// Peer that sent the list, or `None` if this daemon read it from the store.
         peer: Option<String>,
-        /// Milliseconds since the list before was last known to be the latest.
+        /// Milliseconds since the previous list was last known to be current.
         age_ms: Option<u64>,
     },
-    /// The store has come back from an older copy.
+    /// The store was restored from an older backup.
     StoreRestored {
-        /// Up to where it had been read before.
+        /// Last position that was read before the restore.
         before: StorePosition,
-        /// Where it is now.
+        /// Position of the restored store.
         after: StorePosition,
-        /// Upstreams that the copy doesn't list, and that are kept until they should have written again.
+        /// Number of upstreams missing from the backup. They stay usable until their renewal is
+        /// overdue.
         missing: usize,
-        /// Peer that told it, or `None` for a reading of this daemon.
+        /// Peer that reported the restore, or `None` if this daemon read it from the store.
         peer: Option<String>,
     },
-    /// The upstreams of an availability zone get no new work until the operator takes that back.
+    /// An availability zone was evacuated: its upstreams get no new work until the operator
+    /// reverts that.
     ZoneEvacuated {
-        /// The zone.
+        /// Name of the availability zone.
         zone: String,
-        /// Peer that told it, or `None` for a reading of this daemon.
+        /// Peer that reported the evacuation, or `None` if this daemon read it from the store.
         peer: Option<String>,
     },
-    /// The upstreams of an evacuated availability zone may get work again.
+    /// The evacuation of an availability zone was reverted: its upstreams may get work again.
     ZoneOpened {
-        /// The zone.
+        /// Name of the availability zone.
         zone: String,
-        /// Peer that told it, or `None` for a reading of this daemon.
+        /// Peer that reported the change, or `None` if this daemon read it from the store.
         peer: Option<String>,
     },
-    /// This daemon reads the published upstreams itself although another one should, because it has
-    /// not heard of a reading for too long.
+    /// This daemon reads the published upstreams itself, because the daemon that reads for it has
+    /// not confirmed a read for too long.
     DirectoryAged {
-        /// Milliseconds since its list was last known to be the latest.
+        /// Milliseconds since the list of this daemon was last known to be current.
         age_ms: Option<u64>,
-        /// The daemon that should read for it.
+        /// Daemon that should read the published upstreams for this one.
         reader: String,
     },
-    /// The list of published upstreams is too old to choose by, and attempts wait until it is read.
+    /// The list of published upstreams is too old to choose from. Attempts are queued until it
+    /// has been read.
     DirectoryOverdue {
-        /// Milliseconds since it was last known to be the latest.
+        /// Milliseconds since the list was last known to be current.
         age_ms: Option<u64>,
     },
-    /// The platform can't be read any more.
+    /// Reads of the platform have started to fail.
     PlatformLost,
-    /// The platform can be read again.
+    /// Reads of the platform succeed again.
     PlatformRegained,
-    /// A request can't be in time, and waits for room.
+    /// A request is expected to miss its latency objective and is queued until pools have room.
     RequestWaits {
-        /// The request.
+        /// Idempotency key of the request.
         request: RequestKey,
-        /// Why it waits.
+        /// Admission verdict that explains the wait, as its snake-case name.
         verdict: String,
-        /// Milliseconds that it should need from now, by the last word of its pools.
+        /// Expected milliseconds until the answer, from the latest reports of the dispatchers.
         needed_ms: u64,
-        /// Milliseconds that are left of its objective.
+        /// Milliseconds left until the latency objective.
         objective_ms: u64,
-        /// Whether its workspace sends much more than it usually does.
+        /// Whether the workspace sends much more than its usual share of the requests.
         is_flood: bool,
     },
-    /// An upstream broke off an attempt that it had begun, or may have.
+    /// An upstream broke off an attempt that it had started, or may have started.
     AttemptBroken {
-        /// The request.
+        /// Idempotency key of the request.
         request: RequestKey,
-        /// What it has in common with its repeats.
+        /// Digest of caller, target and content, which every repeat of the request shares.
         digest: RequestDigest,
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// How it showed.
+        /// Symptom of the failure, such as a reset connection or silence.
         reason: BreakReason,
     },
-    /// A request is not sent on any more, because upstreams ended under it.
+    /// A request is no longer dispatched, because upstreams crashed while they ran it.
     RequestQuarantined {
-        /// What it has in common with its repeats.
+        /// Digest of caller, target and content, which every repeat of the request shares.
         digest: RequestDigest,
-        /// Upstreams that ended.
+        /// Number of upstreams that crashed while they ran the request.
         ends: usize,
-        /// Peer that told the last of them, or `None` if this daemon saw it.
+        /// Peer that reported the last crash, or `None` if this daemon observed it.
         peer: Option<String>,
     },
-    /// A request is sent on again, because one like it was answered whole.
+    /// A quarantine was lifted, because a request with the same digest was answered completely.
     QuarantineLifted {
-        /// What it has in common with its repeats.
+        /// Digest of caller, target and content, which every repeat of the request shares.
         digest: RequestDigest,
     },
-    /// An upstream turned this daemon away.
+    /// An upstream rejected a request and asked this daemon to back off.
     UpstreamAway {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Milliseconds for which it wants nothing more from this daemon.
+        /// Backoff that the upstream asked for, in milliseconds.
         stay_away_ms: u64,
     },
-    /// An upstream has started of late, and gets few requests.
+    /// An upstream is in its cold start and gets few requests.
     UpstreamCold {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Milliseconds for which it stays cold at most.
+        /// Longest time until the cold start is over, in milliseconds.
         left_ms: u64,
     },
-    /// An upstream names how many requests a second it takes from all daemons together.
+    /// An upstream announced a limit on the request rate of all daemons together.
     UpstreamLimited {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// The rate.
+        /// Rate limit that the upstream announced.
         rate: RequestRate,
-        /// Peer that told it, or `None` for an answer to this daemon.
+        /// Peer that reported the limit, or `None` if it came in an answer to this daemon.
         peer: Option<String>,
     },
-    /// An upstream names no rate any more.
+    /// An upstream withdrew its rate limit.
     UpstreamUnlimited {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Requests that this daemon sent there while it named one.
+        /// Number of requests that this daemon sent to the upstream while the limit applied.
         sent: u64,
-        /// Peer that told it, or `None` for an answer to this daemon.
+        /// Peer that reported the change, or `None` if it came in an answer to this daemon.
         peer: Option<String>,
     },
-    /// An upstream is leaving.
+    /// An upstream announced that it is leaving.
     UpstreamLeaving {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
     },
-    /// This daemon drains.
+    /// This daemon has started to drain.
     Draining,
-    /// This daemon has drained.
+    /// This daemon has finished its drain.
     Drained,
-    /// This process was paused.
+    /// This process was paused, for example suspended or without CPU time.
     Paused {
-        /// For how long at least, in milliseconds.
+        /// Lower bound of the pause, in milliseconds.
         millis: u64,
     },
-    /// A peer's status changed.
+    /// The membership status of a peer changed.
     PeerStatus {
-        /// The peer.
+        /// VM of the peer.
         vm: String,
-        /// What it is now.
+        /// New status of the peer, as its snake-case name.
         status: String,
     },
 }
--- a/crates/crocusdale_core/src/daemon/state_dump.rs
+++ b/crates/crocusdale_core/src/daemon/state_dump.rs
@@ -5,65 +5,68 @@
 use crate::rate_limiting::LimitSummary;
 use crate::routing::UpstreamSummary;
 
-/// State of one daemon, as operators see it.
+/// Snapshot of one daemon's state for operators, written out as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct StateDump {
-    /// The process.
+    /// Identity of the process: its VM and its incarnation.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the daemon.
     pub zone: String,
-    /// Time since its start, in milliseconds.
+    /// Time since the start of the process, in milliseconds.
     pub uptime_ms: u64,
-    /// Whether it is ready for callers.
+    /// Whether the daemon accepts requests of callers.
     pub ready: bool,
-    /// Whether it drains.
+    /// Whether the daemon is draining.
     pub leaving: bool,
-    /// Revision in force, 0 for none.
+    /// Configuration revision in force, 0 for none.
     pub revision: u64,
-    /// Digest of its text, in hexadecimal.
+    /// Digest of the configuration in force, in hexadecimal.
     pub digest: String,
-    /// Newest rejected revision.
+    /// Newest configuration revision that was rejected.
     pub rejected_revision: Option<u64>,
-    /// Errors of that revision.
+    /// Validation errors of `rejected_revision`.
     pub rejected_errors: Vec<String>,
-    /// Times that two texts had one revision.
+    /// Number of times that two different configurations carried the same revision.
     pub configuration_conflicts: u64,
-    /// Revision of the VM list.
+    /// Revision of the VM list in use.
     pub roster_revision: u64,
-    /// Revision of the last change of the published upstreams that is known, 0 for none.
+    /// Revision of the last known change of the published upstreams, 0 for none.
     pub directory_revision: u64,
-    /// Times that the store had come back from an older copy by then, as it counts them.
+    /// Number of times that the store had been restored from an older backup by
+    /// `directory_revision`, by the store's own count.
     pub directory_era: u64,
     /// Availability zones whose upstreams get no new work.
     pub evacuated_zones: Vec<String>,
-    /// Time since that was last known to be the last change, in milliseconds.
+    /// Time since `directory_revision` was last known to be current, in milliseconds.
     pub directory_age_ms: Option<u64>,
-    /// Peers in the VM list.
+    /// Number of peers on the VM list.
     pub peers: usize,
-    /// Daemons, this one among them, that share what cold upstreams take.
+    /// Number of daemons, including this one, that divide the request rates of cold and of
+    /// rate-limited upstreams among them.
     pub sharing_daemons: usize,
-    /// What is believed of the peers.
+    /// Membership records of all peers, as this daemon sees them.
     pub members: Vec<MemberRecord>,
-    /// Peers known to drain.
+    /// VMs of the peers that are draining.
     pub leaving_members: Vec<String>,
-    /// Requests that run.
+    /// Number of admitted requests that have not ended.
     pub running: usize,
-    /// Calls that are open in all.
+    /// Number of open calls of callers, including inquiries and queued requests.
     pub open_calls: usize,
-    /// Registers kept as a witness.
+    /// Number of idempotency keys that this daemon stores a claim or a tombstone for as a witness.
     pub registers: usize,
-    /// Outcomes among them that their holders have left.
+    /// Number of `registers` that also hold the outcome of their request.
     pub outcomes: usize,
-    /// Keys of not repeatable requests remembered.
+    /// Number of idempotency keys of non-repeatable requests that this daemon remembers.
     pub keys: usize,
-    /// Attempts that wait, by stage.
+    /// Number of queued attempts by stage.
     pub waiting: Vec<(String, usize)>,
-    /// Pieces that wait for calls of batched upstreams, by pool.
+    /// Number of queued items of batched steps by pool.
     pub waiting_pieces: Vec<(String, usize)>,
-    /// Upstreams.
+    /// Routing state of every upstream.
     pub upstreams: Vec<UpstreamSummary>,
-    /// Upstreams that have named a rate.
+    /// Upstreams that have announced a rate limit.
     pub limited_upstreams: Vec<LimitSummary>,
-    /// Requests that are not sent on because upstreams ended under them.
+    /// Digests of quarantined requests, which are not dispatched because upstreams crashed while
+    /// they ran them.
     pub quarantined: Vec<RequestDigest>,
 }
