--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -23,59 +23,61 @@
 use crate::sync::lock;
 use crate::tickets::TicketIssuer;
 
-/// Shards of requests and of registers.
-const SHARDS: usize = 16;
-/// Requests that run at one time, unless set.
-const DEFAULT_REQUESTS: usize = 8_192;
+/// Number of shards that the requests, and likewise the claim registers, are split into by key.
+const SHARD_COUNT: usize = 16;
+/// Limit on concurrently running requests unless the builder sets one.
+const DEFAULT_MAX_REQUESTS: usize = 8_192;
 
-/// Time after a pause for which a request may have waited through it in a socket.
-const SUSPICION: Duration = Duration::from_secs(1);
+/// Time after a pause of the process in which newly read requests may have spent that pause in a
+/// socket buffer.
+const UNKNOWN_AGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Parts of the core, each under its own lock; no lock is held while another part is called.
+/// State of one daemon. Each part has its own lock, which is not held while another part is called.
 #[derive(Debug)]
 pub(super) struct CoreState {
-    pub(super) own: InstanceId,
+    pub(super) own_instance: InstanceId,
     pub(super) zone: String,
-    /// Regions of the availability zones.
-    pub(super) regions: RegionMap,
-    pub(super) started: MonotonicTime,
-    pub(super) shards: Vec<Mutex<RequestShard>>,
-    pub(super) registers: Vec<Mutex<RegisterShard>>,
-    pub(super) gate: Mutex<AdmissionGate>,
+    /// Maps each availability zone to its region.
+    pub(super) region_map: RegionMap,
+    pub(super) started_at: MonotonicTime,
+    pub(super) request_shards: Vec<Mutex<RequestShard>>,
+    pub(super) register_shards: Vec<Mutex<RegisterShard>>,
+    pub(super) admission_gate: Mutex<AdmissionGate>,
     pub(super) fleet: Mutex<FleetState>,
     pub(super) directory: Mutex<DirectoryState>,
-    /// What waits until what the platform publishes has been read.
+    /// Attempts and requests queued until the list of published upstreams has been read again.
     pub(super) held: Mutex<HeldWork>,
     pub(super) dispatcher: Mutex<BatchDispatcher>,
-    /// Upstreams that have named a rate.
+    /// Rate limits that upstreams have announced, and this daemon's share of them.
     pub(super) limiter: Arc<RateLimiter>,
-    /// Until when upstreams that turned this daemon away want nothing from it.
+    /// End of the backoff that each upstream has asked this daemon for, by upstream name.
     pub(super) away: Mutex<HashMap<String, MonotonicTime>>,
-    /// Upstreams that ended under requests.
-    pub(super) crashes: Mutex<CrashDetector>,
-    /// How long pieces would wait in each pool.
-    pub(super) waits: Mutex<PoolWaits>,
-    /// What each workspace sends.
-    pub(super) workspaces: Mutex<WorkspaceMeter>,
-    /// Requests that can't be in time, until there is room for them.
-    pub(super) backlog: Mutex<EntryBacklog>,
-    /// Time for which a draining process may still end by itself, if it is killed after it.
-    pub(super) grace: Option<Duration>,
-    /// Time after which a draining process takes no new request that it might not finish.
-    pub(super) refuse_from: Mutex<Option<MonotonicTime>>,
+    /// Crashes of upstreams, by the request that they ran, and the resulting quarantines.
+    pub(super) crash_detector: Mutex<CrashDetector>,
+    /// Expected queueing time in each batched pool, as its dispatcher last reported it.
+    pub(super) pool_waits: Mutex<PoolWaits>,
+    /// Request rate of each workspace, to detect floods.
+    pub(super) workspace_meter: Mutex<WorkspaceMeter>,
+    /// Requests expected to miss their latency objective, queued until pools have room.
+    pub(super) entry_backlog: Mutex<EntryBacklog>,
+    /// Grace period from the start of a drain until the kill; `None` if the process isn't killed.
+    pub(super) grace_period: Option<Duration>,
+    /// Time from which a draining process refuses new requests that it might not finish; `None`
+    /// before the drain.
+    pub(super) refuse_requests_from: Mutex<Option<MonotonicTime>>,
     router: RwLock<Arc<UpstreamRouter>>,
     basis: RwLock<Arc<RequestBasis>>,
     next_call: AtomicU64,
-    /// Whether addresses that were given out may no longer point here.
-    pub(super) window_over: AtomicBool,
+    /// Whether the drain window is over: every address answer that names this daemon has expired.
+    pub(super) is_drain_window_over: AtomicBool,
     pub(super) last_housekeeping: Mutex<MonotonicTime>,
-    pub(super) pauses: Mutex<PauseWatch>,
-    /// Time until which requests may have waited in a socket through a long pause.
-    suspicious_until: Mutex<MonotonicTime>,
-    pub(super) tickets: TicketIssuer,
+    pub(super) pause_watch: Mutex<PauseWatch>,
+    /// End of the time in which newly read requests may have spent a long pause in a socket buffer.
+    unknown_age_until: Mutex<MonotonicTime>,
+    pub(super) ticket_issuer: TicketIssuer,
 }
 
-/// What every request needs to know of configuration and membership, in one reading.
+/// Immutable snapshot of the configuration and the VM list that each request is decided by.
 #[derive(Clone, Debug)]
 pub(super) struct RequestBasis {
     pub(super) declarations: Option<Arc<Declarations>>,
@@ -97,44 +99,45 @@
 /// ```
 #[derive(Debug)]
 pub struct DaemonCoreBuilder {
-    own: InstanceId,
+    own_instance: InstanceId,
     zone: String,
-    requests: usize,
+    max_requests: usize,
     membership: Option<MembershipSettings>,
     roster_period: Option<Duration>,
     published: Option<PublishedFleet>,
     seed: u64,
 }
 
-/// How a daemon finds its peers and upstreams without a VM list and without declared upstreams.
+/// Settings of a daemon that discovers its peers by seed addresses and its upstreams in the
+/// platform's store, instead of a VM list and declared upstreams.
 #[derive(Clone, Debug)]
 pub struct PublishedFleet {
-    /// Where this daemon is.
+    /// Availability zone, addresses and capacity of this daemon.
     pub place: MemberPlace,
-    /// Regions of the availability zones.
+    /// Maps each availability zone to its region.
     pub regions: RegionMap,
-    /// Addresses at which daemons may listen for others; they may be stale.
+    /// Addresses of possible peers, contacted first after a start. Some may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// What reads configurations.
+    /// Parser for configuration texts.
     pub reader: DeclarationReader,
-    /// How many retries all daemons may make together at one pool.
+    /// Retry budget of all daemons together for one pool.
     pub retries: RetryLimits,
-    /// Time between the wish that a process ends and the moment at which it is killed.
+    /// Grace period between the request to terminate this process and its kill.
     pub grace: Duration,
-    /// How far cold upstreams may be pressed.
+    /// Limits on the load of cold upstreams.
     pub cold_limits: ColdLimits,
-    /// How late news of the platform may take effect.
+    /// Longest delays until changes on the platform must take effect.
     pub bounds: NewsBounds,
 }
 
 impl DaemonCoreBuilder {
-    /// Begins the core of the process life `own` in `zone`.
+    /// Starts a builder for the process `own_instance` in the availability zone `zone`.
     #[must_use]
-    pub fn new(own: InstanceId, zone: impl Into<String>) -> Self {
+    pub fn new(own_instance: InstanceId, zone: impl Into<String>) -> Self {
         Self {
-            own,
+            own_instance,
             zone: zone.into(),
-            requests: DEFAULT_REQUESTS,
+            max_requests: DEFAULT_MAX_REQUESTS,
             membership: None,
             roster_period: None,
             published: None,
@@ -142,45 +145,45 @@
         }
     }
 
-    /// Sets how many requests run at one time.
+    /// Sets the limit on concurrently running requests.
     #[must_use]
     pub fn requests(mut self, requests: usize) -> Self {
-        self.requests = requests;
+        self.max_requests = requests;
         self
     }
 
-    /// Sets the pace of heartbeats.
+    /// Sets the heartbeat period and the time before a silent peer is unreachable.
     #[must_use]
     pub fn membership(mut self, membership: MembershipSettings) -> Self {
         self.membership = Some(membership);
         self
     }
 
-    /// Sets the pause between two reads of the VM list.
+    /// Sets the interval between two reads of the VM list.
     #[must_use]
     pub fn roster_period(mut self, period: Duration) -> Self {
         self.roster_period = Some(period);
         self
     }
 
-    /// Finds peers and upstreams as `published` says.
+    /// Discovers peers and upstreams by `published` instead of a VM list and declared upstreams.
     #[must_use]
     pub fn published(mut self, published: PublishedFleet) -> Self {
         self.published = Some(published);
         self
     }
 
-    /// Seeds all random choices.
+    /// Sets the seed of all random choices, so that runs can be repeated.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Builds the core, at `now`.
+    /// Builds the daemon's state machine, whose clock starts at `now`.
     #[must_use]
     pub fn build(self, now: MonotonicTime) -> DaemonCore {
-        let mut view = MemberViewBuilder::new(self.own.clone()).seed(self.seed);
+        let mut view = MemberViewBuilder::new(self.own_instance.clone()).seed(self.seed);
         if let Some(membership) = self.membership {
             view = view.period(membership.period).suspicion(membership.suspicion);
         }
@@ -191,15 +194,18 @@
         if let Some(period) = self.roster_period {
             fleet.set_roster_period(period);
         }
-        let retries = self.published.as_ref().map(|each| each.retries).unwrap_or_default();
-        let cold_limits = self.published.as_ref().map(|each| each.cold_limits).unwrap_or_default();
-        let regions = self.published.as_ref().map(|each| each.regions.clone()).unwrap_or_default();
+        let retries =
+            self.published.as_ref().map(|published| published.retries).unwrap_or_default();
+        let cold_limits =
+            self.published.as_ref().map(|published| published.cold_limits).unwrap_or_default();
+        let region_map =
+            self.published.as_ref().map(|published| published.regions.clone()).unwrap_or_default();
         let mut dispatcher = BatchDispatcher::default();
         dispatcher.set_retries(retries);
         let limiter = Arc::new(RateLimiter::default());
         dispatcher.set_limiter(Arc::clone(&limiter));
-        let grace = self.published.as_ref().map(|each| each.grace);
-        let crashes = CrashDetector::new(&self.own.vm, self.published.is_some());
+        let grace_period = self.published.as_ref().map(|published| published.grace);
+        let crash_detector = CrashDetector::new(&self.own_instance.vm, self.published.is_some());
         let mut directory = DirectoryState::default();
         if let Some(published) = self.published {
             let pace = NewsPace::from(published.bounds);
@@ -214,63 +220,68 @@
             key_life: fleet.key_life(),
         };
         let router = UpstreamRouter::new(&self.zone, self.seed.wrapping_add(2)).retries(retries);
-        let router = router.cold_limits(cold_limits).regions(regions.clone());
+        let router = router.cold_limits(cold_limits).regions(region_map.clone());
         let router = router.limiter(Arc::clone(&limiter));
-        let incarnation = self.own.incarnation;
+        let incarnation = self.own_instance.incarnation;
         DaemonCore::from_state(CoreState {
-            shards: (0..SHARDS).map(|_| Mutex::new(RequestShard::new(self.own.clone()))).collect(),
-            registers: (0..SHARDS).map(|_| Mutex::default()).collect(),
-            own: self.own,
+            request_shards: (0..SHARD_COUNT)
+                .map(|_| Mutex::new(RequestShard::new(self.own_instance.clone())))
+                .collect(),
+            register_shards: (0..SHARD_COUNT).map(|_| Mutex::default()).collect(),
+            own_instance: self.own_instance,
             zone: self.zone,
-            regions,
-            started: now,
-            gate: Mutex::new(AdmissionGate::new(self.requests)),
+            region_map,
+            started_at: now,
+            admission_gate: Mutex::new(AdmissionGate::new(self.max_requests)),
             fleet: Mutex::new(fleet),
             directory: Mutex::new(directory),
             held: Mutex::default(),
             dispatcher: Mutex::new(dispatcher),
             limiter,
             away: Mutex::default(),
-            crashes: Mutex::new(crashes),
-            waits: Mutex::default(),
-            workspaces: Mutex::default(),
-            backlog: Mutex::default(),
-            grace,
-            refuse_from: Mutex::new(None),
+            crash_detector: Mutex::new(crash_detector),
+            pool_waits: Mutex::default(),
+            workspace_meter: Mutex::default(),
+            entry_backlog: Mutex::default(),
+            grace_period,
+            refuse_requests_from: Mutex::new(None),
             router: RwLock::new(Arc::new(router)),
             basis: RwLock::new(Arc::new(basis)),
             next_call: AtomicU64::new(1),
-            window_over: AtomicBool::new(false),
+            is_drain_window_over: AtomicBool::new(false),
             last_housekeeping: Mutex::new(now),
-            pauses: Mutex::new(PauseWatch::new(now)),
-            suspicious_until: Mutex::new(now),
-            tickets: TicketIssuer::new(incarnation, self.seed.wrapping_add(3)),
+            pause_watch: Mutex::new(PauseWatch::new(now)),
+            unknown_age_until: Mutex::new(now),
+            ticket_issuer: TicketIssuer::new(incarnation, self.seed.wrapping_add(3)),
         })
     }
 }
 
 impl RequestBasis {
-    /// How old a ticket may be: its request must still end within the life of the key.
+    /// Longest age of a valid ticket. A request with a ticket of that age still reaches its
+    /// deadline before the witnesses forget its key.
     pub(super) fn ticket_life(&self) -> Duration {
-        let deadline = self.declarations.as_ref();
-        let deadline = deadline.map_or(self.key_life, |each| each.deployment().longest_deadline);
-        self.key_life.saturating_sub(deadline)
+        let in_force = self.declarations.as_ref();
+        let longest_deadline = in_force
+            .map_or(self.key_life, |declarations| declarations.deployment().longest_deadline);
+        self.key_life.saturating_sub(longest_deadline)
     }
 }
 
 impl CoreState {
-    /// Takes note of a pause of the process. Requests that waited in a socket through a pause
-    /// longer than the life of a key are of unknown age.
-    pub(super) fn note_pause(&self, pause: Duration, now: MonotonicTime) {
+    /// Records a pause of the process. Requests that spent a pause longer than the retention time
+    /// of keys in a socket buffer are of unknown age.
+    pub(super) fn record_pause(&self, pause: Duration, now: MonotonicTime) {
         if pause >= self.basis().key_life {
-            *lock(&self.suspicious_until) = now + SUSPICION;
+            *lock(&self.unknown_age_until) = now + UNKNOWN_AGE_WINDOW;
         }
     }
 
-    /// Whether a request that was read now may have waited through a long pause.
-    pub(super) fn is_suspicious(&self, now: MonotonicTime) -> bool {
-        let last = *lock(&self.last_housekeeping);
-        now.since(last) >= self.basis().key_life || now < *lock(&self.suspicious_until)
+    /// Whether a request read at `now` may have spent a long pause in a socket buffer.
+    pub(super) fn is_request_age_unknown(&self, now: MonotonicTime) -> bool {
+        let last_housekeeping = *lock(&self.last_housekeeping);
+        now.since(last_housekeeping) >= self.basis().key_life
+            || now < *lock(&self.unknown_age_until)
     }
 
     pub(super) fn router(&self) -> Arc<UpstreamRouter> {
@@ -279,7 +290,7 @@
 
     pub(super) fn set_router(&self, router: UpstreamRouter) {
         *self.router.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(router);
-        // The router before it may have been told after this one was made.
+        // The previous router may have been put on hold, or released, after this one was built.
         let is_closed = lock(&self.held).is_closed();
         self.router().hold(is_closed);
     }
@@ -292,14 +303,14 @@
         *self.basis.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(basis);
     }
 
-    /// Numbers a call so that its shard can be told from the number.
+    /// Assigns a call id whose remainder by the shard count is the shard of `key`.
     pub(super) fn next_call(&self, key: &RequestKey) -> u64 {
-        let number = self.next_call.fetch_add(1, Ordering::Relaxed);
-        number * SHARDS as u64 + key.stable_hash() % SHARDS as u64
+        let sequence_number = self.next_call.fetch_add(1, Ordering::Relaxed);
+        sequence_number * SHARD_COUNT as u64 + key.stable_hash() % SHARD_COUNT as u64
     }
 
     pub(super) fn shard(&self, call: u64) -> MutexGuard<'_, RequestShard> {
-        lock(&self.shards[(call % SHARDS as u64) as usize])
+        lock(&self.request_shards[(call % SHARD_COUNT as u64) as usize])
     }
 
     pub(super) fn shard_of_key(&self, key: &RequestKey) -> MutexGuard<'_, RequestShard> {
@@ -307,6 +318,6 @@
     }
 
     pub(super) fn register(&self, key: &RequestKey) -> MutexGuard<'_, RegisterShard> {
-        lock(&self.registers[(key.stable_hash() % SHARDS as u64) as usize])
+        lock(&self.register_shards[(key.stable_hash() % SHARD_COUNT as u64) as usize])
     }
 }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams: suspected, counted by all daemons together, and not sent on.
+//! Quarantine of requests that crash upstreams: detection by probes, shared counts, refusal.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,50 +9,52 @@
 use crate::quarantine::{CrashRecord, CrashVerdict};
 use crate::sync::lock;
 
-/// Time for which news of upstreams are gathered before they are told: all that broke off with one
-/// upstream does so within a few milliseconds.
+/// Time for which news about upstreams is collected into one message to peers. All attempts that a
+/// crashed upstream breaks off do so within a few milliseconds.
 pub(super) const NEWS_DELAY: Duration = Duration::from_millis(20);
 
 impl CoreState {
-    /// An attempt broke off: its upstream is looked at.
-    pub(super) fn suspect(
+    /// Probes the upstream of an attempt that broke off, unless a probe of it is under way.
+    pub(super) fn probe_suspected_upstream(
         &self,
         digest: RequestDigest,
         upstream: String,
         address: SocketAddr,
         out: &mut Vec<Command>,
     ) {
-        if lock(&self.crashes).suspect(digest, &upstream) {
+        if lock(&self.crash_detector).suspect(digest, &upstream) {
             out.push(Command::ProbeUpstream { upstream, address });
         }
     }
 
-    /// An upstream under which attempts broke off was looked at.
-    pub(super) fn upstream_probed(
+    /// Handles the result of a probe: an upstream that has ended counts as crashed by the requests
+    /// that broke off there.
+    pub(super) fn handle_probe_result(
         &self,
         upstream: &str,
         has_ended: bool,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        // What was known to leave has left, with whatever still ran there.
+        // An upstream that had announced its departure has not crashed: it exited as planned, with
+        // requests still running.
         let has_crashed = has_ended && !lock(&self.directory).directory.is_leaving(upstream);
-        let verdict = lock(&self.crashes).probed(upstream, has_crashed, now);
-        self.follow(verdict, None, now, out);
+        let verdict = lock(&self.crash_detector).probed(upstream, has_crashed, now);
+        self.apply_verdict(verdict, None, now, out);
     }
 
-    /// A request like this was answered whole.
-    pub(super) fn note_success(
+    /// Clears the crash record of requests with `digest`, one of which was answered completely.
+    pub(super) fn clear_crash_suspicion(
         &self,
         digest: RequestDigest,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let verdict = lock(&self.crashes).succeeded(digest, now);
-        self.follow(verdict, None, now, out);
+        let verdict = lock(&self.crash_detector).succeeded(digest, now);
+        self.apply_verdict(verdict, None, now, out);
     }
 
-    /// Takes what the daemon on `vm` tells.
+    /// Merges the crash records that the daemon on `vm` sent.
     pub(super) fn take_crashes(
         &self,
         records: &[CrashRecord],
@@ -61,38 +63,40 @@
         out: &mut Vec<Command>,
     ) {
         if !records.is_empty() {
-            let verdict = lock(&self.crashes).take(records, now);
-            self.share_summary();
-            self.follow(verdict, Some(vm), now, out);
+            let verdict = lock(&self.crash_detector).take(records, now);
+            self.update_crash_summary();
+            self.apply_verdict(verdict, Some(vm), now, out);
         }
     }
 
-    /// Tells others what they have not been told of upstreams.
+    /// Sends peers the crash records and rate limits of upstreams that they have not been sent yet.
     pub(super) fn tell_upstream_news(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let crashes = lock(&self.crashes).take_fresh(now);
+        let crashes = lock(&self.crash_detector).take_fresh(now);
         let limits = self.limiter.take_untold(now);
         if !(crashes.is_empty() && limits.is_empty()) {
             lock(&self.fleet).tell_readers(&crashes, &limits, now, out);
         }
     }
 
-    /// Forgets what is too old to count.
-    pub(super) fn forget_crashes(&self, now: MonotonicTime) {
-        if lock(&self.crashes).forget(now) {
-            self.share_summary();
+    /// Drops crash records that have expired.
+    pub(super) fn expire_crash_records(&self, now: MonotonicTime) {
+        if lock(&self.crash_detector).forget(now) {
+            self.update_crash_summary();
         }
     }
 
-    /// Time for which a request like this is still not sent on, if it is quarantined.
+    /// Remaining quarantine of requests with `digest`, or `None` if they may be dispatched.
     pub(super) fn quarantine_left(
         &self,
         digest: RequestDigest,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        lock(&self.crashes).quarantine(digest, now)
+        lock(&self.crash_detector).quarantine(digest, now)
     }
 
-    fn follow(
+    /// Logs new and lifted quarantines, refuses the queued requests they apply to, and schedules
+    /// the message to peers. `peer` is the daemon that reported the crash, if another one did.
+    fn apply_verdict(
         &self,
         verdict: CrashVerdict,
         peer: Option<&str>,
@@ -102,7 +106,7 @@
         if verdict == CrashVerdict::default() {
             return;
         }
-        self.share_summary();
+        self.update_crash_summary();
         if verdict.has_news {
             out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
         }
@@ -110,23 +114,28 @@
             out.push(Command::Note(StateChange::QuarantineLifted { digest }));
         }
         for digest in verdict.quarantined {
-            let (ends, peer) = (lock(&self.crashes).ends(digest), peer.map(str::to_owned));
+            let (ends, peer) = (lock(&self.crash_detector).ends(digest), peer.map(str::to_owned));
             out.push(Command::Count(CounterName::RequestsQuarantined));
             out.push(Command::Note(StateChange::RequestQuarantined { digest, ends, peer }));
-            self.end_quarantined(digest, now, out);
+            self.refuse_quarantined_requests(digest, now, out);
         }
     }
 
-    /// Refuses the requests that are like `digest` and have not been sent on, wherever they wait: they
-    /// would only take time and pieces from others.
-    fn end_quarantined(&self, digest: RequestDigest, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Refuses all queued requests with `digest`, which would only take time and batch capacity
+    /// from others.
+    fn refuse_quarantined_requests(
+        &self,
+        digest: RequestDigest,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
         let Some(left) = self.quarantine_left(digest, now) else { return };
         let mut steps = Vec::new();
-        let waiting = lock(&self.backlog).take_like(digest);
-        for (call, plan) in waiting {
-            self.refuse_waiting(call, &plan, left, &mut steps);
+        let queued = lock(&self.entry_backlog).take_like(digest);
+        for (call, plan) in queued {
+            self.refuse_quarantined(call, &plan, left, &mut steps);
         }
-        for shard in &self.shards {
+        for shard in &self.request_shards {
             lock(shard).end_quarantined(digest, left, now, &mut steps);
         }
         let mut dispatch_steps = Vec::new();
@@ -135,8 +144,9 @@
         self.run_steps(steps, now, out);
     }
 
-    fn share_summary(&self) {
-        let summary = lock(&self.crashes).summary();
+    /// Copies the summary of the crash records to the state that heartbeats are built from.
+    fn update_crash_summary(&self) {
+        let summary = lock(&self.crash_detector).summary();
         lock(&self.fleet).crash_summary = summary;
     }
 }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -14,25 +14,26 @@
 use crate::routing::{ListAge, PeerDirectory};
 use crate::sync::lock;
 
-/// Pause between two looks at waiting work, pauses and the drain.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Time before a draining process is killed at which it ends the requests that are still open.
-const END_MARGIN: Duration = Duration::from_millis(900);
-/// Time that the answers of those requests have to reach their callers.
-const END_TIME: Duration = Duration::from_millis(250);
-/// Part of the time until the kill in which a draining process takes new requests. Those that come
-/// later could not be finished, and another daemon serves them at once.
-const ACCEPT_SHARE: f64 = 0.3;
-/// Pause between two turns of unwanted results. Long enough for one call to give up those of many
-/// requests, short against the seconds that an upstream's memory for results lasts.
-const RESULT_PACE: Duration = Duration::from_millis(15);
-/// Pause of the process from which on everything that was believed is asked for again.
-const LONG_PAUSE: Duration = Duration::from_millis(1_000);
-
-/// All decisions of one daemon: events and time in, commands out.
+/// Interval between two rounds of housekeeping, which serve queued work and check the drain.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// Time before the kill of a draining process at which it refuses all requests still open.
+const FORCED_END_MARGIN: Duration = Duration::from_millis(900);
+/// Time for the refusals of a draining process to reach their callers before it exits.
+const REFUSAL_FLUSH_TIME: Duration = Duration::from_millis(250);
+/// Fraction of the grace period in which a draining process still accepts new requests. It could
+/// not finish later ones in time, whereas another daemon can serve them at once.
+const ACCEPTING_FRACTION: f64 = 0.3;
+/// Interval between two rounds that free unneeded results at upstreams. It is long enough for one
+/// call to free the results of many requests. It is short compared with the seconds in which an
+/// upstream's memory for results fills up.
+const RESULT_RELEASE_INTERVAL: Duration = Duration::from_millis(15);
+/// Shortest pause of the process after which its view of the peers is refreshed at once.
+const REFRESH_PAUSE: Duration = Duration::from_millis(1_000);
+
+/// Deterministic state machine of one daemon: consumes events with their time, emits commands.
 ///
-/// Calls may come from several threads; each part has its own lock, and none is held across
-/// calls of another. With one thread and one seed, the same events give the same commands.
+/// Several threads may call it at once. Each part of the state has its own lock, which is not held
+/// while another part is called. With one thread and one seed, equal events give equal commands.
 #[derive(Debug)]
 pub struct DaemonCore {
     pub(super) state: CoreState,
@@ -43,13 +44,13 @@
         Self { state }
     }
 
-    /// This life of this process.
+    /// Identity of this process: its VM and its incarnation, which is new after every restart.
     #[must_use]
     pub fn instance(&self) -> &InstanceId {
-        &self.state.own
+        &self.state.own_instance
     }
 
-    /// Gives the first commands of a process.
+    /// Emits the commands that start the daemon: the first platform read and the periodic timers.
     pub fn start(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let published = lock(&self.state.fleet).view.own().place.is_some();
         if published {
@@ -66,15 +67,15 @@
         }
     }
 
-    /// Numbers a new call about `key`.
+    /// Assigns an id to a new caller's call about `key`.
     #[must_use]
     pub fn open_call(&self, key: &RequestKey) -> CallId {
         CallId(self.state.next_call(key))
     }
 
-    /// Takes an event at `now`; what has to be done about it is added to `out`.
+    /// Handles `event` at `now` and appends the resulting commands to `out`.
     pub fn handle(&self, event: DaemonEvent, now: MonotonicTime, out: &mut Vec<Command>) {
-        self.look_for_pause(now, out);
+        self.detect_pause(now, out);
         self.state.check_list(now, out);
         let mut steps = Vec::new();
         match event {
@@ -86,7 +87,7 @@
                 self.state.inquire(call, key, age, now, out);
             }
             DaemonEvent::Abandoned(call) => {
-                self.state.abandon_waiting(call, &mut steps);
+                self.state.abandon_queued(call, &mut steps);
                 self.state.shard(call.0).abandon(call, now, &mut steps);
             }
             DaemonEvent::Attempt { attempt, event } => {
@@ -99,7 +100,7 @@
             DaemonEvent::HolderReplied { call, reply } => {
                 self.state.shard(call.0).holder_replied(call, reply, now, &mut steps);
             }
-            DaemonEvent::Timer(timer) => self.timer(timer, now, out),
+            DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
             DaemonEvent::PiecesOffered(order) => {
                 self.state.dispatch_pieces(*order, now, &mut steps, out);
             }
@@ -107,24 +108,24 @@
                 lock(&self.state.dispatcher).withdraw(attempt, &pool);
             }
             DaemonEvent::WaitTold { pool, wait } => {
-                lock(&self.state.waits).note(&pool, wait, now);
+                lock(&self.state.pool_waits).note(&pool, wait, now);
             }
             DaemonEvent::ResultsUnwanted { pool, results } => {
                 lock(&self.state.dispatcher).release(&pool, results);
             }
             DaemonEvent::BatchEnded { batch, outcome } => {
-                self.state.batch_ended(batch, outcome, now, &mut steps, out);
+                self.state.handle_batch_outcome(batch, outcome, now, &mut steps, out);
             }
             DaemonEvent::UpstreamNoticed { upstream, notice, sent } => {
                 self.state.take_notice(&upstream, notice, sent, now, out);
             }
             DaemonEvent::UpstreamProbed { upstream, has_ended } => {
-                self.state.upstream_probed(&upstream, has_ended, now, out);
+                self.state.handle_probe_result(&upstream, has_ended, now, out);
             }
             DaemonEvent::RoomTold { upstream, free } => {
-                self.state.room_told(&upstream, free, now, &mut steps, out);
+                self.state.record_free_memory(&upstream, free, now, &mut steps, out);
             }
-            event => self.fleet_event(event, now, out),
+            fleet_event => self.fleet_event(fleet_event, now, out),
         }
         self.state.run_steps(steps, now, out);
         if lock(&self.state.held).is_closed() {
@@ -132,14 +133,15 @@
         }
     }
 
-    /// Mints a ticket for `key`, good for the returned time.
+    /// Issues a ticket for `key` and returns it with its validity period. The ticket lets this
+    /// process verify the age of a later request with that key.
     #[must_use]
     pub fn mint_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
-        let life = self.state.basis().ticket_life();
-        (self.state.tickets.mint(key, now), life)
+        let validity = self.state.basis().ticket_life();
+        (self.state.ticket_issuer.mint(key, now), validity)
     }
 
-    /// Answers a peer's heartbeat.
+    /// Merges a peer's heartbeat and returns the heartbeat of this daemon as its answer.
     pub fn exchange(
         &self,
         message: &ExchangeMessage,
@@ -150,9 +152,9 @@
         let sender = &message.sender.instance.vm;
         self.state.take_crashes(&message.crashes, sender, now, out);
         self.state.take_limits(&message.limits, sender, now, out);
-        let (news, mut reply) = {
+        let (newly_leaving, mut reply) = {
             let mut fleet = lock(&self.state.fleet);
-            let news = fleet.take_message(message, now, out);
+            let newly_leaving = fleet.take_message(message, now, out);
             let position = fleet.ledger.position();
             let directory = fleet.directory_news(now);
             let vm = &message.sender.instance.vm;
@@ -165,20 +167,21 @@
                 limit_digest: fleet.limit_digest,
                 ..reply
             };
-            (news, reply)
+            (newly_leaving, reply)
         };
         if message.crash_summary != reply.crash_summary {
-            reply.crashes = lock(&self.state.crashes).records(now);
+            reply.crashes = lock(&self.state.crash_detector).records(now);
         }
         if message.limit_digest != reply.limit_digest {
             reply.limits = self.state.limiter.records(now);
         }
-        self.state.take_leaving(&news, now, out);
+        self.state.take_leaving(&newly_leaving, now, out);
         self.heard(message, now, out);
         reply
     }
 
-    /// Answers as a witness of `key`: claims it for `claimant`, or buries it for `None`.
+    /// Votes as a witness of `key`: stores a claim of `claimant`, or a tombstone for `None`. An
+    /// earlier claim or tombstone stays and is returned instead.
     pub fn witness(
         &self,
         key: &RequestKey,
@@ -190,7 +193,7 @@
         self.state.witness(key, claimant, witnesses, now, out)
     }
 
-    /// Keeps the outcome of `key` that its holder left here.
+    /// Stores the outcome of the request `key` that the claiming process `holder` reported.
     pub fn record_outcome(
         &self,
         key: &RequestKey,
@@ -202,80 +205,90 @@
         self.state.register(key).record(key, holder, body, now, key_life);
     }
 
-    /// Answers a peer that asks what became of `key` at `holder`.
+    /// Answers a peer's inquiry about the request `key` that the process `holder` has claimed. A
+    /// `holder` of another incarnation is reported as gone.
     #[must_use]
     pub fn holder_reply(&self, key: &RequestKey, holder: &InstanceId) -> HolderReply {
-        if *holder != self.state.own {
+        if *holder != self.state.own_instance {
             return HolderReply::Gone;
         }
         self.state.shard_of_key(key).holder_reply(key)
     }
 
-    /// Configuration in force, if it is newer than `known`.
+    /// Revision and text of the configuration in force, or `None` if there is none or its revision
+    /// is below `known`.
     #[must_use]
     pub fn configuration_after(&self, known: u64) -> Option<(u64, Arc<str>)> {
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force()?;
-        // The same revision is given too: the asker may have another text under it.
+        // An equal revision is returned too, because the peer may have a conflicting text for it.
         (in_force.revision >= known).then(|| (in_force.revision, Arc::clone(&in_force.text)))
     }
 
-    /// Revision in force, 0 for none.
+    /// Configuration revision in force, 0 for none.
     #[must_use]
     pub fn revision(&self) -> u64 {
         lock(&self.state.fleet).ledger.position().0
     }
 
-    /// Whether the daemon may serve callers.
+    /// Whether the daemon may serve callers. Once ready, it stays ready.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         lock(&self.state.fleet).is_ready()
     }
 
-    /// What callers may send by the declarations in force, if these say so.
+    /// Limits on the size of callers' requests and on their timeouts, if the configuration in force
+    /// sets any.
     #[must_use]
     pub fn caller_limits(&self) -> Option<CallerLimits> {
-        self.state.basis().declarations.as_ref().and_then(|each| each.caller_limits())
+        self.state
+            .basis()
+            .declarations
+            .as_ref()
+            .and_then(|declarations| declarations.caller_limits())
     }
 
-    /// Whether `upstream` is known to have named a rate, so that an answer without one is news.
+    /// Whether `upstream` has announced a rate limit, so that an answer without one withdraws it.
     #[must_use]
     pub fn is_limited(&self, upstream: &str) -> bool {
         self.state.limiter.is_limited(upstream)
     }
 
-    /// Whether the daemon drains.
+    /// Whether the daemon is draining.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         lock(&self.state.fleet).view.is_own_leaving()
     }
 
-    /// Addresses for `caller`, as seen from `zone` or from the own one.
+    /// Addresses of daemons that `caller` should try, in that order. Daemons in the availability
+    /// zone `zone` come before others; `None` stands for this daemon's own zone.
     #[must_use]
     pub fn addresses(&self, caller: &str, zone: Option<&str>) -> AddressAnswer {
         let fleet = lock(&self.state.fleet);
-        let hold = fleet.ledger.in_force();
-        let hold = hold.map_or(Duration::ZERO, |each| each.declarations.deployment().address_hold);
-        let order = AddressOrder::new(fleet.history.current(), &fleet.view, hold);
-        let order = order.regions(&self.state.regions);
+        let in_force = fleet.ledger.in_force();
+        let address_hold =
+            in_force.map_or(Duration::ZERO, |entry| entry.declarations.deployment().address_hold);
+        let order = AddressOrder::new(fleet.history.current(), &fleet.view, address_hold);
+        let order = order.regions(&self.state.region_map);
         order.answer(caller, zone.unwrap_or(&self.state.zone))
     }
 
-    /// Where the daemon on `vm` listens for other daemons.
+    /// Address that the daemon on `vm` listens on for peers, or `None` if it is not known.
     #[must_use]
     pub fn peer_address(&self, vm: &str) -> Option<SocketAddr> {
         self.state.basis().history.current().get(vm)?.peer
     }
 
-    /// State of the daemon, for operators.
+    /// Snapshot of the daemon's state for operators.
     #[must_use]
     pub fn dump(&self, now: MonotonicTime) -> StateDump {
         let router = self.state.router();
-        let running = lock(&self.state.gate).running();
-        let registers = self.state.registers.iter().map(|each| lock(each).len()).sum();
-        let outcomes = self.state.registers.iter().map(|each| lock(each).outcome_count()).sum();
-        let keys = self.state.shards.iter().map(|each| lock(each).key_count()).sum();
-        let open_calls = self.open_calls();
+        let running = lock(&self.state.admission_gate).running();
+        let registers = self.state.register_shards.iter().map(|shard| lock(shard).len()).sum();
+        let outcomes =
+            self.state.register_shards.iter().map(|shard| lock(shard).outcome_count()).sum();
+        let keys = self.state.request_shards.iter().map(|shard| lock(shard).key_count()).sum();
+        let open_calls = self.open_call_count();
         let (directory_age, evacuated_zones) = {
             let state = lock(&self.state.directory);
             let zones = state.directory.evacuated_zones().map(str::to_owned).collect();
@@ -285,12 +298,13 @@
         let (revision, digest) = fleet.ledger.position();
         let rejected = fleet.ledger.rejected();
         let members: Vec<_> = fleet.view.records().cloned().collect();
-        let leaving = members.iter().map(|each| &each.instance.vm);
-        let leaving_members = leaving.filter(|vm| fleet.view.is_leaving(vm)).cloned().collect();
+        let member_vms = members.iter().map(|member| &member.instance.vm);
+        let leaving_members = member_vms.filter(|vm| fleet.view.is_leaving(vm)).cloned().collect();
         StateDump {
-            instance: self.state.own.clone(),
+            instance: self.state.own_instance.clone(),
             zone: self.state.zone.clone(),
-            uptime_ms: u64::try_from(now.since(self.state.started).as_millis()).unwrap_or(u64::MAX),
+            uptime_ms: u64::try_from(now.since(self.state.started_at).as_millis())
+                .unwrap_or(u64::MAX),
             ready: fleet.is_ready(),
             leaving: fleet.view.is_own_leaving(),
             revision,
@@ -319,33 +333,40 @@
             waiting_pieces: lock(&self.state.dispatcher).waiting(),
             upstreams: router.summaries(now),
             limited_upstreams: self.state.limiter.summaries(),
-            quarantined: lock(&self.state.crashes).quarantined(now),
+            quarantined: lock(&self.state.crash_detector).quarantined(now),
         }
     }
 
-    fn open_calls(&self) -> usize {
-        let begun: usize = self.state.shards.iter().map(|shard| lock(shard).open_count()).sum();
+    /// Number of open calls of callers, including inquiries and queued requests.
+    fn open_call_count(&self) -> usize {
+        let started: usize =
+            self.state.request_shards.iter().map(|shard| lock(shard).open_count()).sum();
         let held = lock(&self.state.held).request_count();
-        begun + lock(&self.state.backlog).len() + held
+        started + lock(&self.state.entry_backlog).len() + held
     }
 
-    fn timer(&self, timer: TimerKey, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Dispatches a timer that has fired to its handler.
+    fn handle_timer(&self, timer: TimerKey, now: MonotonicTime, out: &mut Vec<Command>) {
         match timer {
             TimerKey::Deadline(call)
             | TimerKey::Claim(call)
             | TimerKey::Inquiry(call)
-            | TimerKey::Holder(call) => self.request_timer(call, timer, now, out),
-            TimerKey::Silence(attempt) => self.request_timer(attempt.call, timer, now, out),
+            | TimerKey::Holder(call) => self.handle_request_timer(call, timer, now, out),
+            TimerKey::Silence(attempt) => self.handle_request_timer(attempt.call, timer, now, out),
             TimerKey::Directory => {
                 self.look_at_directory(now, out);
             }
             TimerKey::Results => {
                 let mut steps = Vec::new();
-                self.state.turn_unwanted(now, &mut steps, out);
+                self.state.release_unneeded_results(now, &mut steps, out);
                 self.state.run_steps(steps, now, out);
-                out.push(Command::SetTimer { timer: TimerKey::Results, at: now + RESULT_PACE });
+                out.push(Command::SetTimer {
+                    timer: TimerKey::Results,
+                    at: now + RESULT_RELEASE_INTERVAL,
+                });
             }
-            // Whatever comes looks at the age of the list; this has something come in time.
+            // Every event checks the age of the list of published upstreams. This timer only makes
+            // sure that an event arrives in time.
             TimerKey::DirectoryAnswer => {}
             TimerKey::UpstreamNews => self.state.tell_upstream_news(now, out),
             TimerKey::Seeds => lock(&self.state.fleet).greet_seed(now, out),
@@ -354,27 +375,28 @@
                 out.push(Command::Note(StateChange::Drained));
                 out.push(Command::Exit);
             }
-            TimerKey::Heartbeat => self.heartbeat(now, out),
+            TimerKey::Heartbeat => self.send_heartbeats(now, out),
             TimerKey::Configuration => lock(&self.state.fleet).decide_watch(now, out),
-            TimerKey::Housekeeping => self.housekeeping(now, out),
+            TimerKey::Housekeeping => self.run_housekeeping(now, out),
             TimerKey::Orders => lock(&self.state.fleet).look_at_engines(now, out),
             TimerKey::Roster => out.push(Command::ReadRoster { known: self.roster_revision() }),
-            TimerKey::Drain => self.state.window_over.store(true, Ordering::Relaxed),
+            TimerKey::Drain => self.state.is_drain_window_over.store(true, Ordering::Relaxed),
         }
     }
 
-    /// Ends every request that is still open: the process is about to end.
+    /// Refuses every request that is still open, because the process is about to exit.
     fn end_requests(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let mut steps = Vec::new();
         self.state.end_held(now, out);
-        self.state.end_waiting(now, &mut steps);
-        for shard in &self.state.shards {
+        self.state.refuse_queued_requests(now, &mut steps);
+        for shard in &self.state.request_shards {
             lock(shard).end_all(RefusalReason::Draining, now, &mut steps);
         }
         self.state.run_steps(steps, now, out);
     }
 
-    fn request_timer(
+    /// Passes a timer of one request on to the shard that owns its call.
+    fn handle_request_timer(
         &self,
         call: CallId,
         timer: TimerKey,
@@ -386,13 +408,13 @@
         self.state.run_steps(steps, now, out);
     }
 
-    /// Published upstreams that this daemon knows, for a peer that can't read them.
+    /// All published upstreams that this daemon knows, for a peer that can't read the store.
     #[must_use]
     pub fn published_upstreams(&self, now: MonotonicTime) -> PeerDirectory {
         lock(&self.state.directory).directory.snapshot(now)
     }
 
-    /// Published upstreams that a peer lacks that knows everything up to `known`.
+    /// Changes of the published upstreams after `known`, for a peer that has everything before.
     #[must_use]
     pub fn published_since(&self, known: StorePosition, now: MonotonicTime) -> PeerDirectory {
         let (revision, _) = lock(&self.state.fleet).ledger.position();
@@ -401,65 +423,73 @@
         PeerDirectory { age, ..state.directory.changes_since(known, now) }
     }
 
-    fn heartbeat(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let share = {
+    /// Sends the heartbeats that are due, and updates this daemon's share of the upstreams' request
+    /// rates.
+    fn send_heartbeats(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+        let rate_share = {
             let mut fleet = lock(&self.state.fleet);
             fleet.heartbeat(now, out);
             fleet.changed_share(now)
         };
-        if let Some(share) = share {
-            self.state.limiter.set_share(share);
+        if let Some(rate_share) = rate_share {
+            self.state.limiter.set_share(rate_share);
         }
     }
 
-    fn housekeeping(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Serves queued work, expires old state, and exits the process once its drain is complete.
+    fn run_housekeeping(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         *lock(&self.state.last_housekeeping) = now;
         self.check_ready(now);
-        self.state.forget_crashes(now);
+        self.state.expire_crash_records(now);
         self.state.forget_limits(now);
-        let lost = lock(&self.state.directory).drop_missing(now, out);
-        if lost {
+        let has_dropped_entries = lock(&self.state.directory).drop_missing(now, out);
+        if has_dropped_entries {
             self.directory_read(true, now, out);
         }
         let grants = self.state.router().serve_all_waiting(now);
         let mut steps = self.state.run_grants(grants, now);
         self.state.shed_limited(now, &mut steps);
         self.state.hand_over_pools(now, &mut steps, out);
-        self.state.note_duties(now);
+        self.state.update_sole_dispatch(now);
         self.state.turn_dispatcher(now, &mut steps, out);
-        self.state.turn_backlog(now, &mut steps);
+        self.state.start_queued_requests(now, &mut steps);
         self.state.run_steps(steps, now, out);
-        let idle = self.open_calls() == 0 && lock(&self.state.dispatcher).is_idle();
-        if self.state.window_over.load(Ordering::Relaxed) && idle {
+        let is_idle = self.open_call_count() == 0 && lock(&self.state.dispatcher).is_idle();
+        if self.state.is_drain_window_over.load(Ordering::Relaxed) && is_idle {
             out.push(Command::Note(StateChange::Drained));
             out.push(Command::Exit);
         }
-        out.push(Command::SetTimer { timer: TimerKey::Housekeeping, at: now + HOUSEKEEPING });
+        out.push(Command::SetTimer {
+            timer: TimerKey::Housekeeping,
+            at: now + HOUSEKEEPING_INTERVAL,
+        });
     }
 
-    /// Looks for a pause of this process that ends with the event at hand, before anything is
-    /// decided by times that it made longer.
-    fn look_for_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let Some(pause) = lock(&self.state.pauses).note_event(now) else { return };
+    /// Detects a pause of this process that ends with the current event. This runs before any
+    /// decision that depends on measured durations, which the pause has inflated.
+    fn detect_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+        let Some(pause) = lock(&self.state.pause_watch).note_event(now) else { return };
         out.push(Command::Count(CounterName::PausesNoticed));
         lock(&self.state.dispatcher).woke(pause, now);
         lock(&self.state.directory).woke(pause, now);
-        if pause >= LONG_PAUSE {
-            self.doubt_beliefs(pause, now, out);
+        if pause >= REFRESH_PAUSE {
+            self.refresh_peer_view(pause, now, out);
         }
     }
 
-    /// After a long pause everything that was believed before it is asked for again. No promise rests
-    /// on noticing: deadlines are checked before each dispatch, claims never expire into a run.
-    fn doubt_beliefs(&self, pause: Duration, now: MonotonicTime, out: &mut Vec<Command>) {
+    /// Exchanges heartbeats with a few random peers after a long pause, because the view of the
+    /// peers is stale. Safety does not depend on detecting the pause: deadlines are checked before
+    /// each dispatch, and no claim expires in a way that lets its request run twice.
+    fn refresh_peer_view(&self, pause: Duration, now: MonotonicTime, out: &mut Vec<Command>) {
         let millis = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
         out.push(Command::Note(StateChange::Paused { millis }));
-        self.state.note_pause(pause, now);
+        self.state.record_pause(pause, now);
         let mut fleet = lock(&self.state.fleet);
         let partners = fleet.view.random_partners(4);
         fleet.exchange_with(partners, now, out);
     }
 
+    /// Starts the drain of this daemon, unless it is draining already.
     pub(super) fn drain(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let mut fleet = lock(&self.state.fleet);
         if fleet.view.is_own_leaving() {
@@ -468,14 +498,18 @@
         fleet.drain(now, out);
         let window = fleet.drain_window();
         out.push(Command::Note(StateChange::Draining));
-        if let Some(grace) = self.state.grace {
-            // Whatever is open by then can't be finished; its callers are told so while there is
-            // time. A process that is killed would reset their connections without a word.
-            let last = grace.saturating_sub(END_MARGIN);
-            out.push(Command::SetTimer { timer: TimerKey::EndRequests, at: now + last });
-            out.push(Command::SetTimer { timer: TimerKey::Exit, at: now + last + END_TIME });
-            let accepting = fleet.drain_window().min(grace.mul_f64(ACCEPT_SHARE));
-            *lock(&self.state.refuse_from) = Some(now + accepting);
+        if let Some(grace_period) = self.state.grace_period {
+            // Requests still open near the end of the grace period can't be finished. Their callers
+            // are refused while there is time. The kill would reset their connections without an
+            // answer.
+            let forced_end = grace_period.saturating_sub(FORCED_END_MARGIN);
+            out.push(Command::SetTimer { timer: TimerKey::EndRequests, at: now + forced_end });
+            out.push(Command::SetTimer {
+                timer: TimerKey::Exit,
+                at: now + forced_end + REFUSAL_FLUSH_TIME,
+            });
+            let accepting_time = fleet.drain_window().min(grace_period.mul_f64(ACCEPTING_FRACTION));
+            *lock(&self.state.refuse_requests_from) = Some(now + accepting_time);
         }
         out.push(Command::SetTimer { timer: TimerKey::Drain, at: now + window });
         drop(fleet);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -11,83 +11,85 @@
 };
 use crate::sync::lock;
 
-/// Late requests that begin in one turn. The news of what they do to the pools comes back with
-/// their first calls, some turns later.
-const LATE_PER_TURN: usize = 2;
-/// Part of the time to its objective that a request may be expected to take. Estimates lie on
-/// either side of the truth.
-const OBJECTIVE_SHARE: f64 = 0.9;
+/// Limit on late requests started per round of housekeeping. Their effect on the queues of the
+/// pools is reported with their first batches, some rounds later, so more of them would overshoot.
+const MAX_LATE_STARTS_PER_ROUND: usize = 2;
+/// Largest expected duration of a request that counts as in time, as a fraction of the time to its
+/// objective. The rest is a margin, because estimates err in both directions.
+const OBJECTIVE_FRACTION: f64 = 0.9;
 
 impl CoreState {
-    /// Begins a request whose key no witness keeps, or lets it wait for room.
-    pub(super) fn enter(
+    /// Starts, queues or refuses a request that runs without a claim at witnesses.
+    pub(super) fn start_or_queue(
         &self,
         call: CallId,
         mut plan: RequestPlan,
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
     ) {
-        plan.is_flood = lock(&self.workspaces).count(&plan.request.key.workspace, now);
-        if let Some(wait) = self.refused_by_rates(&plan, now) {
-            refuse_unbegun(call, &plan, (RefusalReason::Overload, wait), steps);
+        plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
+        if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
+            refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), steps);
             return;
         }
         plan.delays = self.expected_delays(&plan, now);
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
-            EntryVerdict::Unservable => self.refuse_late(call, &plan, now, steps),
+            EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
             verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
                 steps.push(ShardStep::Command(Command::Note(StateChange::RequestWaits {
                     request: plan.request.key.clone(),
                     verdict: verdict.to_string(),
-                    needed_ms: millis(self.expected_way(&plan, now)),
+                    needed_ms: millis(self.expected_duration(&plan, now)),
                     objective_ms: millis(plan.objective.since(now)),
                     is_flood: plan.is_flood,
                 })));
-                lock(&self.backlog).wait(call, plan);
+                lock(&self.entry_backlog).wait(call, plan);
             }
         }
     }
 
-    /// Lets requests that wait begin, or ends them.
-    pub(super) fn turn_backlog(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        let judge = |plan: &RequestPlan| self.entry_verdict(plan, now);
-        let taken = lock(&self.backlog).take(LATE_PER_TURN, judge);
-        for (call, mut plan, verdict) in taken {
+    /// Starts queued requests that the pools have room for, and refuses those that can no longer be
+    /// answered before their deadline.
+    pub(super) fn start_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+        let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
+        let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
+        for (call, mut plan, verdict) in ready {
             plan.delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
-                self.refuse_late(call, &plan, now, steps);
+                self.refuse_overloaded(call, &plan, now, steps);
             } else {
                 self.shard(call.0).start(call, plan, now, steps);
             }
         }
     }
 
-    /// The caller of a request that waits is gone.
-    pub(super) fn abandon_waiting(&self, call: CallId, steps: &mut Vec<ShardStep>) {
+    /// Removes the queued request of `call`, whose caller has disconnected.
+    pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardStep>) {
         lock(&self.held).abandon(call);
-        if let Some(plan) = lock(&self.backlog).withdraw(call) {
+        if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
             steps.push(ShardStep::GiveBack(plan.permit));
         }
     }
 
-    /// Ends every request that waits.
-    pub(super) fn end_waiting(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        for (call, plan) in lock(&self.backlog).take_all() {
-            self.refuse_late(call, &plan, now, steps);
+    /// Refuses every queued request.
+    pub(super) fn refuse_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+        for (call, plan) in lock(&self.entry_backlog).take_all() {
+            self.refuse_overloaded(call, &plan, now, steps);
         }
     }
 
-    /// Time that a request should need from now to its answer, by what dispatchers said last.
-    fn expected_way(&self, plan: &RequestPlan, now: MonotonicTime) -> Duration {
+    /// Expected time from `now` to the answer of a request, from the latest reports of dispatchers.
+    fn expected_duration(&self, plan: &RequestPlan, now: MonotonicTime) -> Duration {
         let delays = self.expected_delays(plan, now);
         let steps = &plan.pipeline.plan;
         steps.longest_way(|step, position| plan.step_time(position, step) + delays[position])
     }
 
-    /// Time that each step should take beyond what it takes if nothing waits, by what dispatchers said
-    /// last: the wait for its calls, and the pieces of others in these. A flood stands behind all others,
-    /// and what it waits for is told by the wait of late requests alone.
+    /// Expected delay of each step over its duration on idle pools, from the latest reports of
+    /// dispatchers: its queueing time, and the time of other requests' items in its batches. Flood
+    /// requests get no delay here: they queue behind all others, so that only the queueing time of
+    /// late requests applies to them.
     fn expected_delays(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<Duration> {
         let steps = plan.pipeline.plan.steps().iter().enumerate();
         let delay = |(position, step): (usize, &PlanStep)| {
@@ -101,8 +103,8 @@
         steps.map(delay).collect()
     }
 
-    /// What dispatchers said last of the pools that a request needs.
-    fn pool_waits(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<PoolWait> {
+    /// Latest reported queueing times of the pools that a request needs.
+    fn needed_pool_waits(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<PoolWait> {
         let steps = plan.pipeline.plan.steps().iter().enumerate();
         let needed = steps.filter(|(position, step)| {
             matches!(step.work, StepWork::Batched { .. }) && plan.pieces(*position) > 0
@@ -110,63 +112,70 @@
         needed.map(|(_, step)| self.step_wait(plan, step, now)).collect()
     }
 
-    /// What the dispatcher said last that would make the pieces of `step`.
+    /// Latest reported queueing time of the pool section that would run the items of `step`.
     fn step_wait(&self, plan: &RequestPlan, step: &PlanStep, now: MonotonicTime) -> PoolWait {
         let section = self.section_for(&step.stage, &plan.request.key.key, now);
-        lock(&self.waits).wait(&section, now)
+        lock(&self.pool_waits).wait(&section, now)
     }
 
-    /// Refuses a request that never began and can't be answered before its deadline. Its caller is
-    /// told when the pools that it needs should have made what waits there now.
-    fn refuse_late(
+    /// Refuses a request that has not started and can't be answered before its deadline. Its
+    /// `Retry-After` is the time until the pools that it needs should have worked off their queues.
+    fn refuse_overloaded(
         &self,
         call: CallId,
         plan: &RequestPlan,
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
     ) {
-        let waits = self.pool_waits(plan, now);
+        let waits = self.needed_pool_waits(plan, now);
         let retry_after = waits.iter().map(PoolWait::retry_after).max().unwrap_or_default();
-        refuse_unbegun(call, plan, (RefusalReason::Overload, retry_after), steps);
+        refuse_unstarted(call, plan, (RefusalReason::Overload, retry_after), steps);
     }
 
-    /// Refuses a request that waits and is quarantined for `left`.
-    pub(super) fn refuse_waiting(
+    /// Refuses a queued request that is quarantined for `left`.
+    pub(super) fn refuse_quarantined(
         &self,
         call: CallId,
         plan: &RequestPlan,
         left: Duration,
         steps: &mut Vec<ShardStep>,
     ) {
-        refuse_unbegun(call, plan, (RefusalReason::Quarantined, left), steps);
+        refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), steps);
     }
 
-    /// Time after which a request should come back, if the rates that the upstreams of its last step name
-    /// leave it no place: its batched steps would be made in vain.
-    fn refused_by_rates(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
+    /// `Retry-After` of a request that the rate limits of its last step's upstreams leave no slot
+    /// for before its deadline, or `None` if it may start. Refusing the request now saves its
+    /// batched steps, whose results it could not use.
+    fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
         self.router().refused_for(&forwarded.stage, &plan.homes, plan.deadline, now)
     }
 
-    /// Whether a request with batched steps can be in time, by what their dispatchers said last.
+    /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
+    /// steps. A request without batched steps counts as in time.
     fn entry_verdict(&self, plan: &RequestPlan, now: MonotonicTime) -> EntryVerdict {
         let steps = plan.pipeline.plan.steps();
         let is_batched = |work| matches!(work, StepWork::Batched { .. });
         if !steps.iter().any(|step| is_batched(step.work)) {
             return EntryVerdict::InTime;
         }
-        let way = self.expected_way(plan, now);
-        let waits = self.pool_waits(plan, now);
-        let late = waits.iter().map(|wait| wait.late_for(plan.level)).max();
-        let bare = plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
-        // A flood stands behind all others.
-        let way = if plan.is_flood { way.max(bare + late.unwrap_or_default()) } else { way };
-        if now + bare >= plan.deadline {
+        let expected = self.expected_duration(plan, now);
+        let waits = self.needed_pool_waits(plan, now);
+        let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
+        let unqueued =
+            plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
+        // Flood requests queue behind all others, like late ones.
+        let expected = if plan.is_flood {
+            expected.max(unqueued + late_wait.unwrap_or_default())
+        } else {
+            expected
+        };
+        if now + unqueued >= plan.deadline {
             EntryVerdict::Unservable
-        } else if now + way.mul_f64(1.0 / OBJECTIVE_SHARE) <= plan.objective {
+        } else if now + expected.mul_f64(1.0 / OBJECTIVE_FRACTION) <= plan.objective {
             EntryVerdict::InTime
-        } else if now + late.unwrap_or_default() >= plan.deadline {
+        } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
         } else if waits.iter().all(PoolWait::has_room) {
             EntryVerdict::LateWithRoom
@@ -176,7 +185,8 @@
     }
 }
 
-fn refuse_unbegun(
+/// Releases the permit of a request that has not started, and answers its caller with a refusal.
+fn refuse_unstarted(
     call: CallId,
     plan: &RequestPlan,
     (reason, retry_after): (RefusalReason, Duration),
@@ -188,6 +198,7 @@
     steps.push(ShardStep::Command(Command::Reply { call, answer }));
 }
 
+/// Whole milliseconds of `duration`.
 fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -8,7 +8,8 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Has the pieces of a step made by the dispatcher of their pool.
+    /// Sends the items of a batched step to the dispatcher of their pool, on this or another
+    /// daemon. Skips the dispatchers in `tried`, which have failed the step before.
     pub(super) fn offer_pieces(
         &self,
         mut order: PieceOrder,
@@ -24,33 +25,36 @@
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
             choice.dispatcher(&order.pool, tried).to_owned()
         };
-        if vm == self.own.vm {
+        if vm == self.own_instance.vm {
             self.dispatch_pieces(order, now, steps, out);
         } else {
             out.push(Command::SendPieces { vm, order: Box::new(order) });
         }
     }
 
-    /// Section of `pool` that should make the pieces of the request `key` soonest, of two that are drawn by
-    /// its key.
+    /// Section of `pool` with the shorter expected queue, out of two that are drawn by the hash of
+    /// the request's `key` (power of two choices). A section is a part of a pool with its own
+    /// dispatcher.
     ///
-    /// Guards against all daemons choosing the section of which they last heard that it has room.
+    /// Guards against a herd: with full choice, all daemons would pick the section that was last
+    /// reported as idle.
     pub(super) fn section_for(&self, pool: &str, key: &str, now: MonotonicTime) -> String {
-        let count = lock(&self.dispatcher).sections(pool);
-        if count == 1 {
+        let section_count = lock(&self.dispatcher).sections(pool);
+        if section_count == 1 {
             return pool.to_owned();
         }
-        let drawn = PoolSection::candidates(pool, count, stable_hash(&[key]));
-        let [first, second] = drawn.map(|section| section.to_string());
-        let waits = lock(&self.waits);
-        let rank = |section: &str| {
+        let candidates = PoolSection::candidates(pool, section_count, stable_hash(&[key]));
+        let [first, second] = candidates.map(|section| section.to_string());
+        let waits = lock(&self.pool_waits);
+        let queueing_time = |section: &str| {
             let wait = waits.wait(section, now);
             (wait.in_time, wait.late_for(u8::MAX))
         };
-        if rank(&second) < rank(&first) { second } else { first }
+        if queueing_time(&second) < queueing_time(&first) { second } else { first }
     }
 
-    /// Takes pieces as the dispatcher of their pool.
+    /// Queues the items of a batched step as the dispatcher of their pool. Fails the step if its
+    /// request is quarantined.
     pub(super) fn dispatch_pieces(
         &self,
         order: PieceOrder,
@@ -63,13 +67,15 @@
             let fault = PieceFault::Quarantined;
             dispatch_steps.push(DispatchStep::fail(order.attempt, &order.pool, fault));
         } else {
-            let ends = order.digest.map_or(0, |digest| lock(&self.crashes).ends(digest));
-            lock(&self.dispatcher).offer(order, ends, now, &mut dispatch_steps);
+            let crash_count =
+                order.digest.map_or(0, |digest| lock(&self.crash_detector).ends(digest));
+            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_steps);
         }
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Has results given up by the dispatcher of their pool, which counts what its upstreams hold.
+    /// Frees results through the dispatcher of their pool, which keeps account of the memory that
+    /// results occupy at its upstreams.
     pub(super) fn free_results(
         &self,
         pool: &str,
@@ -81,15 +87,15 @@
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
             choice.dispatcher(pool, &[]).to_owned()
         };
-        if vm == self.own.vm {
+        if vm == self.own_instance.vm {
             lock(&self.dispatcher).release(pool, results);
         } else {
             out.push(Command::SendUnwanted { vm, pool: pool.to_owned(), results });
         }
     }
 
-    /// Has unwanted results of the pools given up that this daemon dispatches.
-    pub(super) fn turn_unwanted(
+    /// Frees the unneeded results of all pools that this daemon dispatches.
+    pub(super) fn release_unneeded_results(
         &self,
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
@@ -100,8 +106,8 @@
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Takes the end of a call of a batched upstream.
-    pub(super) fn batch_ended(
+    /// Handles the outcome of a batch: settles its items or queues them again.
+    pub(super) fn handle_batch_outcome(
         &self,
         batch: BatchId,
         outcome: BatchOutcome,
@@ -114,8 +120,8 @@
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Takes an upstream's word on how much of its memory for results is free.
-    pub(super) fn room_told(
+    /// Records how many bytes of an upstream's result memory are free; `None` if it did not say.
+    pub(super) fn record_free_memory(
         &self,
         upstream: &str,
         free: Option<u64>,
@@ -128,23 +134,23 @@
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Hands over the pieces that wait here in pools which another daemon dispatches now.
+    /// Hands over the queued items of every pool whose dispatcher is another daemon by now.
     pub(super) fn hand_over_pools(
         &self,
         now: MonotonicTime,
         steps: &mut Vec<ShardStep>,
         out: &mut Vec<Command>,
     ) {
-        let waiting =
+        let waiting_pieces =
             lock(&self.dispatcher).waiting().into_iter().filter(|(_, pieces)| *pieces > 0);
-        let mut pools: Vec<String> = waiting.map(|(pool, _)| pool).collect();
+        let mut pools: Vec<String> = waiting_pieces.map(|(pool, _)| pool).collect();
         if pools.is_empty() {
             return;
         }
         {
             let fleet = lock(&self.fleet);
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
-            pools.retain(|pool| choice.dispatcher(pool, &[]) != self.own.vm);
+            pools.retain(|pool| choice.dispatcher(pool, &[]) != self.own_instance.vm);
         }
         let mut dispatch_steps = Vec::new();
         for pool in pools {
@@ -153,8 +159,8 @@
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Finds out which pools with upstreams that name a rate this daemon dispatches.
-    pub(super) fn note_duties(&self, now: MonotonicTime) {
+    /// Tells the batch queues of rate-limited pools whether this daemon is their only dispatcher.
+    pub(super) fn update_sole_dispatch(&self, now: MonotonicTime) {
         if !self.limiter.has_limits() {
             return;
         }
@@ -163,13 +169,13 @@
             let is_sole = {
                 let fleet = lock(&self.fleet);
                 let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
-                choice.dispatcher(&pool, &[]) == self.own.vm
+                choice.dispatcher(&pool, &[]) == self.own_instance.vm
             };
             lock(&self.dispatcher).set_sole(&pool, is_sole, now);
         }
     }
 
-    /// Lets time pass for the pieces that wait here.
+    /// Advances all batch queues of this daemon to `now`: forms batches and expires queued items.
     pub(super) fn turn_dispatcher(
         &self,
         now: MonotonicTime,
@@ -181,7 +187,7 @@
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
-    /// Carries out what the dispatcher wants.
+    /// Runs the steps that the batch dispatcher has emitted.
     pub(super) fn run_dispatch(
         &self,
         dispatch_steps: Vec<DispatchStep>,
@@ -189,8 +195,8 @@
         steps: &mut Vec<ShardStep>,
         out: &mut Vec<Command>,
     ) {
-        // Calls go out before anything is told of the one that ended: until then their upstream
-        // stands idle.
+        // New batches go out before the results of the previous one are processed, because their
+        // upstream is idle until then.
         let (calls, others): (Vec<DispatchStep>, Vec<DispatchStep>) =
             dispatch_steps.into_iter().partition(|step| matches!(step, DispatchStep::Call(_)));
         for step in calls.into_iter().chain(others) {
@@ -201,7 +207,7 @@
                 }
                 DispatchStep::Cancel(batch) => out.push(Command::CancelBatch(batch)),
                 DispatchStep::Settle { attempt, pool, outcome } => {
-                    self.settle(attempt, &pool, outcome, now, steps, out);
+                    self.deliver_pieces_outcome(attempt, &pool, outcome, now, steps, out);
                 }
                 DispatchStep::FreeInputs { pool, results } => {
                     self.free_results(&pool, results, out)
@@ -210,7 +216,7 @@
                     out.push(Command::FreeResults { results, spared });
                 }
                 DispatchStep::Suspect { digest, upstream, address } => {
-                    self.suspect(digest, upstream, address, out);
+                    self.probe_suspected_upstream(digest, upstream, address, out);
                 }
                 DispatchStep::AskRoom { upstream, address } => {
                     out.push(Command::Count(CounterName::RoomQuestions));
@@ -220,8 +226,8 @@
         }
     }
 
-    /// Tells whoever offered pieces what became of them.
-    fn settle(
+    /// Delivers the outcome of a batched step to the daemon that sent its items.
+    fn deliver_pieces_outcome(
         &self,
         attempt: AttemptId,
         pool: &str,
@@ -231,12 +237,12 @@
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
-        if attempt.incarnation != self.own.mark() {
+        if attempt.incarnation != self.own_instance.mark() {
             out.push(Command::AnswerPieces { attempt, outcome, wait });
             return;
         }
         let retry_after = wait.retry_after();
-        lock(&self.waits).note(pool, wait, now);
+        lock(&self.pool_waits).note(pool, wait, now);
         let event = match outcome {
             Ok(results) => AttemptEvent::PiecesMade(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -16,18 +16,19 @@
 use crate::routing::{AttemptReport, SlotGrant};
 use crate::sync::lock;
 
-/// When a caller is told to come back after a limit was reached.
-const LIMIT_RETRY: Duration = Duration::from_millis(250);
-/// When a caller is told to come back to a daemon that is not ready.
-const READY_RETRY: Duration = Duration::from_millis(1_000);
-/// When a caller is told to come back that still uses a daemon which is about to end: at once, as
-/// another daemon serves it.
-const DRAIN_RETRY: Duration = Duration::from_millis(50);
-/// When a witness that sees other witnesses of a key may be asked again.
-const DISAGREEMENT_RETRY: Duration = Duration::from_millis(1_000);
+/// `Retry-After` of requests refused because a limit is reached.
+const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// `Retry-After` of requests refused because the daemon is not ready.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// `Retry-After` of requests refused because the daemon is about to exit. It is short, because
+/// another daemon can serve the retry.
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Time after which a witness may be asked again if it computes other witnesses for the key than
+/// the asking daemon.
+const WITNESS_MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 impl CoreState {
-    /// Begins a request, or refuses it. Its deadline runs from when it came.
+    /// Starts, queues or refuses a request. Its deadline counts from its arrival, not from `now`.
     pub(super) fn submit(&self, held: HeldRequest, now: MonotonicTime, out: &mut Vec<Command>) {
         let HeldRequest { call, request, arrived } = held;
         let mut steps = Vec::new();
@@ -37,15 +38,15 @@
             self.run_steps(steps, now, out);
             return;
         }
-        let ending = lock(&self.refuse_from).is_some_and(|from| now >= from);
-        if ending && request.forward().is_some() {
-            let refusal = refusal(&key, RefusalReason::Draining, DRAIN_RETRY);
+        let is_about_to_exit = lock(&self.refuse_requests_from).is_some_and(|from| now >= from);
+        if is_about_to_exit && request.forward().is_some() {
+            let refusal = refusal(&key, RefusalReason::Draining, DRAINING_RETRY_AFTER);
             self.refuse(call, key, None, refusal, now, out);
             return;
         }
         let basis = self.basis();
         let Some(declarations) = &basis.declarations else {
-            let refusal = refusal(&key, RefusalReason::NotReady, READY_RETRY);
+            let refusal = refusal(&key, RefusalReason::NotReady, NOT_READY_RETRY_AFTER);
             let age = claimed.then_some(request.age);
             self.refuse(call, key, age, refusal, now, out);
             return;
@@ -53,17 +54,17 @@
         let (forwarded, age) = (request.forward().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
-            Ok(plan) if !plan.claimed => self.enter(call, plan, now, &mut steps),
+            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut steps),
             Ok(plan) => self.start_claimed(call, plan, now, &mut steps),
-            Err((refusal, repeatable_there)) => {
-                let age = (!repeatable || !(repeatable_there || forwarded)).then_some(age);
+            Err((refusal, is_pipeline_repeatable)) => {
+                let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
                 self.refuse(call, key, age, refusal, now, out);
             }
         }
         self.run_steps(steps, now, out);
     }
 
-    /// Finds out what became of `key`, which its caller first sent `age` ago.
+    /// Resolves the outcome of the request `key`, which its caller first sent `age` ago.
     pub(super) fn inquire(
         &self,
         call: CallId,
@@ -79,7 +80,7 @@
         self.run_steps(steps, now, out);
     }
 
-    /// Carries steps out until nothing but commands is left.
+    /// Runs `steps`, and all steps that result from them, until only commands are left.
     pub(super) fn run_steps(
         &self,
         steps: Vec<ShardStep>,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Gives upstreams that were found for attempts to their requests.
+    /// Assigns the granted upstream slots to the requests that were queued for them.
     pub(super) fn run_grants(&self, grants: Vec<SlotGrant>, now: MonotonicTime) -> Vec<ShardStep> {
         let mut steps = Vec::new();
         for grant in grants {
@@ -101,7 +102,7 @@
         steps
     }
 
-    /// Answers as a witness of `key`: claims it for `claimant`, or buries it.
+    /// Votes as a witness of `key`: stores a claim of `claimant`, or a tombstone for `None`.
     pub(super) fn witness(
         &self,
         key: &RequestKey,
@@ -111,17 +112,19 @@
         out: &mut Vec<Command>,
     ) -> RegisterReply {
         let basis = self.basis();
-        let own = WitnessSet::choose(key, basis.history.current());
+        let own_witnesses = WitnessSet::choose(key, basis.history.current());
         if basis.declarations.is_none()
-            || !own.contains(&self.own.vm)
-            || !own.agrees_with(witnesses)
+            || !own_witnesses.contains(&self.own_instance.vm)
+            || !own_witnesses.agrees_with(witnesses)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
-            return RegisterReply::Abstains(DISAGREEMENT_RETRY);
+            return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
         }
-        if let Some(wait) = basis.history.abstention(&self.own.vm, key, now, basis.key_life) {
+        if let Some(abstention) =
+            basis.history.abstention(&self.own_instance.vm, key, now, basis.key_life)
+        {
             out.push(Command::Count(CounterName::WitnessAbstentions));
-            return RegisterReply::Abstains(wait);
+            return RegisterReply::Abstains(abstention);
         }
         let mut register = self.register(key);
         let reply = match claimant {
@@ -136,6 +139,8 @@
         reply
     }
 
+    /// Plans a request and admits it. The error holds the refusal, and whether the request's
+    /// pipeline allows repeated runs.
     fn admit(
         &self,
         request: CallerRequest,
@@ -147,22 +152,26 @@
         let mut plan =
             RequestPlan::make(request, declarations, arrived).map_err(|refusal| (refusal, true))?;
         let repeatable = plan.repeatable;
-        if let Some(left) = self.quarantine_left(plan.digest, now) {
-            return Err((refusal(&key, RefusalReason::Quarantined, left), repeatable));
+        if let Some(quarantine) = self.quarantine_left(plan.digest, now) {
+            return Err((refusal(&key, RefusalReason::Quarantined, quarantine), repeatable));
         }
-        // A request that can't end in time is refused before it takes anything from those that can.
-        let needed = self.router().estimate(&plan.pipeline.plan, plan.level);
-        if now + needed > plan.deadline {
-            let retry = needed.saturating_sub(plan.request.deadline).max(LIMIT_RETRY);
-            return Err((refusal(&key, RefusalReason::Overload, retry), repeatable));
+        // Load shedding: a request that can't meet its deadline is refused before it uses any
+        // capacity of requests that can.
+        let estimated_time = self.router().estimate(&plan.pipeline.plan, plan.level);
+        if now + estimated_time > plan.deadline {
+            let retry_after =
+                estimated_time.saturating_sub(plan.request.deadline).max(LIMIT_RETRY_AFTER);
+            return Err((refusal(&key, RefusalReason::Overload, retry_after), repeatable));
         }
         let workspace = &plan.request.key.workspace;
-        let admitted = lock(&self.gate).admit(declarations, workspace, &plan.labels);
+        let admission = lock(&self.admission_gate).admit(declarations, workspace, &plan.labels);
         plan.permit =
-            admitted.map_err(|reason| (refusal(&key, reason, LIMIT_RETRY), repeatable))?;
+            admission.map_err(|reason| (refusal(&key, reason, LIMIT_RETRY_AFTER), repeatable))?;
         Ok(plan)
     }
 
+    /// Claims the key of a non-repeatable request and then runs it, or starts an inquiry about a
+    /// key that must not be claimed.
     fn start_claimed(
         &self,
         call: CallId,
@@ -172,18 +181,19 @@
     ) {
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
-        // A request that its caller calls repeatable may reach a pipeline that is not.
+        // A request that its caller marks as repeatable may match a pipeline that is not.
         if plan.request.repeatable && shard.join(call, &key, now, steps) {
             steps.push(ShardStep::GiveBack(plan.permit));
             return;
         }
-        if let Some(reason) = self.obstacle(&plan, &shard, now) {
+        if let Some(reason) = self.claim_rejection(&plan, &shard, now) {
             drop(shard);
             steps.push(ShardStep::GiveBack(plan.permit));
             let refusal = refusal(&key, reason, Duration::ZERO);
-            let age_is_known =
+            let is_age_proven =
                 matches!(reason, RefusalReason::NeverRun | RefusalReason::RequestLimit);
-            let age = (age_is_known && !self.is_suspicious(now)).then_some(plan.request.age);
+            let age =
+                (is_age_proven && !self.is_request_age_unknown(now)).then_some(plan.request.age);
             steps.extend(self.begin_inquiry(call, key, Some(refusal), age, now));
             return;
         }
@@ -191,13 +201,15 @@
         shard.start_claimed(call, plan, witnesses, now, steps);
     }
 
-    /// Why a request that must not repeat can't be run here, if so.
+    /// Reason why this daemon must not claim the key of a non-repeatable request, or `None` if it
+    /// may.
     ///
-    /// Guards against a request that is older than its witnesses remember: it has waited in a
-    /// socket while this process was paused, or comes from a caller that has tried for long. Its
-    /// key may have run, or been said never to run, and been forgotten since. A ticket proves by
-    /// this process's own clock that it is not so old; without one, a long pause is noticed.
-    fn obstacle(
+    /// Guards against a request that is older than the retention time of keys at its witnesses.
+    /// Such a request spent a pause of this process in a socket buffer, or its caller has retried
+    /// for long. Its key may have run, or been reported as never run, and been forgotten since. A
+    /// ticket proves by this process's own clock that the request is young enough. Without a
+    /// ticket, the daemon relies on detecting its long pauses.
+    fn claim_rejection(
         &self,
         plan: &RequestPlan,
         shard: &RequestShard,
@@ -215,15 +227,16 @@
         }
         match &plan.request.ticket {
             Some(ticket) => {
-                let good = self.tickets.is_good(ticket, key, now, self.basis().ticket_life());
-                (!good).then_some(RefusalReason::BadTicket)
+                let is_good =
+                    self.ticket_issuer.is_good(ticket, key, now, self.basis().ticket_life());
+                (!is_good).then_some(RefusalReason::BadTicket)
             }
-            None => self.is_suspicious(now).then_some(RefusalReason::KeyExpired),
+            None => self.is_request_age_unknown(now).then_some(RefusalReason::KeyExpired),
         }
     }
 
-    /// Refuses a request. Of one that must not be repeated, which has an `age`, "not run" is said
-    /// only once its witnesses prove it: the same key may have run through another daemon.
+    /// Refuses a request. A non-repeatable request has an `age` and is reported as not run only
+    /// after its witnesses prove that, because another daemon may have run the same key.
     fn refuse(
         &self,
         call: CallId,
@@ -237,12 +250,13 @@
             out.push(Command::Reply { call, answer: FinalAnswer::from(*refusal) });
             return;
         }
-        let age = age.filter(|_| !self.is_suspicious(now));
+        let age = age.filter(|_| !self.is_request_age_unknown(now));
         let steps = self.begin_inquiry(call, key, Some(refusal), age, now);
         self.run_steps(steps, now, out);
     }
 
-    /// Begins an inquiry about `key`, which is `age` old; without an age, it can't prove "not run".
+    /// Starts an inquiry about `key`, which its caller first sent `age` ago. If `age` is `None`,
+    /// the inquiry can't prove that the request did not run.
     fn begin_inquiry(
         &self,
         call: CallId,
@@ -253,14 +267,17 @@
     ) -> Vec<ShardStep> {
         let basis = self.basis();
         let witnesses = WitnessSet::choose(&key, basis.history.current());
-        // A daemon that has no configuration yet does not know how long the others remember keys.
-        let known_life = basis.declarations.as_ref().map(|_| basis.key_life);
-        let left =
-            known_life.zip(age).map_or(Duration::ZERO, |(life, age)| life.saturating_sub(age));
-        let inquiry = InquiryBasis { key_life: basis.key_life, provable_until: now + left };
+        // A daemon without a configuration does not know the retention time of keys at its peers.
+        let known_key_life = basis.declarations.as_ref().map(|_| basis.key_life);
+        let provable_time = known_key_life
+            .zip(age)
+            .map_or(Duration::ZERO, |(key_life, age)| key_life.saturating_sub(age));
+        let inquiry =
+            InquiryBasis { key_life: basis.key_life, provable_until: now + provable_time };
         self.shard(call.0).inquire(call, key, witnesses, refusal, inquiry, now)
     }
 
+    /// Runs one step of a request shard and returns the steps that result from it.
     fn run_step(
         &self,
         step: ShardStep,
@@ -287,14 +304,15 @@
                 self.router().withdraw(&request);
             }
             ShardStep::Release { upstream, call, report } => {
-                let report = self.judge_time(report, now);
+                let report = self.exclude_paused_time(report, now);
                 steps = self.run_grants(self.router().release(&upstream, call, report, now), now);
             }
             ShardStep::Flowing { upstream, call } => self.router().flowing(&upstream, call),
             ShardStep::FreeResults { pool, results } => self.free_results(&pool, results, out),
             ShardStep::OfferPieces { mut order, tried, target } => {
                 if let Some(target) = target.filter(|_| order.zone.is_none()) {
-                    // Results are made where they will be needed, if nothing speaks against it.
+                    // Data locality: the batched step prefers the availability zone of the engine
+                    // that will consume its results.
                     order.zone = self.router().engine_zone(&target, now).map(str::to_owned);
                 }
                 self.offer_pieces(*order, &tried, now, &mut steps, out);
@@ -304,10 +322,10 @@
                 out.push(Command::CancelPieces(attempt));
             }
             ShardStep::Suspect { digest, upstream, address } => {
-                self.suspect(digest, upstream, address, out);
+                self.probe_suspected_upstream(digest, upstream, address, out);
             }
-            ShardStep::Succeeded(digest) => self.note_success(digest, now, out),
-            ShardStep::GiveBack(permit) => lock(&self.gate).release(&permit),
+            ShardStep::Succeeded(digest) => self.clear_crash_suspicion(digest, now, out),
+            ShardStep::GiveBack(permit) => lock(&self.admission_gate).release(&permit),
             ShardStep::Register(register) => self.ask_witness(register, now, &mut steps, out),
             ShardStep::Greet { upstream, life, leaving: false } => {
                 self.router().greet(&upstream, &life)
@@ -321,13 +339,15 @@
         steps
     }
 
-    /// A time that this process was paused in says nothing of an upstream.
-    fn judge_time(&self, report: AttemptReport, now: MonotonicTime) -> AttemptReport {
-        let AttemptReport::Answered(time) = report else { return report };
-        let since = MonotonicTime::from_start(now.since_start().saturating_sub(time));
-        if lock(&self.pauses).ran_since(since) { report } else { AttemptReport::Unmeasured }
+    /// Replaces an answer time that includes a pause of this process, which would count against the
+    /// upstream, by an unmeasured one.
+    fn exclude_paused_time(&self, report: AttemptReport, now: MonotonicTime) -> AttemptReport {
+        let AttemptReport::Answered(answer_time) = report else { return report };
+        let sent_at = MonotonicTime::from_start(now.since_start().saturating_sub(answer_time));
+        if lock(&self.pause_watch).ran_since(sent_at) { report } else { AttemptReport::Unmeasured }
     }
 
+    /// Asks one witness for its vote, without a network call if the witness is this daemon.
     fn ask_witness(
         &self,
         register: RegisterCall,
@@ -336,16 +356,17 @@
         out: &mut Vec<Command>,
     ) {
         let RegisterCall { call, witness, key, witnesses, bury } = register;
-        if witness != self.own.vm {
+        if witness != self.own_instance.vm {
             out.push(Command::Register { call, witness, key, witnesses, bury });
             return;
         }
-        let claimant = (!bury).then_some(&self.own);
+        let claimant = (!bury).then_some(&self.own_instance);
         let reply = self.witness(&key, claimant, &witnesses, now, out);
         self.shard(call.0).register_replied(call, &witness, Some(reply), now, steps);
     }
 }
 
-fn refusal(key: &RequestKey, reason: RefusalReason, retry: Duration) -> Box<FinalOutcome> {
-    Box::new(FinalOutcome::new(OutcomeKind::Refused, key).reason(reason).retry(retry, true))
+/// Refused outcome for `key`, which its caller may retry after `retry_after`.
+fn refusal(key: &RequestKey, reason: RefusalReason, retry_after: Duration) -> Box<FinalOutcome> {
+    Box::new(FinalOutcome::new(OutcomeKind::Refused, key).reason(reason).retry(retry_after, true))
 }
