--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -194,7 +194,7 @@
     /// Increment a counter by one.
     Count(CounterName),
     /// Write a state change to the log.
-    Note(StateChange),
+    LogStateChange(StateChange),
     /// Exit the process, as its drain has finished.
     Exit,
 }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -111,12 +111,16 @@
             out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
         }
         for digest in verdict.lifted {
-            out.push(Command::Note(StateChange::QuarantineLifted { digest }));
+            out.push(Command::LogStateChange(StateChange::QuarantineLifted { digest }));
         }
         for digest in verdict.quarantined {
             let (ends, peer) = (lock(&self.crash_detector).ends(digest), peer.map(str::to_owned));
             out.push(Command::Count(CounterName::RequestsQuarantined));
-            out.push(Command::Note(StateChange::RequestQuarantined { digest, ends, peer }));
+            out.push(Command::LogStateChange(StateChange::RequestQuarantined {
+                digest,
+                ends,
+                peer,
+            }));
             self.refuse_quarantined_requests(digest, now, out);
         }
     }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -372,7 +372,7 @@
             TimerKey::Seeds => lock(&self.state.fleet).greet_seed(now, out),
             TimerKey::EndRequests => self.end_requests(now, out),
             TimerKey::Exit => {
-                out.push(Command::Note(StateChange::Drained));
+                out.push(Command::LogStateChange(StateChange::Drained));
                 out.push(Command::Exit);
             }
             TimerKey::Heartbeat => self.send_heartbeats(now, out),
@@ -456,7 +456,7 @@
         self.state.run_steps(steps, now, out);
         let is_idle = self.open_call_count() == 0 && lock(&self.state.dispatcher).is_idle();
         if self.state.is_drain_window_over.load(Ordering::Relaxed) && is_idle {
-            out.push(Command::Note(StateChange::Drained));
+            out.push(Command::LogStateChange(StateChange::Drained));
             out.push(Command::Exit);
         }
         out.push(Command::SetTimer {
@@ -482,7 +482,7 @@
     /// each dispatch, and no claim expires in a way that lets its request run twice.
     fn refresh_peer_view(&self, pause: Duration, now: MonotonicTime, out: &mut Vec<Command>) {
         let millis = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-        out.push(Command::Note(StateChange::Paused { millis }));
+        out.push(Command::LogStateChange(StateChange::Paused { millis }));
         self.state.record_pause(pause, now);
         let mut fleet = lock(&self.state.fleet);
         let partners = fleet.view.random_partners(4);
@@ -497,7 +497,7 @@
         }
         fleet.drain(now, out);
         let window = fleet.drain_window();
-        out.push(Command::Note(StateChange::Draining));
+        out.push(Command::LogStateChange(StateChange::Draining));
         if let Some(grace_period) = self.state.grace_period {
             // Requests still open near the end of the grace period can't be finished. Their callers
             // are refused while there is time. The kill would reset their connections without an
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -173,7 +173,7 @@
         let overdue = old && !failing && !silent;
         if overdue && !self.overdue {
             let age_ms = self.age(now).map(millis);
-            out.push(Command::Note(StateChange::DirectoryOverdue { age_ms }));
+            out.push(Command::LogStateChange(StateChange::DirectoryOverdue { age_ms }));
         }
         self.overdue = overdue;
         overdue
@@ -290,7 +290,7 @@
         let began = reading.map_or(now, |reading| reading.began);
         self.failed = Some(FailedReading { began, ended: now });
         if self.failures == 0 && self.directory.is_known() {
-            out.push(Command::Note(StateChange::PlatformLost));
+            out.push(Command::LogStateChange(StateChange::PlatformLost));
         }
         self.failures += 1;
         let since = *self.failing_since.get_or_insert(now);
@@ -398,7 +398,7 @@
         if let Some(reader) = reader {
             out.push(Command::Count(CounterName::DirectoryReadsForAge));
             let age_ms = self.age(now).map(millis);
-            out.push(Command::Note(StateChange::DirectoryAged { age_ms, reader }));
+            out.push(Command::LogStateChange(StateChange::DirectoryAged { age_ms, reader }));
         }
         out.push(Command::ReadDirectory);
     }
@@ -432,7 +432,7 @@
     /// lapsed.
     fn succeeded(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
         if self.failures > 0 && self.last_read.is_some() {
-            out.push(Command::Note(StateChange::PlatformRegained));
+            out.push(Command::LogStateChange(StateChange::PlatformRegained));
         }
         let began = self.reading.take().map(|reading| reading.began);
         self.failures = 0;
@@ -455,11 +455,11 @@
         let after = self.evacuated_zones();
         for zone in after.iter().filter(|zone| !before.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
-            out.push(Command::Note(StateChange::ZoneEvacuated { zone, peer }));
+            out.push(Command::LogStateChange(StateChange::ZoneEvacuated { zone, peer }));
         }
         for zone in before.iter().filter(|zone| !after.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
-            out.push(Command::Note(StateChange::ZoneOpened { zone, peer }));
+            out.push(Command::LogStateChange(StateChange::ZoneOpened { zone, peer }));
         }
     }
 
@@ -487,7 +487,7 @@
         for ColdUpstream { name: upstream, .. } in cold {
             let until = self.directory.cold_until(&upstream);
             let left_ms = until.map_or(0, |until| millis(until.since(now)));
-            out.push(Command::Note(StateChange::UpstreamCold { upstream, left_ms }));
+            out.push(Command::LogStateChange(StateChange::UpstreamCold { upstream, left_ms }));
         }
     }
 
@@ -499,7 +499,12 @@
         }
         let (peer, missing) = (peer.map(str::to_owned), self.directory.missing_count());
         out.push(Command::Count(CounterName::StoreRestores));
-        out.push(Command::Note(StateChange::StoreRestored { before, after, missing, peer }));
+        out.push(Command::LogStateChange(StateChange::StoreRestored {
+            before,
+            after,
+            missing,
+            peer,
+        }));
     }
 
     fn note(
@@ -514,7 +519,7 @@
             let upstreams = self.directory.staying().count();
             let age_ms = age.map(millis);
             let taken = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
-            out.push(Command::Note(taken));
+            out.push(Command::LogStateChange(taken));
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -37,13 +37,15 @@
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
             verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
-                steps.push(ShardStep::Command(Command::Note(StateChange::RequestWaits {
-                    request: plan.request.key.clone(),
-                    verdict: verdict.to_string(),
-                    needed_ms: millis(self.expected_duration(&plan, now)),
-                    objective_ms: millis(plan.objective.since(now)),
-                    is_flood: plan.is_flood,
-                })));
+                steps.push(ShardStep::Command(Command::LogStateChange(
+                    StateChange::RequestWaits {
+                        request: plan.request.key.clone(),
+                        verdict: verdict.to_string(),
+                        needed_ms: millis(self.expected_duration(&plan, now)),
+                        objective_ms: millis(plan.objective.since(now)),
+                        is_flood: plan.is_flood,
+                    },
+                )));
                 lock(&self.entry_backlog).wait(call, plan);
             }
         }
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -303,13 +303,13 @@
         match self.ledger.offer(revision, text) {
             LedgerVerdict::Accepted => {
                 out.push(Command::Count(CounterName::ConfigurationsAccepted));
-                out.push(Command::Note(StateChange::ConfigurationInForce { revision }));
+                out.push(Command::LogStateChange(StateChange::ConfigurationInForce { revision }));
             }
             LedgerVerdict::Rejected(errors) => {
                 out.push(Command::Count(CounterName::ConfigurationsRejected));
                 let error = errors.first().map(ToString::to_string).unwrap_or_default();
                 let errors = errors.len();
-                out.push(Command::Note(StateChange::ConfigurationRejected {
+                out.push(Command::LogStateChange(StateChange::ConfigurationRejected {
                     revision,
                     error,
                     errors,
@@ -317,7 +317,7 @@
             }
             LedgerVerdict::Conflict => {
                 out.push(Command::Count(CounterName::ConfigurationConflicts));
-                out.push(Command::Note(StateChange::ConfigurationConflict { revision }));
+                out.push(Command::LogStateChange(StateChange::ConfigurationConflict { revision }));
             }
             LedgerVerdict::AlreadyInForce
             | LedgerVerdict::Older
@@ -351,7 +351,7 @@
         let first = self.view.peer_count() == 0;
         self.view.take_roster(&current, now);
         let (revision, vms) = (current.revision, current.vms.len());
-        out.push(Command::Note(StateChange::RosterTaken { revision, vms }));
+        out.push(Command::LogStateChange(StateChange::RosterTaken { revision, vms }));
         if first {
             let partners = self.view.random_partners(FAREWELL_PARTNERS);
             self.exchange_with(partners, now, out);
@@ -478,7 +478,7 @@
         let after = self.view.status(vm);
         if let Some(status) = after.filter(|status| Some(*status) != before) {
             let (vm, status) = (vm.to_owned(), status.to_string());
-            out.push(Command::Note(StateChange::PeerStatus { vm, status }));
+            out.push(Command::LogStateChange(StateChange::PeerStatus { vm, status }));
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -68,7 +68,7 @@
         for (upstream, change) in changes {
             let (upstream, peer) = (upstream.to_owned(), peer.map(str::to_owned));
             has_ended |= matches!(change, LimitChange::Ended(_));
-            out.push(Command::Note(match change {
+            out.push(Command::LogStateChange(match change {
                 LimitChange::Limited(rate) => StateChange::UpstreamLimited { upstream, rate, peer },
                 LimitChange::Ended(sent) => StateChange::UpstreamUnlimited { upstream, sent, peer },
             }));
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -39,7 +39,7 @@
             lock(&self.dispatcher).stay_away(upstream, now + time);
             let stay_away_ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
-            out.push(Command::Note(StateChange::UpstreamAway { upstream, stay_away_ms }));
+            out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
         if let Some(left) = notice.cold {
             let cold = ColdUpstream { name: upstream.to_owned(), left };
@@ -64,7 +64,7 @@
             let is_listed = lock(&self.directory).directory.note_leaving(&leaving.upstream, now);
             if is_routed || is_listed {
                 let upstream = leaving.upstream.clone();
-                out.push(Command::Note(StateChange::UpstreamLeaving { upstream }));
+                out.push(Command::LogStateChange(StateChange::UpstreamLeaving { upstream }));
             }
             has_news |= is_routed || is_listed;
             list_changed |= is_listed;
--- a/crates/crocusdale_core/src/pipeline/attempt_ends.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_ends.rs
@@ -50,7 +50,7 @@
         branch.tried.push(open.upstream.clone());
         steps.push(count(failure.counter()));
         if let FailedAttempt::Broken(reason) = failure {
-            steps.push(ShardStep::Command(Command::Note(StateChange::AttemptBroken {
+            steps.push(ShardStep::Command(Command::LogStateChange(StateChange::AttemptBroken {
                 request: self.plan.request.key.clone(),
                 digest: self.plan.digest,
                 upstream: open.upstream.clone(),
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -185,7 +185,7 @@
             Command::ForgetConnections(address) => self.connections.forget(address),
             Command::SetTimer { timer, at } => self.timers.set(timer, at),
             Command::Count(counter) => self.telemetry.count(counter),
-            Command::Note(change) => self.telemetry.note(&change),
+            Command::LogStateChange(change) => self.telemetry.note(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
             Command::ReadRoster { known } => self.platform.read_roster(self, known),
