--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -86,7 +86,7 @@
         results: Vec<ResultHandle>,
     },
     /// Close all idle connections to the named upstream.
-    Distrust(String),
+    CloseIdleConnections(String),
     /// Close the idle connections to an address whose process has restarted.
     ForgetConnections(SocketAddr),
     /// Ask a witness to claim `key` for this process, or to write a tombstone for it.
--- a/crates/crocusdale_core/src/pipeline/attempt_ends.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_ends.rs
@@ -62,7 +62,7 @@
             steps.push(ShardStep::Suspect { digest, upstream, address });
         }
         if failure.is_distrusted() {
-            steps.push(ShardStep::Command(Command::Distrust(open.upstream)));
+            steps.push(ShardStep::Command(Command::CloseIdleConnections(open.upstream)));
         }
         let unrun = matches!(failure, FailedAttempt::NotSent | FailedAttempt::NotRun);
         let may_go_on = (may_repeat || unrun) && (!self.forwarded || resumable);
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -178,7 +178,7 @@
                 self.pieces.answer(attempt, outcome, wait);
             }
             Command::ReadDirectory => self.platform.read_directory(self),
-            Command::Distrust(upstream) => self.upstreams.distrust(&upstream),
+            Command::CloseIdleConnections(upstream) => self.upstreams.distrust(&upstream),
             Command::ProbeUpstream { upstream, address } => {
                 probe_upstream(self, upstream, address);
             }
