--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -88,7 +88,7 @@
     /// Close all idle connections to the named upstream.
     CloseIdleConnections(String),
     /// Close the idle connections to an address whose process has restarted.
-    ForgetConnections(SocketAddr),
+    CloseStaleConnections(SocketAddr),
     /// Ask a witness to claim `key` for this process, or to write a tombstone for it.
     Register {
         /// Caller's call that gets the witness's reply.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -128,7 +128,7 @@
         let (revision, current) = {
             let mut state = lock(&self.state.directory);
             let restarted = state.directory.take_restarted();
-            out.extend(restarted.into_iter().map(Command::ForgetConnections));
+            out.extend(restarted.into_iter().map(Command::CloseStaleConnections));
             let known = StorePosition::from(u64::from(state.directory.is_known()));
             (state.directory.changed().max(known), state.current())
         };
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -182,7 +182,7 @@
             Command::ProbeUpstream { upstream, address } => {
                 probe_upstream(self, upstream, address);
             }
-            Command::ForgetConnections(address) => self.connections.forget(address),
+            Command::CloseStaleConnections(address) => self.connections.forget(address),
             Command::SetTimer { timer, at } => self.timers.set(timer, at),
             Command::Count(counter) => self.telemetry.count(counter),
             Command::LogStateChange(change) => self.telemetry.note(&change),
