--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -32,7 +32,7 @@
     /// Proxy a caller's HTTP request to an upstream.
     Relay(RelayOrder),
     /// Stream the upstream's answer, which an attempt has held back so far, to the caller.
-    PassOn {
+    ReleaseAnswer {
         /// Caller's call that receives the answer.
         call: CallId,
         /// Attempt whose answer was held back.
--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
     /// The head of the answer to a forwarded request came, and for an answer that is no stream its
-    /// whole body; it waits for [`crate::daemon::Command::PassOn`].
+    /// whole body; it waits for [`crate::daemon::Command::ReleaseAnswer`].
     Headed(AnswerHead),
     /// The forwarded answer was passed on to its end.
     Passed,
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -137,6 +137,6 @@
 
     pub(super) fn pass_on(&mut self, attempt: AttemptId, steps: &mut Vec<ShardStep>) {
         self.forwarded = true;
-        steps.push(ShardStep::Command(Command::PassOn { call: self.call, attempt }));
+        steps.push(ShardStep::Command(Command::ReleaseAnswer { call: self.call, attempt }));
     }
 }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -254,7 +254,7 @@
                     self.freed.extend(results);
                     self.spared.extend(spared);
                 }
-                Command::PassOn { attempt, .. } => self.passed_on.push(attempt),
+                Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
                 Command::Reply { call, answer } => self.answers.push((call, answer)),
                 Command::ProbeUpstream { upstream, .. } => self.probes.push(upstream),
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -28,7 +28,7 @@
             }
             Command::Reply { call, answer } => self.replied(life, call, &answer),
             Command::Relay(order) => self.push(HOP, ModelEvent::Relay(order)),
-            Command::PassOn { attempt, .. } => {
+            Command::ReleaseAnswer { attempt, .. } => {
                 let event = DaemonEvent::Attempt { attempt, event: AttemptEvent::Flowing };
                 self.push_core(Duration::ZERO, life, event);
             }
