--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -70,7 +70,7 @@
         spared: Vec<SocketAddr>,
     },
     /// Ask a batched upstream how much of its memory for results is free.
-    AskRoom {
+    QueryFreeMemory {
         /// Name of the upstream.
         upstream: String,
         /// Address that the upstream listens on.
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -122,7 +122,7 @@
             DaemonEvent::UpstreamProbed { upstream, has_ended } => {
                 self.state.handle_probe_result(&upstream, has_ended, now, out);
             }
-            DaemonEvent::RoomTold { upstream, free } => {
+            DaemonEvent::FreeMemoryReported { upstream, free } => {
                 self.state.record_free_memory(&upstream, free, now, &mut steps, out);
             }
             fleet_event => self.fleet_event(fleet_event, now, out),
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -128,7 +128,7 @@
         results: Vec<ResultHandle>,
     },
     /// A batched upstream was asked how much of its memory for results is free.
-    RoomTold {
+    FreeMemoryReported {
         /// Name of the upstream.
         upstream: String,
         /// Free memory in bytes, or `None` if the upstream did not say.
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -220,7 +220,7 @@
                 }
                 DispatchStep::AskRoom { upstream, address } => {
                     out.push(Command::Count(CounterName::RoomQuestions));
-                    out.push(Command::AskRoom { upstream, address });
+                    out.push(Command::QueryFreeMemory { upstream, address });
                 }
             }
         }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -170,7 +170,7 @@
             Command::FreeResults { results, spared } => {
                 self.batches.free(self, &results, &spared);
             }
-            Command::AskRoom { upstream, address } => {
+            Command::QueryFreeMemory { upstream, address } => {
                 self.batches.ask_room(self, upstream, address);
             }
             Command::CancelPieces(attempt) => self.pieces.cancel(attempt),
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -65,7 +65,7 @@
         let engine = Arc::clone(engine);
         tokio::spawn(async move {
             let free = room_at(&engine, &upstream, address).await;
-            engine.feed(DaemonEvent::RoomTold { upstream, free });
+            engine.feed(DaemonEvent::FreeMemoryReported { upstream, free });
         });
     }
 
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -40,9 +40,9 @@
                 self.batches.values_mut().for_each(|upstream| upstream.cancel(life, batch));
             }
             Command::FreeResults { results, spared: _ } => self.free(&results),
-            Command::AskRoom { upstream, .. } => {
+            Command::QueryFreeMemory { upstream, .. } => {
                 let free = self.batches.get(&upstream).map(BatchModel::free_bytes);
-                self.push_core(HOP * 2, life, DaemonEvent::RoomTold { upstream, free });
+                self.push_core(HOP * 2, life, DaemonEvent::FreeMemoryReported { upstream, free });
             }
             command => self.carry_out_between(life, command),
         }
