--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -77,7 +77,7 @@
         address: SocketAddr,
     },
     /// Tell the dispatcher of `pool`, on another daemon, that results are no longer needed.
-    SendUnwanted {
+    ReleaseRemoteResults {
         /// VM of the dispatcher.
         vm: String,
         /// Pool whose upstreams hold the results.
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -110,7 +110,7 @@
             DaemonEvent::WaitTold { pool, wait } => {
                 lock(&self.state.pool_waits).note(&pool, wait, now);
             }
-            DaemonEvent::ResultsUnwanted { pool, results } => {
+            DaemonEvent::ResultsReleased { pool, results } => {
                 lock(&self.state.dispatcher).release(&pool, results);
             }
             DaemonEvent::BatchEnded { batch, outcome } => {
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -121,7 +121,7 @@
         pool: String,
     },
     /// Another daemon no longer needs results from a pool that this daemon dispatches.
-    ResultsUnwanted {
+    ResultsReleased {
         /// Pool whose upstreams hold the results.
         pool: String,
         /// Handles of the results to free.
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -90,7 +90,7 @@
         if vm == self.own_instance.vm {
             lock(&self.dispatcher).release(pool, results);
         } else {
-            out.push(Command::SendUnwanted { vm, pool: pool.to_owned(), results });
+            out.push(Command::ReleaseRemoteResults { vm, pool: pool.to_owned(), results });
         }
     }
 
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -201,7 +201,7 @@
             | Command::Exchange { .. }
             | Command::Greet { .. }
             | Command::SendPieces { .. }
-            | Command::SendUnwanted { .. }
+            | Command::ReleaseRemoteResults { .. }
             | Command::FetchDirectory { .. }
             | Command::FetchConfiguration { .. }) => self.peers.carry_out(self, command),
         }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -54,7 +54,7 @@
                 send_pieces(engine, vm, *order);
                 return;
             }
-            Command::SendUnwanted { vm, pool, results } => {
+            Command::ReleaseRemoteResults { vm, pool, results } => {
                 self.unwanted.send(engine, vm, pool, results);
                 return;
             }
--- a/crates/crocusdaled/src/peer/peer_server.rs
+++ b/crates/crocusdaled/src/peer/peer_server.rs
@@ -133,7 +133,7 @@
     ) -> Result<Response<FreeResultsReply>, Status> {
         for PoolResults { pool, results } in request.into_inner().pools {
             let results = results.iter().map(|text| ResultHandle::new(text)).collect();
-            self.engine.feed(DaemonEvent::ResultsUnwanted { pool, results });
+            self.engine.feed(DaemonEvent::ResultsReleased { pool, results });
         }
         Ok(Response::new(FreeResultsReply {}))
     }
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -82,9 +82,9 @@
                 };
                 self.push_core(HOP, to, DaemonEvent::Attempt { attempt, event });
             }
-            Command::SendUnwanted { vm, pool, results } => {
+            Command::ReleaseRemoteResults { vm, pool, results } => {
                 let to = self.daemons[daemon_index(&vm)].life;
-                self.push_core(HOP, to, DaemonEvent::ResultsUnwanted { pool, results });
+                self.push_core(HOP, to, DaemonEvent::ResultsReleased { pool, results });
             }
             Command::Greet { address, message } => {
                 let [_, _, high, low] = match address.ip() {
