--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -107,7 +107,7 @@
             DaemonEvent::PiecesWithdrawn { attempt, pool } => {
                 lock(&self.state.dispatcher).withdraw(attempt, &pool);
             }
-            DaemonEvent::WaitTold { pool, wait } => {
+            DaemonEvent::PoolWaitReported { pool, wait } => {
                 lock(&self.state.pool_waits).note(&pool, wait, now);
             }
             DaemonEvent::ResultsReleased { pool, results } => {
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -105,7 +105,7 @@
     /// No daemon answered a heartbeat at a seed address.
     GreetingFailed,
     /// A dispatcher reported the expected queueing time of its pool.
-    WaitTold {
+    PoolWaitReported {
         /// Name of the pool, or of one of its sections.
         pool: String,
         /// Expected queueing time of new items.
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -26,7 +26,7 @@
 fn late_requests_begin_once_there_is_room() {
     let mut daemon = Daemon::new();
     let wait = crowd(1_500);
-    daemon.feed(DaemonEvent::WaitTold { pool: "scan".to_owned(), wait });
+    daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     daemon.advance(700);
     assert!(daemon.batches.is_empty(), "the pool is still full");
@@ -44,7 +44,7 @@
 fn waiting_request_is_refused_before_its_deadline() {
     let mut daemon = Daemon::new();
     let wait = crowd(9_000);
-    daemon.feed(DaemonEvent::WaitTold { pool: "scan".to_owned(), wait });
+    daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::Overload))));
     assert!(daemon.batches.is_empty());
@@ -71,7 +71,7 @@
 fn waiting_request_of_a_caller_that_left_never_begins() {
     let mut daemon = Daemon::new();
     let wait = crowd(1_000);
-    daemon.feed(DaemonEvent::WaitTold { pool: "scan".to_owned(), wait });
+    daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     daemon.feed(DaemonEvent::Abandoned(call));
     daemon.advance(1_900);
--- a/crates/crocusdaled/src/peer/piece_client.rs
+++ b/crates/crocusdaled/src/peer/piece_client.rs
@@ -33,7 +33,7 @@
     let wait = reply.as_ref().map(read_pool_wait).unwrap_or_default();
     let retry_after = wait.retry_after();
     if reply.is_ok() {
-        engine.feed(DaemonEvent::WaitTold { pool: order.pool.clone(), wait });
+        engine.feed(DaemonEvent::PoolWaitReported { pool: order.pool.clone(), wait });
     }
     match reply.map(read_pieces_reply) {
         Ok(Ok(results)) => AttemptEvent::PiecesMade(results),
