--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -101,10 +101,10 @@
                 self.state.shard(call.0).holder_replied(call, reply, now, &mut steps);
             }
             DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
-            DaemonEvent::PiecesOffered(order) => {
+            DaemonEvent::PiecesReceived(order) => {
                 self.state.dispatch_pieces(*order, now, &mut steps, out);
             }
-            DaemonEvent::PiecesWithdrawn { attempt, pool } => {
+            DaemonEvent::PiecesCancelled { attempt, pool } => {
                 lock(&self.state.dispatcher).withdraw(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -112,9 +112,9 @@
         wait: PoolWait,
     },
     /// Another daemon sent the items of a batched step to this daemon as their dispatcher.
-    PiecesOffered(Box<PieceOrder>),
+    PiecesReceived(Box<PieceOrder>),
     /// Another daemon cancelled the items of a batched step.
-    PiecesWithdrawn {
+    PiecesCancelled {
         /// Attempt that the items belong to.
         attempt: AttemptId,
         /// Pool that the items are queued in.
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -62,13 +62,13 @@
                 }
                 self.offered.insert(attempt, offered);
                 let to = self.daemons[dispatcher].life;
-                self.push_core(HOP, to, DaemonEvent::PiecesOffered(order));
+                self.push_core(HOP, to, DaemonEvent::PiecesReceived(order));
             }
             Command::CancelPieces(attempt) => {
                 let Some(offered) = self.offered.remove(&attempt) else { return };
                 let to = self.daemons[offered.dispatcher].life;
                 let pool = offered.pool;
-                self.push_core(HOP, to, DaemonEvent::PiecesWithdrawn { attempt, pool });
+                self.push_core(HOP, to, DaemonEvent::PiecesCancelled { attempt, pool });
             }
             Command::AnswerPieces { attempt, outcome, wait } => {
                 let Some(offered) = self.offered.remove(&attempt) else { return };
