--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -199,7 +199,7 @@
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
             | Command::Exchange { .. }
-            | Command::Greet { .. }
+            | Command::ContactSeed { .. }
             | Command::SendPieces { .. }
             | Command::ReleaseRemoteResults { .. }
             | Command::FetchDirectory { .. }
