--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -216,7 +216,7 @@
     fn watch(&mut self, index: usize, known: u64) {
         self.count_read();
         if self.outage {
-            self.push(index, NEAR, Delivery::Event(DaemonEvent::ConfigurationUnread));
+            self.push(index, NEAR, Delivery::Event(DaemonEvent::ConfigurationWatchFailed));
         } else if known != self.published.0 {
             let event = DaemonEvent::ConfigurationWatched(Some(self.published.clone()));
             self.push(index, NEAR, Delivery::Event(event));
@@ -230,7 +230,7 @@
         self.count_read();
         let read = (known == 0).then(|| self.roster.clone());
         let event =
-            if self.outage { DaemonEvent::RosterUnread } else { DaemonEvent::RosterRead(read) };
+            if self.outage { DaemonEvent::RosterReadFailed } else { DaemonEvent::RosterRead(read) };
         self.push(index, NEAR, Delivery::Event(event));
     }
 
@@ -251,7 +251,7 @@
         });
         for index in waiting {
             let event = if self.outage {
-                DaemonEvent::ConfigurationUnread
+                DaemonEvent::ConfigurationWatchFailed
             } else {
                 DaemonEvent::ConfigurationWatched(Some(self.published.clone()))
             };
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -68,7 +68,7 @@
     /// The configuration service answered with a revision and its text; `None` without a change.
     ConfigurationWatched(Option<(u64, String)>),
     /// The configuration service did not answer.
-    ConfigurationUnread,
+    ConfigurationWatchFailed,
     /// The headers of an upstream's answer described the state of the upstream.
     UpstreamNoticed {
         /// Name of the upstream.
@@ -99,7 +99,7 @@
         configuration: Option<(u64, String)>,
     },
     /// A read of the platform's store failed.
-    DirectoryUnread,
+    DirectoryReadFailed,
     /// A peer's list of published upstreams was fetched; `None` if the fetch failed.
     DirectoryFetched(Option<PeerDirectory>),
     /// No daemon answered a heartbeat at a seed address.
@@ -144,7 +144,7 @@
     /// The VM list was read; `None` if it is unchanged.
     RosterRead(Option<VmRoster>),
     /// A read of the VM list failed.
-    RosterUnread,
+    RosterReadFailed,
     /// A model engine was asked which engine order it holds.
     PlacementRead {
         /// Name of the engine's upstream.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -40,7 +40,7 @@
                 drop(directory);
                 self.directory_read(changed, now, out);
             }
-            DaemonEvent::DirectoryUnread => lock(&self.state.directory).read_failed(now, out),
+            DaemonEvent::DirectoryReadFailed => lock(&self.state.directory).read_failed(now, out),
             DaemonEvent::DirectoryFetched(list) => {
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
                 let changed = lock(&self.state.directory).fetched(list, revision, now, out);
@@ -58,12 +58,12 @@
                 self.take_configuration(read, now, out);
                 lock(&self.state.fleet).watch_ended(revision, now, out);
             }
-            DaemonEvent::ConfigurationUnread => lock(&self.state.fleet).watch_failed(now, out),
+            DaemonEvent::ConfigurationWatchFailed => lock(&self.state.fleet).watch_failed(now, out),
             DaemonEvent::RosterRead(read) => {
                 self.take_roster(read, now, out);
                 lock(&self.state.fleet).await_roster(now, out);
             }
-            DaemonEvent::RosterUnread => {
+            DaemonEvent::RosterReadFailed => {
                 out.push(Command::Count(CounterName::PlatformReadsFailed));
                 lock(&self.state.fleet).await_roster(now, out);
             }
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -158,10 +158,10 @@
     daemon.advance(510);
     assert_eq!(daemon.readings.len(), 1, "a reading is under way");
     daemon.now = daemon.now + Duration::from_secs(3);
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.submit("/ask/it");
     assert!(daemon.relays.is_empty(), "sent by a list that is 3.5 s old");
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     assert_eq!(daemon.relays.len(), 1, "the reading that was begun awake failed too");
 }
 
@@ -214,7 +214,7 @@
     for _ in 0..5 {
         back = daemon.readings.pop().expect("a reading is under way");
         daemon.advance(900);
-        daemon.feed(DaemonEvent::DirectoryUnread);
+        daemon.feed(DaemonEvent::DirectoryReadFailed);
         while daemon.readings.is_empty() {
             daemon.advance(10);
         }
@@ -234,7 +234,7 @@
 #[test]
 fn two_failures_far_apart_are_no_outage() {
     let mut daemon = following_daemon();
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     let known = daemon.core.dump(daemon.now).directory_revision;
     for _ in 0..50 {
         daemon.advance(100);
@@ -242,7 +242,7 @@
     }
     assert!(daemon.readings.is_empty(), "the peer reads");
     daemon.advance(1_110);
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(300);
     daemon.publish(&["n2"], &[]);
     let known = daemon.core.published_upstreams(daemon.now).entries;
@@ -254,7 +254,7 @@
 #[test]
 fn failure_of_long_ago_does_not_lift_the_limit() {
     let mut daemon = following_daemon();
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     let known = daemon.core.dump(daemon.now).directory_revision;
     for _ in 0..50 {
         daemon.advance(100);
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -266,7 +266,7 @@
                 }
                 let (revision, entries) = self.published.clone();
                 let event = if self.turned_away.contains(&index) {
-                    DaemonEvent::DirectoryUnread
+                    DaemonEvent::DirectoryReadFailed
                 } else {
                     let configuration = Some((1, DECLARATIONS.to_owned()));
                     DaemonEvent::DirectoryRead {
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -65,7 +65,7 @@
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     assert!(count_of(&ask(&mut daemon, 10), "n1") > 0, "it is used");
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     notice(&mut daemon, "n1", LEAVING);
     let asked = ask(&mut daemon, 40);
     assert_eq!((count_of(&asked, "n1"), count_of(&asked, "n2")), (0, 40));
--- a/crates/crocusdale_core/tests/upstream_return_test.rs
+++ b/crates/crocusdale_core/tests/upstream_return_test.rs
@@ -21,9 +21,9 @@
 fn only_what_lapsed_before_the_return_is_waited_for() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2", "n3"], &[]);
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(1_000);
-    daemon.feed(DaemonEvent::DirectoryUnread);
+    daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(100);
     daemon.publish(&["n1", "n2"], &[]);
     assert_eq!(plain_upstreams(&daemon), ["n1", "n2", "n3"], "n3 may have lapsed");
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -62,9 +62,9 @@
                 Ok(Ok(Some(body))) => match serde_json::from_slice::<PublishedConfiguration>(&body)
                 {
                     Ok(read) => DaemonEvent::ConfigurationWatched(Some((read.revision, read.text))),
-                    Err(_) => DaemonEvent::ConfigurationUnread,
+                    Err(_) => DaemonEvent::ConfigurationWatchFailed,
                 },
-                Ok(Err(_)) | Err(_) => DaemonEvent::ConfigurationUnread,
+                Ok(Err(_)) | Err(_) => DaemonEvent::ConfigurationWatchFailed,
             };
             engine.feed(event);
         });
@@ -81,9 +81,9 @@
                 Ok(Ok(None)) => DaemonEvent::RosterRead(None),
                 Ok(Ok(Some(body))) => match serde_json::from_slice::<VmRoster>(&body) {
                     Ok(roster) => DaemonEvent::RosterRead(Some(roster)),
-                    Err(_) => DaemonEvent::RosterUnread,
+                    Err(_) => DaemonEvent::RosterReadFailed,
                 },
-                Ok(Err(_)) | Err(_) => DaemonEvent::RosterUnread,
+                Ok(Err(_)) | Err(_) => DaemonEvent::RosterReadFailed,
             };
             engine.feed(event);
         });
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -108,7 +108,7 @@
                 Ok(news) => DaemonEvent::ConfigurationWatched(news),
                 Err(fault) => {
                     reader.report(&engine, StoreCall::Watch, &fault);
-                    DaemonEvent::ConfigurationUnread
+                    DaemonEvent::ConfigurationWatchFailed
                 }
             };
             engine.feed(event);
@@ -123,7 +123,7 @@
                 Ok(read) => reader.directory_event(read, &engine),
                 Err(fault) => {
                     reader.report(&engine, StoreCall::Reading, &fault);
-                    DaemonEvent::DirectoryUnread
+                    DaemonEvent::DirectoryReadFailed
                 }
             };
             engine.feed(event);
