--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -169,14 +169,14 @@
         known: u64,
     },
     /// Ask a model engine which engine order it holds: model, version, adapter and role.
-    ReadPlacement {
+    ReadEngineOrder {
         /// Name of the engine's upstream.
         upstream: String,
         /// Address that the engine listens on.
         address: SocketAddr,
     },
     /// Tell a model engine which model, version, adapter and role to take.
-    GiveOrder {
+    SendEngineOrder {
         /// Name of the engine's upstream.
         upstream: String,
         /// Address that the engine listens on.
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -146,7 +146,7 @@
     /// A read of the VM list failed.
     RosterReadFailed,
     /// A model engine was asked which engine order it holds.
-    PlacementRead {
+    EngineOrderRead {
         /// Name of the engine's upstream.
         upstream: String,
         /// Engine order that it holds, or `None` if it did not answer with one.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -67,7 +67,7 @@
                 out.push(Command::Count(CounterName::PlatformReadsFailed));
                 lock(&self.state.fleet).await_roster(now, out);
             }
-            DaemonEvent::PlacementRead { upstream, held } => {
+            DaemonEvent::EngineOrderRead { upstream, held } => {
                 lock(&self.state.fleet).placement_read(upstream, held, out);
             }
             DaemonEvent::OrderAnswered { taken: true } => {}
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -372,7 +372,7 @@
             let keeper = OrderKeeper::new(&in_force.declarations, in_force.revision);
             for engine in keeper.kept(self.history.current(), &self.view) {
                 let (upstream, address) = (engine.name.clone(), engine.address);
-                out.push(Command::ReadPlacement { upstream, address });
+                out.push(Command::ReadEngineOrder { upstream, address });
             }
         }
         let pause = self.jittered(ORDER_PERIOD);
@@ -393,7 +393,7 @@
             OrderStep::Newer => out.push(Command::Count(CounterName::OrdersOutdated)),
             OrderStep::Give { address, order } => {
                 out.push(Command::Count(CounterName::OrdersGiven));
-                out.push(Command::GiveOrder { upstream, address, order });
+                out.push(Command::SendEngineOrder { upstream, address, order });
             }
         }
     }
--- a/crates/crocusdale_core/tests/engine_orders_test.rs
+++ b/crates/crocusdale_core/tests/engine_orders_test.rs
@@ -40,9 +40,9 @@
     let mut fleet = CoreFleet::new(3);
     fleet.declarations = declared("v1");
     fleet.restart(0);
-    let event = DaemonEvent::PlacementRead { upstream: "u1".into(), held: Some(held(9, "v2")) };
+    let event = DaemonEvent::EngineOrderRead { upstream: "u1".into(), held: Some(held(9, "v2")) };
     let mut commands = Vec::new();
     fleet.nodes[0].core.handle(event, fleet.now, &mut commands);
-    let gives = commands.iter().any(|command| matches!(command, Command::GiveOrder { .. }));
+    let gives = commands.iter().any(|command| matches!(command, Command::SendEngineOrder { .. }));
     assert!(!gives, "{commands:?}");
 }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -189,10 +189,10 @@
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
             Command::ReadRoster { known } => self.platform.read_roster(self, known),
-            Command::ReadPlacement { upstream, address } => {
+            Command::ReadEngineOrder { upstream, address } => {
                 self.upstreams.read_placement(self, upstream, address);
             }
-            Command::GiveOrder { upstream: _, address, order } => {
+            Command::SendEngineOrder { upstream: _, address, order } => {
                 self.upstreams.give_order(self, address, order);
             }
             command @ (Command::Register { .. }
--- a/crates/crocusdaled/src/upstream/engine_orders.rs
+++ b/crates/crocusdaled/src/upstream/engine_orders.rs
@@ -31,7 +31,7 @@
         tokio::spawn(async move {
             let body = call(address, Method::GET, Body::empty()).await;
             let held = body.and_then(|body| serde_json::from_slice(&body).ok());
-            engine.feed(DaemonEvent::PlacementRead { upstream, held });
+            engine.feed(DaemonEvent::EngineOrderRead { upstream, held });
         });
     }
 
