--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -128,7 +128,7 @@
         message: Box<ExchangeMessage>,
     },
     /// Exchange heartbeats with whichever daemon listens on a seed address.
-    ContactSeed {
+    PingSeed {
         /// Seed address, which may be stale.
         address: SocketAddr,
         /// Heartbeat of this daemon.
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -103,7 +103,7 @@
     /// A peer's list of published upstreams was fetched; `None` if the fetch failed.
     DirectoryFetched(Option<PeerDirectory>),
     /// No daemon answered a heartbeat at a seed address.
-    SeedContactFailed,
+    SeedPingFailed,
     /// A dispatcher reported the expected queueing time of its pool.
     PoolWaitReported {
         /// Name of the pool, or of one of its sections.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -30,7 +30,7 @@
                     lock(&self.state.fleet).directory_current = current;
                 }
             }
-            DaemonEvent::SeedContactFailed => lock(&self.state.fleet).greeting_failed(out),
+            DaemonEvent::SeedPingFailed => lock(&self.state.fleet).greeting_failed(out),
             DaemonEvent::DirectoryRead { position, entries, evacuations, cold, configuration } => {
                 // First, so that no list says that it is young with an older configuration in force.
                 self.take_configuration(configuration, now, out);
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -147,7 +147,7 @@
         let address = others[self.next_seed % others.len()];
         self.next_seed += 1;
         let message = Box::new(self.message_to("", now));
-        out.push(Command::ContactSeed { address, message });
+        out.push(Command::PingSeed { address, message });
         let alone = self.view.peer_count() == 0;
         let pause = if alone { SEED_PACE.0 } else { SEED_PACE.1 };
         let at = now + self.jittered(pause);
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -251,7 +251,7 @@
     fn carry_out(&mut self, index: usize, command: Command) {
         match command {
             Command::SetTimer { timer, at } => self.push(at, index, Delivery::Timer(timer)),
-            Command::ContactSeed { address, message } => {
+            Command::PingSeed { address, message } => {
                 let to = (0..self.cores.len()).find(|each| peer_address(*each) == address);
                 self.ask(index, to.expect("seeds are daemons"), message);
             }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -199,7 +199,7 @@
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
             | Command::Exchange { .. }
-            | Command::ContactSeed { .. }
+            | Command::PingSeed { .. }
             | Command::SendPieces { .. }
             | Command::ReleaseRemoteResults { .. }
             | Command::FetchDirectory { .. }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -64,9 +64,7 @@
         tokio::spawn(async move {
             match command {
                 Command::Exchange { vm, message } => exchange(&engine, vm, *message).await,
-                Command::ContactSeed { address, message } => {
-                    greet(&engine, address, *message).await
-                }
+                Command::PingSeed { address, message } => greet(&engine, address, *message).await,
                 Command::FetchDirectory { vm, known } => fetch_directory(&engine, &vm, known).await,
                 Command::FetchConfiguration { vm, known } => fetch(&engine, &vm, known).await,
                 Command::RecordOutcome { .. } => record(&engine, command).await,
@@ -128,7 +126,7 @@
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
     engine.feed(match message {
         Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
-        None => DaemonEvent::SeedContactFailed,
+        None => DaemonEvent::SeedPingFailed,
     });
 }
 
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -86,7 +86,7 @@
                 let to = self.daemons[daemon_index(&vm)].life;
                 self.push_core(HOP, to, DaemonEvent::ResultsReleased { pool, results });
             }
-            Command::ContactSeed { address, message } => {
+            Command::PingSeed { address, message } => {
                 let [_, _, high, low] = match address.ip() {
                     IpAddr::V4(ip) => ip.octets(),
                     IpAddr::V6(_) => [0; 4],
