--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -86,7 +86,7 @@
             DaemonEvent::Inquired { call, key, age } => {
                 self.state.inquire(call, key, age, now, out);
             }
-            DaemonEvent::Abandoned(call) => {
+            DaemonEvent::CallerDisconnected(call) => {
                 self.state.abandon_queued(call, &mut steps);
                 self.state.shard(call.0).abandon(call, now, &mut steps);
             }
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -30,7 +30,7 @@
         age: Option<Duration>,
     },
     /// A caller closed the connection of its call.
-    Abandoned(CallId),
+    CallerDisconnected(CallId),
     /// An upstream's connection made progress or failed.
     Attempt {
         /// Attempt that the connection belongs to.
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -139,7 +139,7 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let attempt = daemon.last_relay().attempt;
-    daemon.feed(DaemonEvent::Abandoned(call));
+    daemon.feed(DaemonEvent::CallerDisconnected(call));
     assert_eq!(daemon.cancelled, [attempt]);
 }
 
@@ -149,7 +149,7 @@
 fn order_that_runs_is_not_broken_off() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
-    daemon.feed(DaemonEvent::Abandoned(call));
+    daemon.feed(DaemonEvent::CallerDisconnected(call));
     assert!(daemon.cancelled.is_empty());
 }
 
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -73,7 +73,7 @@
     let wait = crowd(1_000);
     daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
-    daemon.feed(DaemonEvent::Abandoned(call));
+    daemon.feed(DaemonEvent::CallerDisconnected(call));
     daemon.advance(1_900);
     assert!(daemon.batches.is_empty());
 }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -119,7 +119,7 @@
     pub fn abandon_call(self: &Arc<Self>, call: CallId) {
         self.calls.close(call);
         self.relays.close(call);
-        self.feed(DaemonEvent::Abandoned(call));
+        self.feed(DaemonEvent::CallerDisconnected(call));
     }
 
     /// Gives an event to the core, and carries out what it answers.
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -347,7 +347,7 @@
         self.end(number, RequestEnd::Failed);
         if let Some((life, call)) = open {
             self.calls.remove(&(life, call));
-            self.feed(life, DaemonEvent::Abandoned(call));
+            self.feed(life, DaemonEvent::CallerDisconnected(call));
         }
     }
 
