--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -189,7 +189,7 @@
         let is_expired = is_too_old && !has_failed && !is_unanswered;
         if is_expired && !self.is_expired {
             let age_ms = self.age(now).map(whole_millis);
-            out.push(Command::Note(StateChange::DirectoryOverdue { age_ms }));
+            out.push(Command::LogStateChange(StateChange::DirectoryOverdue { age_ms }));
         }
         self.is_expired = is_expired;
         is_expired
@@ -319,7 +319,7 @@
         let started_at = pending_read.map_or(now, |pending_read| pending_read.started_at);
         self.last_failure = Some(FailedRead { started_at, failed_at: now });
         if self.consecutive_failures == 0 && self.directory.is_known() {
-            out.push(Command::Note(StateChange::PlatformLost));
+            out.push(Command::LogStateChange(StateChange::PlatformLost));
         }
         self.consecutive_failures += 1;
         let failing_since = *self.failing_since.get_or_insert(now);
@@ -429,7 +429,7 @@
         if let Some(reader) = reader {
             out.push(Command::Count(CounterName::DirectoryReadsForAge));
             let age_ms = self.age(now).map(whole_millis);
-            out.push(Command::Note(StateChange::DirectoryAged { age_ms, reader }));
+            out.push(Command::LogStateChange(StateChange::DirectoryAged { age_ms, reader }));
         }
         out.push(Command::ReadDirectory);
     }
@@ -465,7 +465,7 @@
     /// entries may have expired.
     fn record_success(&mut self, now: MonotonicTime, out: &mut Vec<Command>) -> bool {
         if self.consecutive_failures > 0 && self.last_success.is_some() {
-            out.push(Command::Note(StateChange::PlatformRegained));
+            out.push(Command::LogStateChange(StateChange::PlatformRegained));
         }
         let started_at = self.pending_read.take().map(|pending_read| pending_read.started_at);
         self.consecutive_failures = 0;
@@ -489,11 +489,11 @@
         let current = self.evacuated_zones();
         for zone in current.iter().filter(|zone| !previous.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
-            out.push(Command::Note(StateChange::ZoneEvacuated { zone, peer }));
+            out.push(Command::LogStateChange(StateChange::ZoneEvacuated { zone, peer }));
         }
         for zone in previous.iter().filter(|zone| !current.contains(zone)) {
             let (zone, peer) = (zone.clone(), peer.map(str::to_owned));
-            out.push(Command::Note(StateChange::ZoneOpened { zone, peer }));
+            out.push(Command::LogStateChange(StateChange::ZoneOpened { zone, peer }));
         }
     }
 
@@ -521,7 +521,7 @@
         for ColdUpstream { name: upstream, .. } in cold_upstreams {
             let until = self.directory.cold_until(&upstream);
             let left_ms = until.map_or(0, |until| whole_millis(until.since(now)));
-            out.push(Command::Note(StateChange::UpstreamCold { upstream, left_ms }));
+            out.push(Command::LogStateChange(StateChange::UpstreamCold { upstream, left_ms }));
         }
     }
 
@@ -534,7 +534,12 @@
         }
         let (peer, missing) = (peer.map(str::to_owned), self.directory.missing_count());
         out.push(Command::Count(CounterName::StoreRestores));
-        out.push(Command::Note(StateChange::StoreRestored { before, after, missing, peer }));
+        out.push(Command::LogStateChange(StateChange::StoreRestored {
+            before,
+            after,
+            missing,
+            peer,
+        }));
     }
 
     fn log_list_change(
@@ -549,7 +554,7 @@
             let upstreams = self.directory.staying().count();
             let age_ms = age.map(whole_millis);
             let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
-            out.push(Command::Note(change));
+            out.push(Command::LogStateChange(change));
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -31,7 +31,7 @@
                     lock(&self.state.fleet).directory_verified_at = verified_at;
                 }
             }
-            DaemonEvent::GreetingFailed => lock(&self.state.fleet).record_seed_failure(out),
+            DaemonEvent::SeedPingFailed => lock(&self.state.fleet).record_seed_failure(out),
             DaemonEvent::DirectoryRead { position, entries, evacuations, cold, configuration } => {
                 // Applied before the list, so that the list's age never counts as confirmed while
                 // an older configuration is in force.
@@ -43,7 +43,7 @@
                 drop(directory);
                 self.directory_read(changed, now, out);
             }
-            DaemonEvent::DirectoryUnread => {
+            DaemonEvent::DirectoryReadFailed => {
                 lock(&self.state.directory).record_read_failure(now, out)
             }
             DaemonEvent::DirectoryFetched(list) => {
@@ -63,18 +63,18 @@
                 self.apply_configuration(configuration, now, out);
                 lock(&self.state.fleet).finish_watch(revision, now, out);
             }
-            DaemonEvent::ConfigurationUnread => {
+            DaemonEvent::ConfigurationWatchFailed => {
                 lock(&self.state.fleet).record_watch_failure(now, out)
             }
             DaemonEvent::RosterRead(vm_list) => {
                 self.apply_vm_list(vm_list, now, out);
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
-            DaemonEvent::RosterUnread => {
+            DaemonEvent::RosterReadFailed => {
                 out.push(Command::Count(CounterName::PlatformReadsFailed));
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
-            DaemonEvent::PlacementRead { upstream, held } => {
+            DaemonEvent::EngineOrderRead { upstream, held } => {
                 lock(&self.state.fleet).reconcile_engine(upstream, held, out);
             }
             DaemonEvent::OrderAnswered { taken: true } => {}
@@ -137,7 +137,7 @@
         let (position, verified_at) = {
             let mut state = lock(&self.state.directory);
             let restarted = state.directory.take_restarted();
-            out.extend(restarted.into_iter().map(Command::ForgetConnections));
+            out.extend(restarted.into_iter().map(Command::CloseStaleConnections));
             let lowest_position = StorePosition::from(u64::from(state.directory.is_known()));
             (state.directory.changed().max(lowest_position), state.verified_at())
         };
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -158,7 +158,7 @@
         let address = other_seeds[self.next_seed % other_seeds.len()];
         self.next_seed += 1;
         let message = Box::new(self.heartbeat_for("", now));
-        out.push(Command::Greet { address, message });
+        out.push(Command::PingSeed { address, message });
         let is_isolated = self.view.peer_count() == 0;
         let pause = if is_isolated { SEED_INTERVALS.0 } else { SEED_INTERVALS.1 };
         let at = now + self.with_jitter(pause);
@@ -340,13 +340,13 @@
         match self.ledger.offer(revision, text) {
             LedgerVerdict::Accepted => {
                 out.push(Command::Count(CounterName::ConfigurationsAccepted));
-                out.push(Command::Note(StateChange::ConfigurationInForce { revision }));
+                out.push(Command::LogStateChange(StateChange::ConfigurationInForce { revision }));
             }
             LedgerVerdict::Rejected(errors) => {
                 out.push(Command::Count(CounterName::ConfigurationsRejected));
                 let error = errors.first().map(ToString::to_string).unwrap_or_default();
                 let errors = errors.len();
-                out.push(Command::Note(StateChange::ConfigurationRejected {
+                out.push(Command::LogStateChange(StateChange::ConfigurationRejected {
                     revision,
                     error,
                     errors,
@@ -354,7 +354,7 @@
             }
             LedgerVerdict::Conflict => {
                 out.push(Command::Count(CounterName::ConfigurationConflicts));
-                out.push(Command::Note(StateChange::ConfigurationConflict { revision }));
+                out.push(Command::LogStateChange(StateChange::ConfigurationConflict { revision }));
             }
             LedgerVerdict::AlreadyInForce
             | LedgerVerdict::Older
@@ -389,7 +389,7 @@
         let is_first_list = self.view.peer_count() == 0;
         self.view.take_roster(&current, now);
         let (revision, vms) = (current.revision, current.vms.len());
-        out.push(Command::Note(StateChange::RosterTaken { revision, vms }));
+        out.push(Command::LogStateChange(StateChange::RosterTaken { revision, vms }));
         if is_first_list {
             let partners = self.view.random_partners(ANNOUNCEMENT_FANOUT);
             self.exchange_with(partners, now, out);
@@ -412,7 +412,7 @@
             let reconciler = OrderReconciler::new(&in_force.declarations, in_force.revision);
             for engine in reconciler.managed_engines(self.history.current(), &self.view) {
                 let (upstream, address) = (engine.name.clone(), engine.address);
-                out.push(Command::ReadPlacement { upstream, address });
+                out.push(Command::ReadEngineOrder { upstream, address });
             }
         }
         let pause = self.with_jitter(ENGINE_POLL_INTERVAL);
@@ -436,7 +436,7 @@
             ReconcileAction::NewerHeld => out.push(Command::Count(CounterName::OrdersOutdated)),
             ReconcileAction::Send { address, order } => {
                 out.push(Command::Count(CounterName::OrdersGiven));
-                out.push(Command::GiveOrder { upstream, address, order });
+                out.push(Command::SendEngineOrder { upstream, address, order });
             }
         }
     }
@@ -524,7 +524,7 @@
         let current = self.view.status(vm);
         if let Some(status) = current.filter(|status| Some(*status) != previous) {
             let (vm, status) = (vm.to_owned(), status.to_string());
-            out.push(Command::Note(StateChange::PeerStatus { vm, status }));
+            out.push(Command::LogStateChange(StateChange::PeerStatus { vm, status }));
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -42,7 +42,7 @@
             lock(&self.dispatcher).stay_away(upstream, now + duration);
             let stay_away_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
-            out.push(Command::Note(StateChange::UpstreamAway { upstream, stay_away_ms }));
+            out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
         if let Some(left) = notice.cold {
             let cold_upstream = ColdUpstream { name: upstream.to_owned(), left };
@@ -69,7 +69,7 @@
                 lock(&self.directory).directory.record_leaving(&leaving_upstream.upstream, now);
             if is_routed || is_listed {
                 let upstream = leaving_upstream.upstream.clone();
-                out.push(Command::Note(StateChange::UpstreamLeaving { upstream }));
+                out.push(Command::LogStateChange(StateChange::UpstreamLeaving { upstream }));
             }
             has_changed |= is_routed || is_listed;
             has_list_changed |= is_listed;
--- a/crates/crocusdale_core/src/pipeline/attempt_ends.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_ends.rs
@@ -50,7 +50,7 @@
         branch.tried.push(open.upstream.clone());
         steps.push(count(failure.counter()));
         if let FailedAttempt::Broken(reason) = failure {
-            steps.push(ShardStep::Command(Command::Note(StateChange::AttemptBroken {
+            steps.push(ShardStep::Command(Command::LogStateChange(StateChange::AttemptBroken {
                 request: self.plan.request.key.clone(),
                 digest: self.plan.digest,
                 upstream: open.upstream.clone(),
@@ -62,7 +62,7 @@
             steps.push(ShardStep::Suspect { digest, upstream, address });
         }
         if failure.is_distrusted() {
-            steps.push(ShardStep::Command(Command::Distrust(open.upstream)));
+            steps.push(ShardStep::Command(Command::CloseIdleConnections(open.upstream)));
         }
         let unrun = matches!(failure, FailedAttempt::NotSent | FailedAttempt::NotRun);
         let may_go_on = (may_repeat || unrun) && (!self.forwarded || resumable);
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -251,7 +251,7 @@
     fn carry_out(&mut self, index: usize, command: Command) {
         match command {
             Command::SetTimer { timer, at } => self.push(at, index, Delivery::Timer(timer)),
-            Command::Greet { address, message } => {
+            Command::PingSeed { address, message } => {
                 let to = (0..self.cores.len()).find(|each| peer_address(*each) == address);
                 self.ask(index, to.expect("seeds are daemons"), message);
             }
@@ -266,7 +266,7 @@
                 }
                 let (revision, entries) = self.published.clone();
                 let event = if self.turned_away.contains(&index) {
-                    DaemonEvent::DirectoryUnread
+                    DaemonEvent::DirectoryReadFailed
                 } else {
                     let configuration = Some((1, DECLARATIONS.to_owned()));
                     DaemonEvent::DirectoryRead {
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -119,7 +119,7 @@
     pub fn abandon_call(self: &Arc<Self>, call: CallId) {
         self.calls.close(call);
         self.relays.close(call);
-        self.feed(DaemonEvent::Abandoned(call));
+        self.feed(DaemonEvent::CallerDisconnected(call));
     }
 
     /// Gives an event to the core, and carries out what it answers.
@@ -164,13 +164,13 @@
                 self.relays.cancel(attempt);
             }
             Command::Relay(order) => self.relays.send(self, order),
-            Command::PassOn { call: _, attempt } => self.relays.pass_on(attempt),
+            Command::ReleaseAnswer { call: _, attempt } => self.relays.pass_on(attempt),
             Command::CallBatch(order) => self.batches.call(self, order),
             Command::CancelBatch(batch) => self.batches.cancel(batch),
             Command::FreeResults { results, spared } => {
                 self.batches.free(self, &results, &spared);
             }
-            Command::AskRoom { upstream, address } => {
+            Command::QueryFreeMemory { upstream, address } => {
                 self.batches.ask_room(self, upstream, address);
             }
             Command::CancelPieces(attempt) => self.pieces.cancel(attempt),
@@ -178,30 +178,30 @@
                 self.pieces.answer(attempt, outcome, wait);
             }
             Command::ReadDirectory => self.platform.read_directory(self),
-            Command::Distrust(upstream) => self.upstreams.distrust(&upstream),
+            Command::CloseIdleConnections(upstream) => self.upstreams.distrust(&upstream),
             Command::ProbeUpstream { upstream, address } => {
                 probe_upstream(self, upstream, address);
             }
-            Command::ForgetConnections(address) => self.connections.forget(address),
+            Command::CloseStaleConnections(address) => self.connections.forget(address),
             Command::SetTimer { timer, at } => self.timers.set(timer, at),
             Command::Count(counter) => self.telemetry.count(counter),
-            Command::Note(change) => self.telemetry.note(&change),
+            Command::LogStateChange(change) => self.telemetry.note(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
             Command::ReadRoster { known } => self.platform.read_roster(self, known),
-            Command::ReadPlacement { upstream, address } => {
+            Command::ReadEngineOrder { upstream, address } => {
                 self.upstreams.read_placement(self, upstream, address);
             }
-            Command::GiveOrder { upstream: _, address, order } => {
+            Command::SendEngineOrder { upstream: _, address, order } => {
                 self.upstreams.give_order(self, address, order);
             }
             command @ (Command::Register { .. }
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
             | Command::Exchange { .. }
-            | Command::Greet { .. }
+            | Command::PingSeed { .. }
             | Command::SendPieces { .. }
-            | Command::SendUnwanted { .. }
+            | Command::ReleaseRemoteResults { .. }
             | Command::FetchDirectory { .. }
             | Command::FetchConfiguration { .. }) => self.peers.carry_out(self, command),
         }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -54,7 +54,7 @@
                 send_pieces(engine, vm, *order);
                 return;
             }
-            Command::SendUnwanted { vm, pool, results } => {
+            Command::ReleaseRemoteResults { vm, pool, results } => {
                 self.unwanted.send(engine, vm, pool, results);
                 return;
             }
@@ -64,7 +64,7 @@
         tokio::spawn(async move {
             match command {
                 Command::Exchange { vm, message } => exchange(&engine, vm, *message).await,
-                Command::Greet { address, message } => greet(&engine, address, *message).await,
+                Command::PingSeed { address, message } => greet(&engine, address, *message).await,
                 Command::FetchDirectory { vm, known } => fetch_directory(&engine, &vm, known).await,
                 Command::FetchConfiguration { vm, known } => fetch(&engine, &vm, known).await,
                 Command::RecordOutcome { .. } => record(&engine, command).await,
@@ -126,7 +126,7 @@
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
     engine.feed(match message {
         Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
-        None => DaemonEvent::GreetingFailed,
+        None => DaemonEvent::SeedPingFailed,
     });
 }
 
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -28,7 +28,7 @@
             }
             Command::Reply { call, answer } => self.replied(life, call, &answer),
             Command::Relay(order) => self.push(HOP, ModelEvent::Relay(order)),
-            Command::PassOn { attempt, .. } => {
+            Command::ReleaseAnswer { attempt, .. } => {
                 let event = DaemonEvent::Attempt { attempt, event: AttemptEvent::Flowing };
                 self.push_core(Duration::ZERO, life, event);
             }
@@ -40,9 +40,9 @@
                 self.batches.values_mut().for_each(|upstream| upstream.cancel(life, batch));
             }
             Command::FreeResults { results, spared: _ } => self.free(&results),
-            Command::AskRoom { upstream, .. } => {
+            Command::QueryFreeMemory { upstream, .. } => {
                 let free = self.batches.get(&upstream).map(BatchModel::free_bytes);
-                self.push_core(HOP * 2, life, DaemonEvent::RoomTold { upstream, free });
+                self.push_core(HOP * 2, life, DaemonEvent::FreeMemoryReported { upstream, free });
             }
             command => self.carry_out_between(life, command),
         }
@@ -62,19 +62,19 @@
                 }
                 self.offered.insert(attempt, offered);
                 let to = self.daemons[dispatcher].life;
-                self.push_core(HOP, to, DaemonEvent::PiecesOffered(order));
+                self.push_core(HOP, to, DaemonEvent::PiecesReceived(order));
             }
             Command::CancelPieces(attempt) => {
                 let Some(offered) = self.offered.remove(&attempt) else { return };
                 let to = self.daemons[offered.dispatcher].life;
                 let pool = offered.pool;
-                self.push_core(HOP, to, DaemonEvent::PiecesWithdrawn { attempt, pool });
+                self.push_core(HOP, to, DaemonEvent::PiecesCancelled { attempt, pool });
             }
             Command::AnswerPieces { attempt, outcome, wait } => {
                 let Some(offered) = self.offered.remove(&attempt) else { return };
                 let to = self.life_of(attempt);
                 let retry_after = wait.retry_after();
-                let told = DaemonEvent::WaitTold { pool: offered.pool, wait };
+                let told = DaemonEvent::PoolWaitReported { pool: offered.pool, wait };
                 self.push_core(HOP, to, told);
                 let event = match outcome {
                     Ok(results) => AttemptEvent::PiecesMade(results),
@@ -82,11 +82,11 @@
                 };
                 self.push_core(HOP, to, DaemonEvent::Attempt { attempt, event });
             }
-            Command::SendUnwanted { vm, pool, results } => {
+            Command::ReleaseRemoteResults { vm, pool, results } => {
                 let to = self.daemons[daemon_index(&vm)].life;
-                self.push_core(HOP, to, DaemonEvent::ResultsUnwanted { pool, results });
+                self.push_core(HOP, to, DaemonEvent::ResultsReleased { pool, results });
             }
-            Command::Greet { address, message } => {
+            Command::PingSeed { address, message } => {
                 let [_, _, high, low] = match address.ip() {
                     IpAddr::V4(ip) => ip.octets(),
                     IpAddr::V6(_) => [0; 4],
