--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -6,59 +6,61 @@
 use super::{PlacedResult, ResultHandle, StreamLine};
 use crate::identity::{AttemptId, MonotonicTime};
 
-/// One call of an upstream, to be carried out.
+/// One HTTP call of an upstream, for the engine to send.
 #[derive(Clone, Debug)]
 pub struct AttemptOrder {
-    /// Identity of the attempt, which the upstream echoes.
+    /// Identity of the attempt, which the upstream echoes in its answer.
     pub attempt: AttemptId,
     /// Name of the upstream.
     pub upstream: String,
-    /// Where it listens.
+    /// Socket address at which the upstream listens.
     pub address: SocketAddr,
-    /// Path to call.
+    /// HTTP path to call.
     pub path: String,
-    /// JSON body.
+    /// JSON request body.
     pub body: Vec<u8>,
-    /// Whether the answer is a stream of lines.
+    /// Whether the answer is a stream of lines rather than one JSON document.
     pub stream: bool,
-    /// Whether a connection of its own must be used: one from a pool may be closed just as the
-    /// call is written, and then nobody can tell whether it ran.
+    /// Whether the call needs a new connection. The peer can close a pooled connection just as the
+    /// call is written, and then it is unknown whether the call ran.
     pub fresh: bool,
-    /// Priority level, 0 is the most urgent.
+    /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Time after which the call must not be written any more.
+    /// Time after which the call must no longer be written.
     pub expires: MonotonicTime,
 }
 
-/// One pass of a caller's own request to an upstream.
+/// One forwarding of a caller's own HTTP request to an upstream.
 #[derive(Clone, Debug)]
 pub struct RelayOrder {
     /// Identity of the attempt.
     pub attempt: AttemptId,
     /// Name of the upstream.
     pub upstream: String,
-    /// Identity of its process; whoever else listens at its address must not run the request.
+    /// Identity of the upstream's process. Another process that listens at the same address must
+    /// not run the request.
     pub process: String,
-    /// Where it listens.
+    /// Socket address at which the upstream listens.
     pub address: SocketAddr,
-    /// Workspace of the caller, if it showed an access key.
+    /// Workspace of the caller, or `None` if it showed no access key.
     pub workspace: Option<String>,
-    /// Results of the batched steps that no other batched step needs.
+    /// Handles of the results that the upstream has to fetch: those of the batched steps that no
+    /// other batched step reads.
     pub inputs: Vec<ResultHandle>,
-    /// Priority level, 0 is the most urgent.
+    /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Whether a connection of its own must be used, see [`AttemptOrder::fresh`].
+    /// Whether the request needs a new connection, see [`AttemptOrder::fresh`].
     pub fresh: bool,
-    /// Idle connections that may be kept to the upstream.
+    /// Maximum number of idle connections that may be kept to the upstream.
     pub kept_connections: usize,
-    /// Deadline of the request, after which it must not be written any more.
+    /// Deadline of the request, after which it must no longer be written.
     pub expires: MonotonicTime,
-    /// Time after which it must not be written to this upstream any more, which may have left since
-    /// it was chosen.
+    /// Time after which the request must no longer be written to this upstream, because the
+    /// upstream may have left since it was chosen.
     pub write_by: MonotonicTime,
 }
 
-/// What the head of an upstream's answer says of a forwarded request.
+/// Head of an upstream's response to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// HTTP status.
@@ -68,66 +70,67 @@
 }
 
 impl AnswerHead {
-    /// Whether the answer is a success.
+    /// Whether the HTTP status is a success (2xx).
     #[must_use]
     pub fn is_success(self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Whether an upstream ran a forwarded request, by its own word.
+/// Whether an upstream ran a forwarded request, as its response states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum RunProof {
-    /// It ran, or may have.
+    /// The upstream ran the request, or may have run it.
     Ran,
-    /// It did not run: the upstream has no room, or no time.
+    /// The upstream did not run the request because it lacks capacity or time.
     Declined,
-    /// It did not run: another process listens at the address.
+    /// The request did not run because another process listens at the upstream's address.
     WrongProcess,
-    /// It did not run: a result that it needs no longer exists.
+    /// The upstream did not run the request because a result that it needs no longer exists.
     InputGone,
-    /// It did not run: the upstream found fault with the request itself.
+    /// The upstream did not run the request because the request itself is invalid.
     Malformed,
 }
 
-/// What an upstream did about an attempt.
+/// Progress or result of an attempt, as its upstream reported it.
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
-    /// The head of the answer to a forwarded request came, and for an answer that is no stream its
-    /// whole body; it waits for [`crate::daemon::Command::PassOn`].
+    /// The response head of a forwarded request arrived, together with the whole body unless the
+    /// response is a stream. The response is held until [`crate::daemon::Command::PassOn`].
     Headed(AnswerHead),
-    /// The forwarded answer was passed on to its end.
+    /// The response to a forwarded request was passed on to the caller in full.
     Passed,
-    /// The first event of a forwarded stream was passed on.
+    /// The first event of a forwarded stream was passed on to the caller.
     Flowing,
-    /// All pieces of a batched step have results.
+    /// All work items of a batched step have results.
     PiecesMade(Vec<PlacedResult>),
-    /// Pieces of a batched step have no results, and the dispatcher has given them up.
+    /// Work items of a batched step have no results, and the dispatcher no longer retries them.
     PiecesFailed {
-        /// Why.
+        /// Reason for the failure.
         fault: PieceFault,
-        /// Time after which the pool should have room again.
+        /// Time after which the pool is expected to have capacity again.
         retry_after: Duration,
     },
-    /// The dispatcher of pieces can't be reached, or has ended.
+    /// The daemon that dispatches the work items can't be reached, or has stopped. Holds its VM
+    /// name.
     DispatcherLost(String),
     /// No byte of the call was written.
     NotSent,
-    /// The head of an answer came, from the process `life`.
+    /// The response head arrived from the upstream process `life`.
     Greeted {
         /// Identity of the process behind the upstream.
         life: String,
-        /// Whether it says that it is leaving.
+        /// Whether the process announced that it is shutting down.
         leaving: bool,
     },
-    /// A line of a stream came.
+    /// One line of a streamed answer arrived.
     Line(StreamLine),
-    /// A whole answer came.
+    /// A whole answer that is not a stream arrived.
     Answered {
-        /// Attempt that the answer says it belongs to.
+        /// Attempt id that the answer carries, or `None` if it carries no readable one.
         echo: Option<AttemptId>,
-        /// The answer.
+        /// JSON of the answer.
         answer: Box<RawValue>,
     },
     /// The upstream answered with an error status.
@@ -135,42 +138,42 @@
         /// HTTP status.
         status: u16,
     },
-    /// The answer was cut, could not be read, or had a wrong end.
+    /// The answer was cut off, could not be read, or did not end properly.
     Broken(BreakReason),
 }
 
-/// Why an attempt has no whole answer.
+/// Why an attempt has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum BreakReason {
-    /// The connection ended before the answer did.
+    /// The connection was closed before the answer ended.
     Cut,
-    /// The answer could not be read.
+    /// The answer could not be parsed.
     Malformed,
     /// The answer carried the id of another attempt.
     Foreign,
-    /// Nothing came for longer than the stage may be silent.
+    /// No data arrived for longer than the stage's silence timeout.
     Silent,
-    /// The answer was larger than what is read.
+    /// The answer exceeded the size limit.
     TooLarge,
-    /// The caller was gone before the answer had ended.
+    /// The caller disconnected before the answer ended.
     Unwanted,
 }
 
-/// Why pieces of a batched step have no results.
+/// Why work items of a batched step have no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum PieceFault {
-    /// Their time was over before their turn came.
+    /// The time limit of the work items passed while they were still queued.
     Late,
-    /// A result that they need no longer exists.
+    /// An input result of the work items no longer exists.
     InputGone,
-    /// Upstreams failed them more often than the retry budget allows.
+    /// Upstreams failed the work items more often than the retry budget allows.
     Failed,
     /// The pool has no upstreams.
     NoUpstream,
-    /// Another daemon dispatches the pool now, and none of them was in a call.
+    /// Another daemon now dispatches the pool, and no work item had been sent in a call.
     Moved,
-    /// Upstreams ended under their request.
+    /// Upstreams crashed while they ran this request, so it is quarantined.
     Quarantined,
 }
--- a/crates/crocusdale_core/src/pipeline/attempt_ends.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_ends.rs
@@ -1,4 +1,4 @@
-//! How attempts of a request end without an answer.
+//! How attempts of a request end without an answer, and which of them are retried.
 
 use super::branch_run::{FailedAttempt, OpenAttempt};
 use super::request_run::{REMAKES, count, set_timer};
@@ -9,9 +9,9 @@
 use crate::routing::AttemptReport;
 
 impl RequestRun {
-    /// Checks an attempt for silence.
+    /// Cancels an attempt whose upstream has sent no data for the stage's silence timeout.
     ///
-    /// Guards against connections that went silent for good while their hosts answer new ones:
+    /// Guards against connections that stay silent for good while their hosts accept new ones:
     /// progress is expected of the attempt itself, not of the host.
     pub fn silence_check(
         &mut self,
--- a/crates/crocusdale_core/src/pipeline/branch_run.rs
+++ b/crates/crocusdale_core/src/pipeline/branch_run.rs
@@ -7,24 +7,27 @@
 use crate::daemon::CounterName;
 use crate::identity::{AttemptId, MonotonicTime};
 
-/// One step of a request that has begun.
+/// One started step of a request.
 #[derive(Debug)]
 pub(super) struct BranchRun {
-    /// Position of the step in the plan.
+    /// Position of the step in the pipeline's plan.
     pub(super) step: usize,
     pub(super) stage: String,
-    /// Section of the pool that has its pieces made, or the stage.
+    /// Configuration section of the pool that runs the step's work items; for other steps, the
+    /// stage name.
     pub(super) section: String,
     pub(super) work: StepWork,
     pub(super) since: MonotonicTime,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub(super) attempts: u32,
-    /// Upstreams, or dispatchers, that failed it.
+    /// Names of the upstreams, or of the VMs of dispatchers, that failed the step.
     pub(super) tried: Vec<String>,
-    /// Times that its pieces were handed to another dispatcher without having been in a call.
+    /// Number of times that the work items were handed to another dispatcher before any call
+    /// contained them.
     pub(super) moves: u32,
     pub(super) open: Option<OpenAttempt>,
-    /// Attempt whose failure is kept back, to be passed on if no other attempt can be made.
+    /// Attempt whose error response is held back. It is passed on to the caller if no other attempt
+    /// can be made.
     pub(super) held: Option<AttemptId>,
     pub(super) answer: Option<BranchAnswer>,
 }
@@ -34,30 +37,30 @@
 pub(super) struct OpenAttempt {
     pub(super) id: AttemptId,
     pub(super) upstream: String,
-    /// Where the upstream listens, if this daemon calls it itself.
+    /// Socket address of the upstream; `None` unless this daemon calls the upstream itself.
     pub(super) address: Option<SocketAddr>,
     pub(super) sent: MonotonicTime,
     pub(super) progress: MonotonicTime,
     pub(super) role: AttemptRole,
 }
 
-/// What an attempt is of.
+/// What kind of call an attempt makes.
 #[derive(Debug)]
 pub(super) enum AttemptRole {
-    /// A JSON call.
+    /// A JSON call of a stage, with the assembler for a streamed answer.
     Json(StreamAssembler),
-    /// Pieces with a dispatcher.
+    /// Work items that were handed to a dispatcher.
     Pieces,
-    /// The caller's own request.
+    /// The caller's own request, forwarded to an upstream.
     Forward,
 }
 
-/// Answer of a step.
+/// Output of a finished step.
 #[derive(Clone, Debug)]
 pub(super) enum BranchAnswer {
     Json(Box<RawValue>),
     Results(Vec<PlacedResult>),
-    /// The caller has it already.
+    /// The response was forwarded to the caller and is not kept.
     Passed,
 }
 
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Whether the branch waits for an upstream of the router.
+    /// Whether the step waits for the router to assign an upstream.
     pub(super) fn is_waiting(&self) -> bool {
         self.open.is_none() && self.answer.is_none()
     }
@@ -89,7 +92,7 @@
 }
 
 impl OpenAttempt {
-    /// Whether the attempt has a place at an upstream of the router.
+    /// Whether the attempt holds a concurrency slot of an upstream in the router.
     pub(super) fn has_slot(&self) -> bool {
         !matches!(self.role, AttemptRole::Pieces)
     }
@@ -100,7 +103,7 @@
 pub(super) enum FailedAttempt {
     NotSent,
     Declined,
-    /// The upstream said that it did not run the forwarded request.
+    /// The upstream stated that it did not run the forwarded request.
     NotRun,
     Broken(BreakReason),
     Pieces(PieceFault),
@@ -119,12 +122,12 @@
         }
     }
 
-    /// Whether the upstream may have ended under the attempt.
+    /// Whether the failure may mean that the upstream crashed during the attempt.
     pub(super) fn is_suspicious(self) -> bool {
         matches!(self, Self::Broken(BreakReason::Cut))
     }
 
-    /// Whether idle connections to the upstream may be as bad as this one was.
+    /// Whether idle connections to the upstream may be as broken as the one that this attempt used.
     pub(super) fn is_distrusted(self) -> bool {
         matches!(self, Self::Broken(_))
     }
--- a/crates/crocusdale_core/src/pipeline/run_evidence.rs
+++ b/crates/crocusdale_core/src/pipeline/run_evidence.rs
@@ -1,20 +1,20 @@
 use super::OutcomeKind;
 
-/// What is known of the attempts of one request.
+/// Number of attempts of one request that ran or may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunEvidence {
-    /// Attempts of which at least a byte may have been written.
+    /// Attempts of which at least one byte may have been written to an upstream.
     pub sent: u32,
-    /// Attempts that certainly ran: they were answered, if only with an error.
+    /// Attempts that certainly ran, because the upstream answered them, even if only with an error.
     pub ran: u32,
 }
 
 impl RunEvidence {
-    /// What may be said of a request that gets no answer.
+    /// Outcome of a request that gets no answer.
     ///
-    /// "Unknown" is said only where neither "not run" nor "it ran" can be proved. For a request
-    /// that must not be repeated, one attempt without a reply is enough for "unknown": whether
-    /// that attempt ran is what the caller has to know.
+    /// The outcome is "unknown" only if neither "refused" (not run) nor "failed" (ran) can be
+    /// proved. If the request is not `repeatable`, one attempt without a reply is enough for
+    /// "unknown", because the caller has to know whether exactly that attempt ran.
     #[must_use]
     pub fn verdict(self, repeatable: bool) -> OutcomeKind {
         debug_assert!(self.ran <= self.sent);
