--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -7,77 +7,81 @@
 use crate::configuration::LabelSet;
 use crate::identity::{RequestDigest, RequestKey};
 
-/// Longest workspace name or key, in bytes.
+/// Maximum length of a workspace name or of an idempotency key, in bytes.
 pub const KEY_LIMIT: usize = 128;
 
-/// A request as its caller sends it, in JSON.
+/// JSON body of a request, as the caller submits it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmittedRequest {
     /// Workspace of the request.
     pub workspace: String,
-    /// Key, chosen by the caller.
+    /// Idempotency key, chosen by the caller.
     pub key: String,
-    /// Labels for selectors.
+    /// Labels that the selectors of rules and pipelines match.
     #[serde(default)]
     pub labels: LabelSet,
-    /// Deadline, in milliseconds from now.
+    /// Deadline, in milliseconds from the arrival of the request.
     pub deadline_ms: u64,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the last stage's stream is passed on as it comes.
+    /// Whether the last stage's stream is passed on to the caller as it arrives.
     #[serde(default)]
     pub stream: bool,
-    /// Time since the caller first sent this key, in milliseconds by its own clock; 0 for a first
-    /// sending. A request that must not repeat is not run once its key could have been forgotten.
+    /// Time since the caller first sent this key, in milliseconds by the caller's own clock; 0 for
+    /// a first sending. A request that must run at most once is refused when its key may already
+    /// have been forgotten.
     #[serde(default)]
     pub age_ms: u64,
-    /// Ticket of the daemon that the request is sent to, if the caller has one.
+    /// Ticket from the daemon that receives the request, if the caller has one. It proves the key's
+    /// age by that daemon's clock.
     #[serde(default)]
     pub ticket: Option<String>,
-    /// What the stages work on.
+    /// JSON input of the stages.
     pub payload: Box<RawValue>,
 }
 
-/// A request that could be read.
+/// A request that was parsed and validated.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Workspace and key.
+    /// Workspace and idempotency key.
     pub key: RequestKey,
-    /// Labels for selectors.
+    /// Labels that the selectors of rules and pipelines match.
     pub labels: LabelSet,
-    /// Time within which the caller wants the answer.
+    /// Time from the arrival of the request within which the caller wants the answer.
     pub deadline: Duration,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the last stage's stream is passed on as it comes.
+    /// Whether the last stage's stream is passed on to the caller as it arrives.
     pub stream: bool,
     /// Time since the caller first sent this key.
     pub age: Duration,
-    /// Ticket of this daemon.
+    /// Ticket that this daemon issued for the key, if the caller sent one.
     pub ticket: Option<String>,
-    /// What the stages work on.
+    /// Input of the stages.
     pub content: RequestContent,
 }
 
-/// What the stages of a request work on.
+/// Input of a request's stages.
 #[derive(Clone, Debug)]
 pub enum RequestContent {
-    /// JSON, which each stage gets.
+    /// JSON input, which every stage receives.
     Json(Box<RawValue>),
-    /// A request that is passed through as it came; only its head is known here.
+    /// HTTP request that is forwarded unchanged; the core knows only its head.
     Forward(Box<ForwardHead>),
 }
 
 impl CallerRequest {
-    /// Sets the digest of what is passed through, once its body has been read.
+    /// Sets the content digest of a forwarded request, once its body has been read. A JSON request
+    /// stays as it is.
     pub fn set_content(&mut self, content: RequestDigest) {
         if let RequestContent::Forward(head) = &mut self.content {
             head.content = content;
         }
     }
 
-    /// What the request has in common with its repeats, if it is sent by the workspace `workspace`.
+    /// Digest that repeats of this request share if `workspace` sends them. It leaves out the
+    /// idempotency key.
     #[must_use]
     pub fn digest(&self, workspace: &str) -> RequestDigest {
         match &self.content {
@@ -96,7 +100,7 @@
         }
     }
 
-    /// The head of a request that is passed through.
+    /// The head of a forwarded request, or `None` for a JSON request.
     #[must_use]
     pub fn forward(&self) -> Option<&ForwardHead> {
         match &self.content {
--- a/crates/crocusdale_core/src/pipeline/forward_head.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_head.rs
@@ -3,73 +3,75 @@
 
 use crate::identity::RequestDigest;
 
-/// What the core knows of a request that is passed through; its body never enters the core.
+/// Head of a forwarded HTTP request. The body never enters the core.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardHead {
-    /// Host that the caller named.
+    /// Host that the caller addressed.
     pub host: String,
-    /// Path, without its query.
+    /// URL path without the query.
     pub path: String,
-    /// Digest of method, path, query and body.
+    /// Digest of the HTTP method, path, query and body.
     pub content: RequestDigest,
-    /// Access key of the caller.
+    /// Access key of the caller, if the request carries one.
     pub access: Option<String>,
-    /// Pieces of each batched step, in the order of the pipeline's steps; 0 leaves a step out.
+    /// Number of work items for each step of the pipeline, by position; 0 skips a batched step.
     pub pieces: Vec<u32>,
-    /// What upstreams make the first results from.
+    /// Reference to the caller's input, from which upstreams compute the results of the first
+    /// batched steps.
     pub piece_source: String,
-    /// What the request asks of a model engine.
+    /// Tokens that the request needs from a model engine; `None` if the request does not say.
     pub demand: Option<Arc<EngineDemand>>,
 }
 
-/// What a request asks of a model engine.
+/// Tokens that a request needs from a model engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineDemand {
-    /// Parts of the prompt in order; the last one belongs to this request alone.
+    /// Prompt segments in order. The last segment belongs to this request alone; the others can be
+    /// shared with other requests through an engine's prefix cache.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Tokens that may be generated.
+    /// Maximum number of tokens that may be generated.
     pub output_tokens: u64,
 }
 
 impl EngineDemand {
-    /// The last part that other requests may share, by which requests with the same parts find
-    /// the same engine.
+    /// The last prompt segment that other requests may share. Requests with the same segment are
+    /// routed to the same engine, whose prefix cache holds it.
     #[must_use]
     pub fn subject(&self) -> Option<&PromptPart> {
         let shared = self.parts.len().checked_sub(1)?;
         self.parts[..shared].last()
     }
 
-    /// Parts that other requests may share.
+    /// The prompt segments that other requests may share: all but the last.
     #[must_use]
     pub fn shared(&self) -> &[PromptPart] {
         &self.parts[..self.parts.len().saturating_sub(1)]
     }
 }
 
-/// One part of a prompt.
+/// One segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part; equal parts have equal ones.
+    /// Identity of the segment; segments with equal content have equal ids.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length of the segment, in tokens.
     pub tokens: u32,
 }
 
-/// Where the result of one piece lies, as the upstream that made it named it.
+/// Location of a work item's result, in the notation of the upstream that stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ResultHandle(Arc<str>);
 
 impl ResultHandle {
-    /// The handle that an upstream gave.
+    /// Wraps the handle text that an upstream returned.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// The handle as text.
+    /// The handle text as the upstream returned it.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -9,56 +9,58 @@
 };
 use crate::identity::{MonotonicTime, RequestDigest, RequestKey};
 
-/// Time that a forwarded request takes to its answer before anything was learned of its pool.
+/// Expected time to first response of a forwarded request, before any was measured in its pool.
 const FIRST_ANSWER: Duration = Duration::from_millis(250);
-/// Largest deadline that is counted, so that sums of times can't overflow.
+/// Upper bound on a request's deadline, which keeps sums of times from overflowing.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// A request with all that the declarations say about it.
+/// A request with the configuration that applies to it.
 #[derive(Clone, Debug)]
 pub struct RequestPlan {
-    /// The request.
+    /// The parsed request.
     pub request: CallerRequest,
-    /// What it has in common with its repeats.
+    /// Digest that repeats of the request share, whatever their idempotency keys.
     pub digest: RequestDigest,
-    /// Declarations that it runs under to its end.
+    /// Configuration that was in force when the request arrived; it applies until the request ends.
     pub declarations: Arc<Declarations>,
-    /// Its pipeline.
+    /// Rules of the pipeline that serves the request. For a forwarded request, its pool is already
+    /// selected.
     pub pipeline: PipelineRules,
-    /// Labels of the request and of its workspace.
+    /// Labels of the request together with those of its workspace.
     pub labels: LabelSet,
-    /// Priority level, 0 is the most urgent.
+    /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// When the request was read.
+    /// Time at which the request arrived.
     pub arrived: MonotonicTime,
-    /// Time by which the answer, or the first event of a stream, should come.
+    /// Time by which the answer, or the first event of a stream, should be sent.
     pub objective: MonotonicTime,
-    /// Time after which nothing is dispatched for it.
+    /// Time after which nothing is dispatched for the request.
     pub deadline: MonotonicTime,
-    /// Time until which its witnesses remember its key.
+    /// Time until which the witnesses surely remember the key.
     pub provable_until: MonotonicTime,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether witnesses keep its key. A forwarded request is bound to the one daemon that read
-    /// it: its caller names each try anew.
+    /// Whether the key must be claimed at witnesses. A forwarded request is never claimed: its
+    /// caller gives every try a new identity, so only the daemon that received it can run it.
     pub claimed: bool,
-    /// Whether its workspace sends much more than it usually does.
+    /// Whether the workspace sends far more than it usually does.
     pub is_flood: bool,
-    /// Its place under the limits.
+    /// Admission permit, which counts the request against the concurrency limits until it is
+    /// released.
     pub permit: AdmissionPermit,
-    /// Regions in which it may be worked on.
+    /// Regions in which upstreams may process the request.
     pub homes: HomeRegions,
-    /// Time that each step should take beyond [`Self::step_time`], as the pools were loaded when the
-    /// request began.
+    /// Expected queueing delay of each step on top of [`Self::step_time`], by position, from the
+    /// load of the pools when the request started. Missing entries count as zero.
     pub delays: Vec<Duration>,
 }
 
 impl RequestPlan {
-    /// Applies `declarations` to `request`.
+    /// Applies the configuration `declarations` to `request`.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if the declarations don't allow the request.
+    /// Returns the refusal if the configuration does not allow the request.
     pub fn make(
         request: CallerRequest,
         declarations: &Arc<Declarations>,
@@ -166,36 +168,37 @@
         })
     }
 
-    /// Rules of `stage`, which the check of the declarations proved to exist.
+    /// Rules of `stage`. Validation of the configuration guarantees that every stage of a pipeline
+    /// is declared.
     ///
     /// # Panics
     ///
-    /// Panics if `stage` is not a stage of this plan's declarations.
+    /// Panics if `stage` is not declared in this plan's configuration.
     #[must_use]
     pub fn stage(&self, stage: &str) -> &StageRules {
         self.declarations.stage(stage).expect("a checked pipeline names declared stages")
     }
 
-    /// What holds if the request is passed through.
+    /// Forwarding rules of the pipeline, or `None` if it serves JSON requests.
     #[must_use]
     pub fn forward(&self) -> Option<&ForwardRules> {
         self.pipeline.forward.as_ref()
     }
 
-    /// Number of pieces of the batched step at `position`.
+    /// Number of work items of the batched step at `position`; 1 if the request does not say.
     #[must_use]
     pub fn pieces(&self, position: usize) -> u32 {
         let pieces = self.request.forward().and_then(|head| head.pieces.get(position));
         pieces.copied().unwrap_or(1)
     }
 
-    /// Time that `step` should take if nothing waits.
+    /// Expected duration of `step` without queueing.
     #[must_use]
     pub fn step_time(&self, position: usize, step: &PlanStep) -> Duration {
         match (step.work, self.stage(&step.stage).kind) {
             (StepWork::Batched { .. }, PoolKind::Batch(rules)) => match self.pieces(position) {
                 0 => Duration::ZERO,
-                // A call is shared: on the whole it is half full.
+                // Work items share calls, which are half full on average.
                 pieces => rules.expected(pieces.max(rules.pieces / 2)),
             },
             (StepWork::Forward, PoolKind::Engine(_)) => FIRST_ANSWER,
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Time by which the step at `position` has to end for the request to be answered at all.
+    /// Latest time at which the step at `position` can end for the request to meet its deadline.
     #[must_use]
     pub fn latest(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
@@ -211,8 +214,9 @@
         MonotonicTime::from_start(self.deadline.since_start().saturating_sub(after))
     }
 
-    /// Time by which the step at `position` should end for the request to meet its objective, if the
-    /// steps after it are delayed as [`Self::delays`] says.
+    /// Time by which the step at `position` should end for the request to meet its latency
+    /// objective, if the later steps take their expected time and the queueing delay in
+    /// [`Self::delays`].
     #[must_use]
     pub fn due(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
@@ -234,7 +238,8 @@
     Err(Box::new(refusal.reason(reason).detail(detail)))
 }
 
-/// Draws the pool of a request by the shares of the pools; the same request draws the same one.
+/// Selects the pool of a request by the weights of the pools. The same request always gets the same
+/// pool.
 fn draw_pool<'a>(forward: &'a ForwardRules, key: &RequestKey) -> &'a str {
     let total: u64 = forward.pools.iter().map(|pool| u64::from(pool.weight)).sum();
     let mut left = key.stable_hash() % total.max(1);
