--- a/crates/crocusdale_core/src/claims/mod.rs
+++ b/crates/crocusdale_core/src/claims/mod.rs
@@ -1,8 +1,9 @@
-//! At most one run per key, and honest answers about it.
+//! At-most-once execution of requests by idempotency key, and proof of whether a key ran.
 //!
-//! Three witnesses each keep a write-once register per key, in memory. A daemon dispatches a not
-//! repeatable request only with claims in two of them. "Not run" is said only by one who knows of
-//! two registers that can never become claims of a daemon that runs.
+//! Three witness daemons each keep a write-once register per key, in memory. A daemon dispatches a
+//! request that must run at most once only while two of these registers hold its claim. "Not run"
+//! is answered only if two registers are known that can never become claims of a daemon that runs
+//! the key.
 
 mod register_shard;
 mod witness_poll;
--- a/crates/crocusdale_core/src/claims/register_shard.rs
+++ b/crates/crocusdale_core/src/claims/register_shard.rs
@@ -5,40 +5,41 @@
 
 use crate::identity::{InstanceId, MonotonicTime, RequestKey};
 
-/// Registers that one shard keeps at most; beyond that it abstains.
+/// Maximum number of registers in one shard. A full shard abstains from further keys.
 const REGISTERS_LIMIT: usize = 65_536;
-/// Largest outcome that a register keeps, in bytes.
+/// Maximum size of an outcome that a register stores, in bytes. Larger outcomes are not stored.
 const OUTCOME_LIMIT: usize = 16_384;
 
-/// Lives of a key for which its register is kept. One life is what the promise needs; the rest is
-/// for callers that ask late, and against a holder that was paused before it was.
+/// Multiple of the key lifetime for which a register is kept. One lifetime is enough for
+/// at-most-once execution. The rest serves callers that ask late, and protects against a claim
+/// holder whose process was paused in between.
 const REGISTER_LIVES: u32 = 8;
 
-/// What a register holds.
+/// Content of a register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RegisterState {
-    /// The right of one process life to run the key.
+    /// Permission for one process incarnation to run the key.
     Claimed {
-        /// That process life.
+        /// Process incarnation that claimed the key.
         holder: InstanceId,
-        /// JSON of the outcome, once the holder has left it.
+        /// JSON of the outcome; `None` until the holder has recorded it.
         outcome: Option<Vec<u8>>,
     },
-    /// Nobody who asks after the tombstone can claim the key here.
+    /// Tombstone: no later claim of the key succeeds at this witness.
     Buried,
 }
 
-/// What a witness answers.
+/// Reply of a witness.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterReply {
-    /// What the register holds after the call.
+    /// Content of the register after the call.
     Holds(RegisterState),
-    /// The witness doesn't take part for that long.
+    /// The witness does not take part in votes for this time.
     Abstains(Duration),
 }
 
-/// The registers of one shard of one witness.
+/// Registers of one shard at one witness.
 #[derive(Debug, Default)]
 pub struct RegisterShard {
     registers: HashMap<RequestKey, RegisterState>,
@@ -52,13 +53,13 @@
         self.registers.len()
     }
 
-    /// Whether there are no registers.
+    /// Whether the shard has no registers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.registers.is_empty()
     }
 
-    /// Number of registers with an outcome.
+    /// Number of registers that store an outcome.
     #[must_use]
     pub fn outcome_count(&self) -> usize {
         let outcome = |state: &&RegisterState| {
@@ -67,7 +68,7 @@
         self.registers.values().filter(outcome).count()
     }
 
-    /// Writes a claim of `claimant` unless the register is taken.
+    /// Writes a claim of `claimant` unless the register is already written. Returns the content.
     pub fn claim(
         &mut self,
         key: &RequestKey,
@@ -79,7 +80,7 @@
         self.write(key, claim, now, key_life)
     }
 
-    /// Writes a tombstone unless the register is taken.
+    /// Writes a tombstone unless the register is already written. Returns the content.
     pub fn bury(
         &mut self,
         key: &RequestKey,
@@ -89,13 +90,13 @@
         self.write(key, RegisterState::Buried, now, key_life)
     }
 
-    /// Keeps the outcome of a key that `reporter` claimed.
+    /// Stores the outcome of a key that `reporter` claimed.
     ///
-    /// Guards against a claim that never got here: the reporter had two others and ran the key, and
-    /// with no register to write to, its outcome would be lost on this witness for good. A caller
-    /// that lost the reporter and another witness would then be told "unknown" of an order that was
-    /// answered. An outcome is a claim as well, by one that held a quorum, so it may be written
-    /// where nothing is; what is written already stays.
+    /// Guards against a claim that never reached this witness. The reporter had claims at the two
+    /// other witnesses and ran the key. Without a register to write to, this witness would never
+    /// learn the outcome, and a caller that lost both the reporter and another witness would be
+    /// told "unknown" about a request that was answered. The holder of a quorum also counts as a
+    /// claimant here, so its outcome may be written to an empty register. Existing content is kept.
     pub fn record(
         &mut self,
         key: &RequestKey,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Registers are write-once: a claim that was answered can never be taken back, which is what
-    /// two quorums that meet rely on.
+    /// Writes `state` to an empty register. Registers are write-once: a claim that was confirmed
+    /// can't be revoked, which the intersection of two quorums relies on.
     fn write(
         &mut self,
         key: &RequestKey,
--- a/crates/crocusdale_core/src/claims/witness_poll.rs
+++ b/crates/crocusdale_core/src/claims/witness_poll.rs
@@ -7,30 +7,30 @@
 /// Whether a daemon may run a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Two registers hold its claim.
+    /// A quorum of two registers holds the daemon's claim.
     Granted,
-    /// Two registers can no longer be had.
+    /// The daemon can no longer get a quorum of two registers.
     Impossible,
-    /// Replies are still missing.
+    /// Replies of witnesses are missing that could still decide the claim.
     Pending,
 }
 
-/// What the witnesses prove about a key.
+/// What the replies of the witnesses prove about a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
-    /// Nobody has run it and nobody will.
+    /// The key never ran and never will.
     NotRun,
-    /// It ended so.
+    /// The request ended. Holds the JSON of its outcome.
     Known(Vec<u8>),
-    /// Its holder must be asked.
+    /// The claim holder has to be asked for the outcome.
     AskHolder(InstanceId),
-    /// Nothing can be proved.
+    /// The replies prove nothing about the key.
     Unknown,
-    /// Replies are still missing.
+    /// Replies of witnesses are missing that could still prove something.
     Pending,
 }
 
-/// Replies of a key's witnesses to one asker.
+/// Replies of a key's witnesses to one daemon.
 #[derive(Clone, Debug)]
 pub struct WitnessPoll {
     own: InstanceId,
@@ -47,20 +47,21 @@
 }
 
 impl WitnessPoll {
-    /// Asks `witnesses` on behalf of `own`.
+    /// Starts a poll of `witnesses` by the process incarnation `own`, without any replies.
     #[must_use]
     pub fn new(own: InstanceId, witnesses: WitnessSet) -> Self {
         let ballots = vec![Ballot::Pending; witnesses.vms().len()];
         Self { own, witnesses, ballots }
     }
 
-    /// The witnesses that are asked.
+    /// The witnesses that are polled.
     #[must_use]
     pub fn witnesses(&self) -> &WitnessSet {
         &self.witnesses
     }
 
-    /// Takes the reply of `vm`, `None` if none came. What a register was once seen to hold stays.
+    /// Records the reply of the witness `vm`; `None` if no reply came. Register content that was
+    /// seen once is never overwritten by a missing reply or an abstention.
     pub fn take(&mut self, vm: &str, reply: Option<RegisterReply>) {
         let Some(index) = self.witnesses.vms().iter().position(|each| each == vm) else { return };
         let ballot = match reply {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Asks again those whose register is not known; returns them.
+    /// Marks the witnesses whose register content is not known as pending again and returns their
+    /// VM names.
     pub fn ask_again(&mut self) -> Vec<String> {
         let mut asked = Vec::new();
         for (ballot, vm) in self.ballots.iter_mut().zip(self.witnesses.vms()) {
@@ -85,7 +87,7 @@
         asked
     }
 
-    /// Gives up on replies that are still missing.
+    /// Marks missing replies as lost.
     pub fn close(&mut self) {
         for ballot in &mut self.ballots {
             if *ballot == Ballot::Pending {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Whether the asker may run the key.
+    /// Whether the polling daemon may run the key.
     #[must_use]
     pub fn claim_verdict(&self) -> ClaimVerdict {
         let own = self.count(|ballot| self.is_own(ballot));
@@ -108,10 +110,10 @@
         }
     }
 
-    /// What is proved about the key, by an asker that has not run it and never will.
+    /// What is proved about the key, if the polling daemon has not run it and never will.
     ///
-    /// Two registers that hold a tombstone or the claim of one who never runs leave one register
-    /// at most to anybody else, and nobody runs with one.
+    /// Two registers that hold a tombstone or this daemon's own unused claim leave at most one
+    /// register to any other daemon, and one register is not enough to run the key.
     #[must_use]
     pub fn key_verdict(&self) -> KeyVerdict {
         let dead = self
@@ -135,7 +137,7 @@
         holder.map_or(KeyVerdict::Unknown, KeyVerdict::AskHolder)
     }
 
-    /// Longest time that a witness said it abstains.
+    /// Longest time for which a witness said that it abstains; `None` if no witness abstained.
     #[must_use]
     pub fn abstention(&self) -> Option<Duration> {
         let waits = self.ballots.iter().filter_map(|ballot| match ballot {
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -1,4 +1,5 @@
-//! Requests that must not repeat: their keys are claimed at witnesses, and asked for afterwards.
+//! Requests that must run at most once: their keys are claimed at witnesses, and their outcomes can
+//! be looked up later.
 
 use std::time::Duration;
 
@@ -12,15 +13,16 @@
 use crate::identity::{CallId, MonotonicTime, RequestKey};
 use crate::membership::WitnessSet;
 
-/// Time that the witnesses have to answer a claim before the key is given up.
+/// How long witnesses may take to answer a claim before the key is abandoned.
 const CLAIM_PATIENCE: Duration = Duration::from_millis(400);
-/// Time that an inquiry may take, once nobody waits for a run any more.
+/// How long an outcome lookup may take before it answers with what is known.
 const INQUIRY_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Pause before the holder of a key is asked again.
+/// Interval at which a lookup asks the claim holder of a running request for the outcome.
 const HOLDER_PACE: Duration = Duration::from_millis(50);
 
 impl RequestShard {
-    /// Begins a not repeatable request: nothing is dispatched before its key is claimed.
+    /// Starts a request that must run at most once. Nothing is dispatched before its key is
+    /// claimed.
     pub fn start_claimed(
         &mut self,
         call: CallId,
@@ -40,8 +42,8 @@
         self.runs.insert(call, ActiveRun { run, poll, witnesses: None, followers });
     }
 
-    /// Finds out what became of `key`, which this daemon will not run; with `refusal`, the caller
-    /// wanted it run and is told so if it never ran anywhere.
+    /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
+    /// the key never ran anywhere; `None` if the caller asked only for the outcome.
     pub fn inquire(
         &mut self,
         call: CallId,
@@ -63,7 +65,7 @@
         steps
     }
 
-    /// Takes the reply of a witness, `None` if none came.
+    /// Handles the reply of a witness; `None` if no reply came.
     pub fn register_replied(
         &mut self,
         call: CallId,
@@ -84,7 +86,8 @@
         self.claim_step(call, now, steps);
     }
 
-    /// Takes the reply of the holder of a key, `None` if it can't be reached.
+    /// Handles the reply of the daemon that holds the claim of a key; `None` if it can't be
+    /// reached.
     pub fn holder_replied(
         &mut self,
         call: CallId,
@@ -120,8 +123,11 @@
         }
     }
 
-    /// The key can't be claimed: from here on this process life never runs it, so its own claims
-    /// count as tombstones, and the other registers are buried to prove that nobody will.
+    /// Abandons a key that can't be claimed.
+    ///
+    /// This process incarnation never runs the key from here on, so its own claims count as
+    /// tombstones. It writes tombstones to the other registers to prove that no daemon will run the
+    /// key.
     pub(super) fn give_up_claim(
         &mut self,
         call: CallId,
@@ -186,7 +192,8 @@
         steps: &mut Vec<ShardStep>,
     ) {
         if let Some(inquiry) = self.inquiries.remove(&call) {
-            // "Not run" may rest on claims of this process life: they must never be used again.
+            // The refusal may count claims of this process incarnation as proof that the key never
+            // ran, so the key must never be claimed here again.
             if answer.kind == OutcomeKind::Refused {
                 self.keys.end(inquiry.key, None, inquiry.key_life, now);
             }
@@ -194,10 +201,12 @@
         }
     }
 
-    /// Takes out the inquiries about `key`; their callers will get the outcome of its run.
+    /// Removes the lookups of `key` and returns their calls, which then receive the outcome of the
+    /// new run.
     ///
-    /// Guards against an inquiry that meets the claims of a run of this same life. It would count
-    /// them as claims of one who never runs, and say "not run" of what is running.
+    /// Guards against a lookup that reads the claims of a run of this same process incarnation. The
+    /// lookup would count them as claims that never run, and answer "not run" while the request is
+    /// running.
     pub(super) fn take_inquiries(&mut self, key: &RequestKey) -> Vec<CallId> {
         let about = self.inquiries.iter().filter(|(_, inquiry)| inquiry.key == *key);
         let calls: Vec<CallId> = about.map(|(call, _)| *call).collect();
--- a/crates/crocusdale_core/src/pipeline/key_inquiry.rs
+++ b/crates/crocusdale_core/src/pipeline/key_inquiry.rs
@@ -4,49 +4,50 @@
 use crate::claims::{KeyVerdict, WitnessPoll};
 use crate::identity::{InstanceId, MonotonicTime, RequestKey};
 
-/// What the holder of a claim answers.
+/// What the daemon that holds a claim replies about its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderReply {
-    /// That life of the process is over, or never held the key.
+    /// The process incarnation that claimed the key has ended, or does not know the key.
     Gone,
-    /// The request still runs.
+    /// The request is still running.
     Running,
-    /// It ended so.
+    /// The request ended. Holds the JSON of its outcome.
     Finished(Vec<u8>),
 }
 
-/// Finds out, on behalf of one caller, what became of a key that this daemon will not run.
+/// Lookup of a key's outcome on behalf of one caller. This daemon will not run the key.
 #[derive(Debug)]
 pub struct KeyInquiry {
-    /// The key.
+    /// Workspace and idempotency key that are looked up.
     pub key: RequestKey,
-    /// Replies of its witnesses.
+    /// Replies of the key's witnesses.
     pub poll: WitnessPoll,
-    /// Time at which the caller is told what is known by then.
+    /// Time at which the caller gets what is known by then.
     pub until: MonotonicTime,
-    /// How long keys are remembered under the declarations that the inquiry began with.
+    /// How long keys are remembered, under the configuration in force when the lookup started.
     pub key_life: Duration,
-    /// Time until which the witnesses remember the key; later, an empty register proves nothing.
+    /// Time until which the witnesses surely remember the key. Later, an empty register no longer
+    /// proves that the key never ran.
     pub provable_until: MonotonicTime,
-    /// Refusal to give if the key never ran; without one, the caller asked for the outcome.
+    /// Refusal to return if the key never ran; `None` if the caller asked only for the outcome.
     pub refusal: Option<Box<FinalOutcome>>,
-    /// Holder that is being asked.
+    /// Claim holder that is being asked; `None` before the witnesses named one.
     pub holder: Option<InstanceId>,
 }
 
-/// What an inquiry does next.
+/// Next action of an outcome lookup.
 #[derive(Debug)]
 pub enum InquiryStep {
-    /// Wait for more replies.
+    /// Wait for more replies of witnesses or of the claim holder.
     Wait,
-    /// Ask the holder.
+    /// Ask the claim holder for the outcome.
     AskHolder(InstanceId),
-    /// Tell the caller.
+    /// Answer the caller.
     Answer(FinalAnswer),
 }
 
 impl KeyInquiry {
-    /// Decides on the replies of the witnesses so far.
+    /// Chooses the next action from the witness replies received so far.
     #[must_use]
     pub fn next_step(&mut self, now: MonotonicTime) -> InquiryStep {
         if self.holder.is_some() {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes the reply of the holder; `None` if it can't be reached.
+    /// Handles the reply of the claim holder; `None` if it can't be reached.
     #[must_use]
     pub fn take_holder(&mut self, reply: Option<HolderReply>) -> InquiryStep {
         match reply {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Answers with what is known when the time is over.
+    /// Answers with what is known when the lookup times out.
     #[must_use]
     pub fn give_up(&mut self, now: MonotonicTime) -> FinalAnswer {
         self.poll.close();
@@ -88,8 +89,11 @@
         }
     }
 
-    /// Guards against a witness that has forgotten a key which ran: its register is empty, takes a
-    /// tombstone, and would prove "not run". Within the life of the key no register is forgotten.
+    /// Answers that the key never ran.
+    ///
+    /// Guards against a witness that has forgotten a key that did run: its empty register accepts a
+    /// tombstone, which would count as proof of "not run". No register is forgotten within the
+    /// key's lifetime, so after that time the answer is "unknown".
     fn not_run(&mut self, now: MonotonicTime) -> FinalAnswer {
         if now >= self.provable_until {
             let outcome = FinalOutcome::new(OutcomeKind::Unknown, &self.key);
@@ -103,7 +107,7 @@
             )
         };
         let mut outcome = self.refusal.take().unwrap_or_else(plain);
-        // The key is dead at its witnesses, so it must not be sent again.
+        // The registers of the key hold tombstones, so the same key can never run.
         outcome.same_key = Some(false);
         outcome.retry_after_ms.get_or_insert(0);
         FinalAnswer::from(*outcome)
--- a/crates/crocusdale_core/src/pipeline/key_memory.rs
+++ b/crates/crocusdale_core/src/pipeline/key_memory.rs
@@ -4,52 +4,53 @@
 use super::FinalAnswer;
 use crate::identity::{CallId, MonotonicTime, RequestKey};
 
-/// Lives of a key for which its outcome is remembered; longer than any register.
+/// Multiple of the key lifetime for which the outcome of a key is kept; longer than the retention
+/// of any witness register.
 const MEMORY_LIVES: u32 = 10;
-/// Keys that one shard remembers at most.
+/// Maximum number of keys in the table of one shard.
 const MEMORY_LIMIT: usize = 65_536;
 
-/// What this process life has done with the keys of requests that must not repeat.
+/// State of the keys that this process incarnation handled for requests that must run at most once.
 #[derive(Debug, Default)]
 pub(super) struct KeyMemory {
     uses: HashMap<RequestKey, KeyUse>,
-    /// When each key that no longer runs may be forgotten.
+    /// Time at which each key that no longer runs may be removed.
     expiries: BTreeSet<(MonotonicTime, RequestKey)>,
 }
 
-/// What this process life has done with one key.
+/// State of one key in this process incarnation.
 #[derive(Clone, Debug)]
 pub(super) enum KeyUse {
-    /// It is claimed, or runs, for that call.
+    /// The key is being claimed or is running, on behalf of this call.
     Running(CallId),
-    /// It never ran here and was given up: it must not be claimed again.
+    /// The key never ran here and was abandoned, so it must not be claimed again.
     GivenUp,
-    /// It ended so.
+    /// The request ended with this answer.
     Finished(FinalAnswer),
 }
 
 impl KeyMemory {
-    /// Number of keys.
+    /// Number of keys in the table.
     pub(super) fn len(&self) -> usize {
         self.uses.len()
     }
 
-    /// Whether another key can be remembered.
+    /// Whether the table can hold another key.
     pub(super) fn has_room(&self) -> bool {
         self.uses.len() < MEMORY_LIMIT
     }
 
-    /// What was done with `key`.
+    /// State of `key`, or `None` if the table has no entry for it.
     pub(super) fn get(&self, key: &RequestKey) -> Option<&KeyUse> {
         self.uses.get(key)
     }
 
-    /// Remembers that `key` runs for `call`.
+    /// Marks `key` as running on behalf of `call`.
     pub(super) fn begin(&mut self, key: RequestKey, call: CallId) {
         self.uses.insert(key, KeyUse::Running(call));
     }
 
-    /// Remembers that `key` was given up or, with `answer`, how it ended.
+    /// Marks `key` as finished with `answer`, or as abandoned if `answer` is `None`.
     pub(super) fn end(
         &mut self,
         key: RequestKey,
@@ -61,8 +62,10 @@
         self.uses.insert(key, answer.map_or(KeyUse::GivenUp, KeyUse::Finished));
     }
 
-    /// Forgets keys whose registers are gone everywhere. None is forgotten earlier to save memory:
-    /// this process life would then run a key again for which its old claims still stand.
+    /// Removes keys whose registers have expired at all witnesses.
+    ///
+    /// No key is removed earlier to save memory: this process incarnation would then run a key
+    /// again while its old claims still stand at the witnesses.
     pub(super) fn forget(&mut self, now: MonotonicTime) {
         while self.expiries.first().is_some_and(|(until, _)| *until <= now) {
             let Some((_, key)) = self.expiries.pop_first() else { break };
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -12,7 +12,7 @@
 use crate::membership::WitnessSet;
 use crate::routing::{AttemptReport, SlotGrant};
 
-/// Requests whose keys hash to one shard.
+/// State of the requests whose keys hash to one shard.
 #[derive(Debug)]
 pub struct RequestShard {
     pub(super) own: InstanceId,
@@ -24,43 +24,45 @@
 #[derive(Debug)]
 pub(super) struct ActiveRun {
     pub(super) run: RequestRun,
-    /// Present until the key is claimed.
+    /// Replies of the witnesses to the claim; `None` once the key is claimed, or if it needs no
+    /// claim.
     pub(super) poll: Option<WitnessPoll>,
-    /// Witnesses that hold the claim, to leave the outcome with.
+    /// Witnesses that hold the claim and receive the outcome; `None` until the key is claimed.
     pub(super) witnesses: Option<WitnessSet>,
     /// Other calls that wait for the same outcome.
     pub(super) followers: Vec<CallId>,
 }
 
-/// What an inquiry may prove, and until when.
+/// Retention times under which an outcome lookup may prove that a key never ran.
 #[derive(Clone, Copy, Debug)]
 pub struct InquiryBasis {
     /// How long keys are remembered.
     pub key_life: Duration,
-    /// Time until which the witnesses remember the key.
+    /// Time until which the witnesses surely remember the key.
     pub provable_until: MonotonicTime,
 }
 
 impl RequestShard {
-    /// A shard of the process life `own`.
+    /// Creates an empty shard of the process incarnation `own`.
     #[must_use]
     pub fn new(own: InstanceId) -> Self {
         Self { own, runs: HashMap::new(), inquiries: HashMap::new(), keys: KeyMemory::default() }
     }
 
-    /// Number of requests that run or are being resolved.
+    /// Number of running requests and outcome lookups.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.runs.len() + self.inquiries.len()
     }
 
-    /// Number of keys of not repeatable requests that are remembered.
+    /// Number of keys in the table of requests that must run at most once.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Answers `call` from what is known of `key` here; `false` if nothing is.
+    /// Answers `call` with the outcome of `key` if the key ran here, or attaches it to the running
+    /// request. Returns `false` if this shard has no run of the key.
     pub fn join(
         &mut self,
         call: CallId,
@@ -85,19 +87,19 @@
         }
     }
 
-    /// Whether another key can be remembered.
+    /// Whether the key table can hold another key.
     #[must_use]
     pub fn has_memory(&self) -> bool {
         self.keys.has_room()
     }
 
-    /// Whether this process life has given up `key` and must not claim it again.
+    /// Whether this process incarnation has abandoned `key` and must not claim it again.
     #[must_use]
     pub fn has_given_up(&self, key: &RequestKey) -> bool {
         matches!(self.keys.get(key), Some(KeyUse::GivenUp))
     }
 
-    /// Begins a request whose key no witness keeps.
+    /// Starts a request whose key needs no claim.
     pub fn start(
         &mut self,
         call: CallId,
@@ -113,7 +115,7 @@
         self.runs.insert(call, active);
     }
 
-    /// Takes an upstream that was found for a branch.
+    /// Handles the upstream that the router assigned to a step.
     pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         let call = grant.request.call;
         match self.runs.get_mut(&call) {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// No upstream can be had for a branch of `call`.
+    /// Handles the router's refusal to assign an upstream to a step of `call`.
     pub fn denied(
         &mut self,
         call: CallId,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Takes what an upstream did about an attempt.
+    /// Handles an event of an attempt.
     pub fn attempt_event(
         &mut self,
         id: AttemptId,
@@ -159,7 +161,7 @@
         }
     }
 
-    /// A timer of this shard is due.
+    /// Handles an expired timer of this shard.
     pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         match timer {
             TimerKey::Deadline(call) => {
@@ -198,8 +200,9 @@
         }
     }
 
-    /// The caller is gone: repeatable work is given up, what it held is freed; a not repeatable
-    /// request goes on, and its outcome can be asked for.
+    /// Handles the disconnect of a caller. A run that may be repeated is cancelled and its
+    /// resources are freed; a run that must happen at most once continues, and its outcome can be
+    /// looked up.
     pub fn abandon(&mut self, call: CallId, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         let ends = self.runs.get(&call).is_some_and(|active| !active.run.outlives_caller());
         if ends {
@@ -208,7 +211,8 @@
         }
     }
 
-    /// Ends the runs that are like `digest`, which is quarantined for `left`, and have not been sent on.
+    /// Ends the runs with the digest `digest`, which is quarantined for the time `left`, unless an
+    /// attempt was already sent to an upstream.
     pub fn end_quarantined(
         &mut self,
         digest: RequestDigest,
@@ -226,14 +230,15 @@
         }
     }
 
-    /// The pieces of `attempt` are made by `section` of their pool.
+    /// Records that `section` of the pool runs the work items of `attempt`.
     pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
         if let Some(active) = self.runs.get_mut(&attempt.call) {
             active.run.note_section(attempt, section);
         }
     }
 
-    /// No upstream is given the request of `call`, for a reason that holds for the time beside it.
+    /// Handles a refusal to assign an upstream to `call`, with the reason and the time for which
+    /// the reason holds.
     pub fn denied_for(
         &mut self,
         call: CallId,
@@ -244,7 +249,7 @@
         self.settle_run(call, now, steps, |run, steps| run.denied_for(why, now, steps));
     }
 
-    /// Ends every run.
+    /// Ends every run with `reason`.
     pub fn end_all(
         &mut self,
         reason: RefusalReason,
@@ -257,7 +262,7 @@
         }
     }
 
-    /// Answers another daemon that asks what became of `key` here.
+    /// Reply to another daemon that asks for the outcome of `key`.
     #[must_use]
     pub fn holder_reply(&self, key: &RequestKey) -> HolderReply {
         match self.keys.get(key) {
@@ -277,7 +282,7 @@
         self.settle_run(call, now, steps, |run, steps| Some(run.end(reason, now, steps)));
     }
 
-    /// Has the run of `call` settled by `settle`, or gives up its key if that is not claimed yet.
+    /// Ends the run of `call` through `settle`, or abandons its key if the key is not claimed yet.
     fn settle_run(
         &mut self,
         call: CallId,
--- a/crates/crocusdale_core/src/pipeline/shard_step.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_step.rs
@@ -7,98 +7,98 @@
 use crate::pipeline::{PieceOrder, RefusalReason, ResultHandle};
 use crate::routing::{AttemptReport, SlotRequest};
 
-/// What a shard of requests asks of the other parts of the core.
+/// Action that a request shard asks the rest of the core to carry out.
 #[derive(Debug)]
 pub enum ShardStep {
-    /// Hand a command out.
+    /// Emit a command to the engine.
     Command(Command),
-    /// Find an upstream, or let the request wait.
+    /// Ask the router for an upstream. The request waits in its queue if none is free.
     Acquire(SlotRequest),
-    /// Find another upstream, if the retry budget allows it.
+    /// Ask the router for another upstream, if the retry budget allows it.
     Retry {
-        /// The attempt.
+        /// Slot request of the new attempt.
         request: SlotRequest,
-        /// Why the one before failed.
+        /// Why the previous attempt failed.
         reason: RefusalReason,
     },
-    /// The request no longer waits.
+    /// Remove a request for an upstream from the router's queue.
     Withdraw(SlotRequest),
-    /// An attempt ended.
+    /// Release the upstream slot of an attempt that ended.
     Release {
-        /// Upstream of the attempt.
+        /// Name of the attempt's upstream.
         upstream: String,
         /// Call that the attempt served.
         call: CallId,
-        /// How it ended.
+        /// How the attempt ended.
         report: AttemptReport,
     },
-    /// Have the pieces of a batched step made; a dispatcher that failed them before is left out.
+    /// Submit the work items of a batched step to a dispatcher that has not failed them before.
     OfferPieces {
-        /// The pieces.
+        /// Work items to submit.
         order: Box<PieceOrder>,
-        /// Dispatchers that were tried.
+        /// VM names of the dispatchers that already failed the work items.
         tried: Vec<String>,
-        /// The forwarded step that will need the results in the end.
+        /// Slot request of the forwarded step that will fetch the results, if they are large.
         target: Option<Box<SlotRequest>>,
     },
-    /// Pieces are no longer wanted.
+    /// Cancel work items that are no longer needed.
     WithdrawPieces {
-        /// Attempt that they were for.
+        /// Attempt that the work items belong to.
         attempt: AttemptId,
-        /// Their pool.
+        /// Configuration section of the pool that runs the work items.
         pool: String,
     },
-    /// Results are no longer wanted.
+    /// Free results that are no longer needed.
     FreeResults {
-        /// Pool whose upstreams made them.
+        /// Configuration section of the pool whose upstreams store the results.
         pool: String,
-        /// The results.
+        /// Handles of the results.
         results: Vec<ResultHandle>,
     },
-    /// A forwarded request has got the first event of its answer.
+    /// Report that the first event of a forwarded stream arrived.
     Flowing {
-        /// Upstream that answers.
+        /// Name of the upstream that answers.
         upstream: String,
-        /// Its call.
+        /// Call that the stream belongs to.
         call: CallId,
     },
-    /// An attempt broke off: did its upstream end?
+    /// Check whether an upstream crashed, because the connection of an attempt was cut.
     Suspect {
-        /// What the request has in common with its repeats.
+        /// Digest of the request that the upstream was running.
         digest: RequestDigest,
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Where it listens.
+        /// Socket address at which the upstream listens.
         address: SocketAddr,
     },
-    /// A request like this was answered whole.
+    /// Record that a request with this digest was answered in full.
     Succeeded(RequestDigest),
-    /// A request ended.
+    /// Release the admission permit of a request that ended.
     GiveBack(AdmissionPermit),
-    /// Ask one witness.
+    /// Write to the register of one witness.
     Register(RegisterCall),
-    /// The process `life` behind an upstream answers, and may be leaving.
+    /// Record that the process `life` behind an upstream answers.
     Greet {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Identity of its process.
+        /// Identity of the upstream's process.
         life: String,
-        /// Whether it says that it is leaving.
+        /// Whether the process announced that it is shutting down.
         leaving: bool,
     },
 }
 
-/// A call of one witness.
+/// Write to a key's register at one witness.
 #[derive(Clone, Debug)]
 pub struct RegisterCall {
-    /// Call that the reply goes to.
+    /// Call that receives the reply.
     pub call: CallId,
-    /// The witness.
+    /// VM name of the witness.
     pub witness: String,
-    /// The key.
+    /// Workspace and idempotency key of the register.
     pub key: RequestKey,
     /// All witnesses of the key.
     pub witnesses: WitnessSet,
-    /// Whether to claim or to bury.
+    /// Whether to write a tombstone instead of a claim.
     pub bury: bool,
 }
