--- a/crates/crocusdale_core/src/pipeline/final_answer.rs
+++ b/crates/crocusdale_core/src/pipeline/final_answer.rs
@@ -23,13 +23,13 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum OutcomeKind {
-    /// Whole: every stage answer belongs to this request, and its end was seen.
+    /// Every stage answered this request completely, and the end of each answer was seen.
     Answered,
-    /// Not run: no stage of it was or ever will be given to an upstream.
+    /// No stage of the request ran, and none ever will.
     Refused,
-    /// It ran, wholly or in part, and no answer will come.
+    /// At least one stage of the request ran, and no answer will come.
     Failed,
-    /// It may have run.
+    /// It can't be proved whether the request ran.
     Unknown,
 }
 
@@ -50,136 +50,140 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum RefusalReason {
-    /// The request could not be read.
+    /// The request could not be parsed.
     Malformed,
-    /// The body is larger than the limit.
+    /// The request body exceeds the size limit.
     TooLarge,
-    /// The body did not arrive in time.
+    /// The request body did not arrive in time.
     TooSlow,
-    /// No such workspace is declared.
+    /// The workspace is not declared.
     UnknownWorkspace,
-    /// A label can't be read, or there are too many.
+    /// A label can't be parsed, or the request has too many labels.
     BadLabels,
-    /// The deadline is zero or longer than what is declared.
+    /// The deadline is zero or longer than the declared maximum.
     BadDeadline,
-    /// No pipeline serves these labels.
+    /// No pipeline matches the labels of the request.
     NoPipeline,
-    /// No pipeline serves this path.
+    /// No pipeline serves the path of the request.
     NoRoute,
     /// The access key is missing or unknown.
     NoAccess,
-    /// The daemon has no configuration yet.
+    /// The daemon has not received a configuration yet.
     NotReady,
-    /// The daemon is about to end, and could not finish the request.
+    /// The daemon is shutting down and could not finish the request.
     Draining,
-    /// Too many requests run in this daemon.
+    /// The daemon's limit of concurrent requests is reached.
     RequestLimit,
-    /// Too many requests of the workspace run in this daemon.
+    /// The workspace's limit of concurrent requests is reached.
     WorkspaceLimit,
-    /// Too many requests of a rule run in this daemon.
+    /// The concurrency limit of a rule that matches the request is reached.
     RuleLimit,
-    /// The answer could not come within the deadline.
+    /// The request was shed because its answer could not come within the deadline.
     Overload,
-    /// No upstream of a stage can be used.
+    /// A stage has no usable upstream.
     NoUpstream,
     /// The deadline passed.
     Deadline,
     /// The upstream answered with an error.
     UpstreamError,
-    /// The answer of an upstream was cut, foreign or malformed, or none came.
+    /// The upstream's answer was cut off, belonged to another attempt or was malformed, or no
+    /// answer came.
     UpstreamBroken,
-    /// Upstreams ended under requests like this one.
+    /// Upstreams crashed while they ran requests with the same digest.
     Quarantined,
-    /// The key could not be claimed at its witnesses.
+    /// The idempotency key could not be claimed at its witnesses.
     NotClaimed,
-    /// The key is so old, or its age so uncertain, that its witnesses may have forgotten it.
+    /// The idempotency key is so old, or its age so uncertain, that its witnesses may have
+    /// forgotten it.
     KeyExpired,
-    /// The ticket is not of this life of the process, or too old.
+    /// The ticket was issued by another process incarnation, or is too old.
     BadTicket,
-    /// The key was asked for and never ran; it will not run any more.
+    /// The outcome of an idempotency key was asked for. The key never ran and never will.
     NeverRun,
-    /// The request runs elsewhere, and its holder can't be reached.
+    /// The request runs on another daemon, which can't be reached.
     HolderLost,
 }
 
 /// Time and cost of one stage of an answered request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageCost {
-    /// The stage.
+    /// Name of the stage.
     pub stage: String,
-    /// The upstream that answered.
+    /// Name of the upstream that answered.
     pub upstream: String,
-    /// Time from the first wish for an upstream to the answer, in milliseconds.
+    /// Time from the first request for an upstream to the answer, in milliseconds.
     pub time_ms: f64,
-    /// Attempts that were made and may have run.
+    /// Number of attempts that may have run.
     pub attempts: u32,
-    /// Upstreams, or dispatchers, that failed it or ran nothing before, in order.
+    /// Names of the upstreams, or of the VMs of dispatchers, that failed the stage or did not run
+    /// it, in the order of the attempts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tried: Vec<String>,
-    /// Seconds of upstreams' time, by the stage's declared cost.
+    /// Upstream time of the answered attempt in seconds, times the stage's declared cost factor.
     pub cost: f64,
 }
 
-/// Final answer of a request, as the caller sees it.
+/// JSON body of the final answer that the caller receives.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinalOutcome {
-    /// How it ended.
+    /// How the request ended.
     pub outcome: OutcomeKind,
-    /// The request.
+    /// Workspace of the request.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub workspace: String,
-    /// Its key.
+    /// Idempotency key of the request.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub key: String,
-    /// Why it was not answered.
+    /// Why the request was not answered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<RefusalReason>,
-    /// Words for a person.
+    /// Explanation for people; programs should read `reason`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// Stage at which it ended.
+    /// First stage that had no answer when the request ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stage: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Whether the same key may be sent again.
+    /// Whether a retry may use the same idempotency key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub same_key: Option<bool>,
-    /// The answer.
+    /// JSON of the last stage's answer. Several last stages give a list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<Box<RawValue>>,
-    /// Time and cost by stage.
+    /// Time and cost of each answered stage.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stages: Vec<StageCost>,
-    /// Time from the request to its end, for those who measure; callers see it themselves.
+    /// Time from the arrival of the request to its end, for metrics. It is not sent, as callers can
+    /// measure it themselves.
     #[serde(skip)]
     pub took: Option<Duration>,
 }
 
-/// Final answer with its JSON, built once.
+/// Final answer together with its JSON body, which is serialized once.
 #[derive(Clone, Debug)]
 pub struct FinalAnswer {
-    /// The request.
+    /// Workspace and idempotency key of the request.
     pub key: RequestKey,
-    /// How it ended.
+    /// How the request ended.
     pub kind: OutcomeKind,
-    /// Why it was not answered.
+    /// Why the request was not answered.
     pub reason: Option<RefusalReason>,
-    /// Stage at which it ended, if it was not answered.
+    /// First stage that had no answer, if the request was not answered.
     pub stage: Option<String>,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
     /// JSON of a [`FinalOutcome`].
     pub body: Arc<[u8]>,
-    /// Time and cost by stage.
+    /// Time and cost of each answered stage.
     pub stages: Vec<StageCost>,
-    /// Time from the request to its end, where it was measured.
+    /// Time from the arrival of the request to its end; `None` if this process did not measure it.
     pub took: Option<Duration>,
 }
 
 impl FinalOutcome {
-    /// An outcome of `key` with nothing else said.
+    /// Creates an outcome of `key` without a reason or an answer.
     #[must_use]
     pub fn new(outcome: OutcomeKind, key: &RequestKey) -> Self {
         Self {
@@ -197,21 +201,21 @@
         }
     }
 
-    /// Says why.
+    /// Sets why the request was not answered.
     #[must_use]
     pub fn reason(mut self, reason: RefusalReason) -> Self {
         self.reason = Some(reason);
         self
     }
 
-    /// Says more about why.
+    /// Sets the explanation for people.
     #[must_use]
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Says when to come back, and whether with the same key.
+    /// Sets the time after which the caller may retry, and whether a retry may use the same key.
     #[must_use]
     pub fn retry(mut self, after: Duration, same_key: bool) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
@@ -221,7 +225,7 @@
 }
 
 impl FinalAnswer {
-    /// The answer of `outcome`, whose JSON is `body`.
+    /// Combines `outcome` with `body`, its serialized JSON.
     fn new(outcome: FinalOutcome, body: Arc<[u8]>) -> Self {
         Self {
             key: RequestKey::new(outcome.workspace, outcome.key),
@@ -246,7 +250,7 @@
 impl TryFrom<&[u8]> for FinalAnswer {
     type Error = serde_json::Error;
 
-    /// Reads an outcome that a peer kept.
+    /// Parses an outcome that a peer stored.
     fn try_from(body: &[u8]) -> Result<Self, Self::Error> {
         Ok(Self::new(serde_json::from_slice(body)?, body.into()))
     }
