--- a/crates/crocusdale_core/src/pipeline/piece_order.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_order.rs
@@ -2,55 +2,56 @@
 
 use super::ResultHandle;
 
-/// The pieces of one batched step of one request, as its run asks for them.
+/// Work items of one batched step of one request, as submitted to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PieceOrder {
-    /// Attempt that the results go to; unlike any other of any process.
+    /// Attempt that the results go to. Its id is unique across all processes.
     pub attempt: AttemptId,
-    /// Identity of the request, as its caller chose it.
+    /// Request id, as chosen by the caller.
     pub request: String,
-    /// What the request has in common with its repeats, if the daemon that asks tells it.
+    /// Digest that repeats of the request share; `None` if the sending daemon does not tell it.
     pub digest: Option<RequestDigest>,
-    /// Section of the pool that works on the pieces.
+    /// Configuration section of the pool that runs the work items.
     pub pool: String,
     /// Position of the step in its pipeline.
     pub step: u32,
-    /// Number of pieces.
+    /// Number of work items.
     pub pieces: u32,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// What the pieces are made from.
+    /// Input from which the work items are computed.
     pub source: PieceSource,
-    /// Section of the pool whose upstreams hold the inputs, if no other step needs them.
+    /// Configuration section of the pool whose upstreams hold the inputs, if the inputs are large
+    /// and no other step reads them. They can then be freed as soon as they are fetched.
     pub inputs_pool: Option<String>,
-    /// Zone that will use the results, if that is known.
+    /// Availability zone that will read the results, if it is known.
     pub zone: Option<String>,
-    /// Priority level, 0 is the most urgent.
+    /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Whether its workspace sends much more than it usually does: others go first.
+    /// Whether the workspace sends far more than it usually does, so that others are served first.
     pub is_flood: bool,
-    /// Time by which the results are needed for the request to meet its objective.
+    /// Time by which the results are needed for the request to meet its latency objective.
     pub due: MonotonicTime,
     /// Time after which the results are of no use.
     pub expires: MonotonicTime,
-    /// Whether another dispatcher may have worked on these pieces before.
+    /// Whether another dispatcher may already have worked on these work items.
     pub repeated: bool,
 }
 
-/// What the pieces of a batched step are made from.
+/// Input from which the work items of a batched step are computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceSource {
-    /// What the caller named in its request.
+    /// Reference to the caller's input, as the request states it.
     Caller(String),
-    /// Results of earlier steps.
+    /// Handles of the results of earlier steps.
     Results(Vec<ResultHandle>),
 }
 
-/// A result and the availability zone in which it lies.
+/// A result and the availability zone that stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedResult {
-    /// The result.
+    /// Location of the result.
     pub handle: ResultHandle,
-    /// Zone of the upstream that made it.
+    /// Availability zone of the upstream that computed the result.
     pub zone: String,
 }
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -1,4 +1,4 @@
-//! Batched steps, whose pieces share calls with those of other requests.
+//! Batched steps, whose work items share upstream calls with those of other requests.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,19 @@
 use crate::daemon::CounterName;
 use crate::identity::{AttemptId, MonotonicTime};
 
-/// Dispatchers that a batched step is given to, one after another, before it is given up.
+/// Maximum number of dispatchers that are tried for one batched step.
 const DISPATCHERS: usize = 3;
-/// Times that pieces which were in no call are handed on. A pool changes hands once for each daemon
-/// that comes or goes; more than this a second would be a fleet that does not agree on anything.
+/// Maximum number of times that work items which were in no call are handed to another dispatcher.
+/// A pool changes its dispatcher once for each daemon that joins or leaves. More changes than this
+/// within a second mean that the daemons do not agree on their membership.
 const MOVES: u32 = 5;
-/// Part of an upstream's memory for results, as one in so many, below which the inputs of a step stay
-/// there until it has ended. Given up once they are fetched, they make no room to speak of, and a
-/// piece that fails by chance then has its request begun anew.
+/// Fraction (one part in this many) of an upstream's result memory below which the inputs of a step
+/// are kept until the step has ended. Freeing such small inputs as soon as they are fetched gains
+/// almost no memory, and a work item that then fails at random would make its request compute them
+/// again.
 const LIGHT_SHARE: u64 = 50;
-/// Bytes that a step fetches from which on it goes where they lie rather than where its own results
-/// will be needed. Below it, a fetch from another zone costs next to nothing.
+/// Fetched bytes from which on a step runs in the availability zone of its inputs, instead of the
+/// zone that will read its results. A smaller fetch from another zone costs almost nothing.
 const HEAVY_BYTES: u64 = 200_000;
 
 impl RequestRun {
@@ -68,8 +70,9 @@
         steps.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
     }
 
-    /// Section of the pool that made the inputs of the step at `position`, if no other step needs them and they take
-    /// up enough of an upstream's memory to be given up before the step has ended.
+    /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
+    /// before the step has ended. They must come from one step, be read by no other step, and take
+    /// up enough of an upstream's result memory.
     fn sole_input(&self, position: usize) -> Option<String> {
         let steps = self.plan.pipeline.plan.steps();
         let [earlier] = steps[position].after[..] else { return None };
@@ -83,15 +86,15 @@
         (users == 1 && is_heavy).then(|| made_by.section.clone())
     }
 
-    /// The pieces of the attempt `id` are made by `section` of their pool.
+    /// Records that `section` of the pool runs the work items of the attempt `id`.
     pub fn note_section(&mut self, id: AttemptId, section: &str) {
         if let Some(branch) = self.branches.iter_mut().find(|branch| branch.is_attempt(id)) {
             section.clone_into(&mut branch.section);
         }
     }
 
-    /// Zone in which the inputs of the step at `position` lie, if they are large: each of its
-    /// pieces fetches all of them.
+    /// Availability zone that holds most input bytes of the step at `position`, if they are large.
+    /// Each work item of the step fetches all inputs.
     fn heavy_zone(&self, position: usize) -> Option<String> {
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
@@ -106,8 +109,7 @@
         (fetched >= HEAVY_BYTES).then(|| zone.to_owned())
     }
 
-    /// Whether the results of the step at `position` are large, and fetched by the upstream of the
-    /// forwarded step.
+    /// Whether the results of the step at `position` are large and read only by forwarded steps.
     fn makes_heavy(&self, position: usize) -> bool {
         let plan = self.plan.pipeline.plan.steps();
         let mut later = plan.iter().filter(|step| step.after.contains(&position));
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The next dispatcher in rank takes the pieces of one that is lost.
+    /// Submits the work items of a lost dispatcher to the dispatcher that ranks next.
     pub(super) fn dispatcher_lost(
         &mut self,
         index: usize,
@@ -179,8 +181,8 @@
         None
     }
 
-    /// Begins all batched steps anew: a result that a later step needs is gone with the upstream
-    /// that made it.
+    /// Starts all batched steps again, because a result that a later step needs was lost with the
+    /// upstream that stored it.
     pub(super) fn remake(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         self.remakes += 1;
         self.close_branches(steps);
@@ -192,15 +194,17 @@
         self.begin_steps(now, steps);
     }
 
-    /// Gives up every result: those that were needed have been fetched, or never will be.
+    /// Frees every result. Either the results that were needed have been fetched, or no step will
+    /// fetch them any more.
     pub(super) fn free_inputs(&mut self, steps: &mut Vec<ShardStep>) {
         for index in 0..self.branches.len() {
             self.freed |= self.free_results(index, steps);
         }
     }
 
-    /// Gives up results that no step needs any more: an upstream's memory for results holds those
-    /// of a few seconds only, and each that stays keeps the pieces of another request out.
+    /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
+    /// result memory holds only the results of a few seconds, and each result that stays keeps out
+    /// work items of another request.
     pub(super) fn free_used(&mut self, position: usize, steps: &mut Vec<ShardStep>) {
         for earlier in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
