--- a/crates/crocusdale_core/src/pipeline/event_sequence.rs
+++ b/crates/crocusdale_core/src/pipeline/event_sequence.rs
@@ -1,37 +1,38 @@
-/// Which events of a stream its caller has.
+/// Position of a caller in an event stream.
 ///
-/// Guards against a stream that an upstream takes up again at the wrong place: an event that the
-/// caller has already is dropped, and one behind a gap ends the attempt before it is passed on.
+/// Guards against an upstream that resumes a stream at the wrong event. An event that the caller
+/// already has is dropped. An event after a gap ends the attempt before it is passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventSequence {
     last: Option<u64>,
 }
 
-/// What is to be done with an event.
+/// What to do with an event of a resumed stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventVerdict {
-    /// It is the next one.
+    /// The event is the next one and is passed on to the caller.
     Pass,
-    /// The caller has it already.
+    /// The caller already has the event, so it is dropped.
     Repeated,
-    /// An event before it is missing.
+    /// An event before this one is missing, so the attempt ends.
     Missing,
 }
 
 impl EventSequence {
-    /// The events of a caller that has everything up to `last`.
+    /// Resumes after the event id `last`; `None` if the caller has no event yet.
     #[must_use]
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
 
-    /// Last event that the caller has.
+    /// Id of the last event that the caller has, or `None` if it has none.
     #[must_use]
     pub fn last(self) -> Option<u64> {
         self.last
     }
 
-    /// Takes the event `id`; one without an id is passed on as it comes.
+    /// Classifies the event `id` and advances to it if it is the next one. An event without an id
+    /// is always passed on.
     pub fn take(&mut self, id: Option<u64>) -> EventVerdict {
         let Some(id) = id else { return EventVerdict::Pass };
         match self.last {
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -1,4 +1,4 @@
-//! Steps in which the caller's own request is passed to an upstream.
+//! Steps that forward the caller's own request to an upstream.
 
 use super::branch_run::{BranchAnswer, FailedAttempt};
 use super::request_run::{REMAKES, count};
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Results of the batched steps that no other batched step needs.
+    /// Results that the forwarded request reads: those of the batched steps that no other batched
+    /// step reads.
     fn results(&self) -> Vec<&PlacedResult> {
         let plan = &self.plan.pipeline.plan;
         let ends = plan.ends(|step: &PlanStep| matches!(step.work, StepWork::Batched { .. }));
@@ -49,7 +50,8 @@
         results
     }
 
-    /// The forwarded step as it would ask for an upstream now.
+    /// The slot request that the forwarded step would make now; `None` if the pipeline has no such
+    /// step.
     pub(super) fn target_request(&self) -> Option<SlotRequest> {
         let mut steps = self.plan.pipeline.plan.steps().iter().enumerate();
         let (position, step) = steps.find(|(_, step)| step.work == StepWork::Forward)?;
@@ -101,7 +103,8 @@
             return None;
         }
         if self.forwarded {
-            // The caller has the head of an earlier answer: a failure can't follow it.
+            // The caller already has the head of an earlier response, so this error can't be passed
+            // on.
             self.evidence.ran += 1;
             steps.push(ShardStep::Command(Command::Cancel(id)));
             return self.attempt_failed(index, FailedAttempt::Declined, now, steps);
@@ -109,8 +112,9 @@
         self.forward_failed(index, id, now, steps)
     }
 
-    /// The upstream ran the forwarded request and failed it. What may be repeated is given to
-    /// another one; the failure is kept until that is certain.
+    /// Handles an error response from an upstream that ran the forwarded request. A repeatable
+    /// request is retried on another upstream, and the error response is held until another attempt
+    /// starts.
     fn forward_failed(
         &mut self,
         index: usize,
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -1,4 +1,4 @@
-//! Steps that call their stage in JSON, with the earlier answers as its inputs.
+//! Steps that call a stage with a JSON body, which contains the answers of earlier steps as inputs.
 
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -12,14 +12,14 @@
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::routing::SlotGrant;
 
-/// Answer of one stage.
+/// Name and answer of one stage.
 #[derive(Clone, Debug, Serialize)]
 struct StageAnswer<'a> {
     stage: &'a str,
     answer: &'a RawValue,
 }
 
-/// Body of a call of an upstream.
+/// JSON body of a call to an upstream.
 #[derive(Serialize)]
 struct StageInput<'a> {
     attempt: String,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Answers that the JSON step at `position` needs, in declared order, whichever order they
-    /// came in.
+    /// Answers that the JSON step at `position` reads. They are in declared order, whatever order
+    /// they arrived in.
     fn json_inputs(&self, position: usize) -> Vec<StageAnswer<'_>> {
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let answer = |earlier: &usize| {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Whether the caller gets the stream of the branch at `index` as it comes: it must be the
-    /// only one that ends the plan.
+    /// Whether the stream of the step run at `index` goes to the caller as it arrives. The step
+    /// must be the only last step of the plan.
     fn passes_on(&self, index: usize) -> bool {
         let mut ends = self.plan.pipeline.plan.ends(|_| true);
         let only = ends.next() == Some(self.branches[index].step) && ends.next().is_none();
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -1,4 +1,5 @@
-//! The life of one request through its stages.
+//! Execution of a single request through the stages of its pipeline: planning, dispatch of
+//! attempts, retries, and the final answer.
 
 mod attempt;
 mod attempt_ends;
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,39 +10,41 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// When a caller that was refused for want of room may come back. A batched call takes a few tenths
-/// of a second, so that queues have moved on by then.
+/// Minimum retry delay for a caller whose request was shed. A batched call takes a few tenths of a
+/// second, so the queues have moved on by then.
 const COME_BACK: Duration = Duration::from_millis(400);
-/// Times that batched steps are made anew because a result was gone when it was needed.
+/// Maximum number of times that the batched steps of a request are run again because a result was
+/// gone when it was needed.
 pub(super) const REMAKES: u32 = 1;
 
-/// One request on its way through the steps of its pipeline.
+/// Execution state of one request on its way through the steps of its pipeline.
 #[derive(Debug)]
 pub struct RequestRun {
     pub(super) call: CallId,
     pub(super) incarnation: u64,
     pub(super) plan: RequestPlan,
-    /// Steps that have begun.
+    /// Runs of the steps that have started.
     pub(super) branches: Vec<BranchRun>,
     pub(super) costs: Vec<StageCost>,
     pub(super) evidence: RunEvidence,
     pub(super) sequence: u32,
-    /// Whether the caller has got a part of the answer.
+    /// Whether a part of the response was passed on to the caller.
     pub(super) forwarded: bool,
-    /// Whether an upstream began to answer with a success.
+    /// Whether an upstream answered the forwarded request with a success status.
     pub(super) succeeded: bool,
-    /// Times that results were gone and their steps were begun anew.
+    /// Number of times that the batched steps were run again because results were gone.
     pub(super) remakes: u32,
-    /// Whether results were given up because an upstream had fetched them.
+    /// Whether results were freed after an upstream had fetched them.
     pub(super) freed: bool,
-    /// What the forwarded step had tried before its inputs were made anew.
+    /// Attempt count and tried upstreams of the forwarded step, kept while its inputs are computed
+    /// again.
     pub(super) carried: Option<(u32, Vec<String>)>,
-    /// Time after which the pool that gave up its pieces should have room again.
+    /// Time after which the pool that refused the request is expected to have capacity again.
     pub(super) retry_after: Option<Duration>,
 }
 
 impl RequestRun {
-    /// Prepares the run of `plan` for `call` in the process life `incarnation`.
+    /// Prepares the run of `plan` for `call` in the process incarnation `incarnation`.
     #[must_use]
     pub fn new(call: CallId, incarnation: u64, plan: RequestPlan) -> Self {
         Self {
@@ -62,27 +64,28 @@
         }
     }
 
-    /// What the run follows.
+    /// The plan that the run follows.
     #[must_use]
     pub fn plan(&self) -> &RequestPlan {
         &self.plan
     }
 
-    /// Whether no attempt was written that may have run the request.
+    /// Whether no attempt that may have run the request was written to an upstream.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         self.evidence.sent == 0
     }
 
-    /// Begins the steps that need no others.
+    /// Starts the steps that need no results of other steps.
     pub fn begin(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         self.begin_steps(now, steps);
     }
 
-    /// Dispatches an attempt to the upstream that was found for it.
+    /// Sends an attempt to the upstream that the router assigned.
     ///
-    /// The deadline is checked again here and, through `expires`, right before the call is
-    /// written: a process that was paused in between still believes that there is time.
+    /// The deadline is checked here and, through `expires`, again right before the call is written.
+    /// This guards against a process that was paused in between and still believes that there is
+    /// time.
     pub fn dispatch(
         &mut self,
         grant: SlotGrant,
@@ -94,7 +97,8 @@
             let branch = &self.branches[*index];
             branch.stage == grant.request.stage && branch.is_waiting()
         });
-        // What can't be answered in time any more would only take the place of what can.
+        // A request that can't be answered in time would only take up a slot that another request
+        // could use.
         let unservable = now + grant.fastest >= self.plan.deadline;
         let Some(index) = wanted.filter(|_| !unservable) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
@@ -118,7 +122,7 @@
         };
         let branch = &mut self.branches[index];
         if let Some(held) = branch.held.take() {
-            // Another attempt is made after all: the failure is not passed on.
+            // Another attempt starts, so the held error response is dropped.
             steps.push(ShardStep::Command(Command::Cancel(held)));
         }
         branch.attempts += 1;
@@ -135,7 +139,7 @@
         None
     }
 
-    /// No upstream can be had for a branch.
+    /// Handles the router's refusal to assign an upstream to a step.
     pub fn denied(
         &mut self,
         reason: RefusalReason,
@@ -147,8 +151,8 @@
             Some((held, branch))
         });
         if let Some((held, branch)) = held {
-            // The failure of the attempt before is all that the caller can get; it is passed on
-            // as the upstream gave it.
+            // The error response of the previous attempt is the best available answer, so it is
+            // passed on unchanged.
             branch.open = Some(OpenAttempt {
                 id: held,
                 upstream: String::new(),
@@ -163,7 +167,7 @@
         Some(self.end(reason, now, steps))
     }
 
-    /// Takes what an upstream did about an attempt; returns the final answer if this ends the run.
+    /// Handles an event of an attempt. Returns the final answer if the event ends the run.
     pub fn attempt_event(
         &mut self,
         id: AttemptId,
@@ -229,7 +233,8 @@
         }
     }
 
-    /// No upstream is given the request, for a reason that holds for `left`.
+    /// Handles the router's refusal to assign an upstream, for a reason that holds for the time
+    /// `left`.
     pub fn denied_for(
         &mut self,
         (reason, left): (RefusalReason, Duration),
@@ -240,7 +245,7 @@
         self.denied(reason, now, steps)
     }
 
-    /// Ends the run without an answer; whatever is open is given up.
+    /// Ends the run without an answer and cancels everything that is still open.
     pub fn end(
         &mut self,
         reason: RefusalReason,
@@ -254,8 +259,9 @@
         let verdict = self.evidence.verdict(self.plan.repeatable);
         let mut outcome = FinalOutcome::new(verdict, &self.plan.request.key).reason(reason);
         if verdict == OutcomeKind::Refused && self.plan.forward().is_some() {
-            // Whoever comes back at once meets the queue that it was refused for. If that takes
-            // longer than its deadline, it is told so, and need not come back in vain.
+            // A caller that retries at once meets the queue for which it was refused. A retry delay
+            // longer than the caller's deadline is told as well, so that the caller does not retry
+            // in vain.
             let least = self.plan.deadline.since(now).min(COME_BACK);
             let retry_after = self.retry_after.map_or(least, |told| told.max(least));
             outcome = outcome.retry(retry_after, true);
@@ -266,12 +272,12 @@
         FinalAnswer::from(outcome)
     }
 
-    /// Whether the run should go on although its caller is gone.
+    /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
         match self.plan.forward().map(|forward| forward.repeat) {
             None => !self.plan.repeatable,
-            // Its one run is under way, and to break it off would throw its work away.
+            // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
             Some(RepeatRule::Idempotent | RepeatRule::Stream | RepeatRule::ResumableStream) => {
                 false
@@ -279,7 +285,7 @@
         }
     }
 
-    /// Begins every step whose inputs are there and which has not begun.
+    /// Starts every step that has not started and whose inputs are available.
     pub(super) fn begin_steps(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
         for position in 0..self.plan.pipeline.plan.steps().len() {
             let step = &self.plan.pipeline.plan.steps()[position];
@@ -337,7 +343,8 @@
         }
     }
 
-    /// Whether the branch at `index` may go to another upstream although it may have run.
+    /// Whether the step run at `index` may be retried on another upstream even if an earlier
+    /// attempt may have run.
     pub(super) fn may_repeat(&self, index: usize) -> bool {
         match self.plan.forward() {
             None => self.plan.repeatable,
@@ -387,7 +394,7 @@
         finished.then(|| self.answered(now))
     }
 
-    /// Puts the answers of the last steps together in declared order.
+    /// Builds the final answer from the answers of the last steps, in declared order.
     pub(super) fn answered(&mut self, now: MonotonicTime) -> FinalAnswer {
         let mut outcome = FinalOutcome::new(OutcomeKind::Answered, &self.plan.request.key);
         if self.plan.forward().is_none() {
--- a/crates/crocusdale_core/src/pipeline/stream_assembler.rs
+++ b/crates/crocusdale_core/src/pipeline/stream_assembler.rs
@@ -2,17 +2,18 @@
 
 use crate::identity::AttemptId;
 
-/// Longest text that is assembled, in bytes.
+/// Maximum length of an assembled text, in bytes.
 const TEXT_LIMIT: usize = 4 << 20;
 
-/// One line of an upstream's stream.
+/// One line of an upstream's streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamLine {
-    /// Attempt that the line says it belongs to.
+    /// Id of the attempt that the line belongs to, as the upstream wrote it.
     pub attempt: String,
-    /// Position among the pieces of text, from 0; the last line has their number.
+    /// Position of the line, starting at 0. The last line carries the number of text lines before
+    /// it.
     pub index: u64,
-    /// Piece of text; empty on the last line.
+    /// Text fragment; empty on the last line.
     #[serde(default)]
     pub text: String,
     /// Whether this is the last line.
@@ -20,21 +21,22 @@
     pub end: bool,
 }
 
-/// Why a stream can't be trusted.
+/// Why a stream is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFault {
-    /// A line belongs to another attempt.
+    /// A line carries the id of another attempt.
     Foreign,
-    /// A line is missing, doubled, or came after the end.
+    /// A line is missing, repeated, or follows the last line.
     OutOfOrder,
-    /// The text is larger than what is kept.
+    /// The text exceeds the size limit.
     TooLarge,
 }
 
-/// Puts a stream together and proves that it is whole.
+/// Assembles a streamed answer and verifies that it is complete.
 ///
-/// Guards against a right head with a wrong tail, which shows as an answer that ends in another
-/// request's words: each line carries the attempt and its position, and the end their number.
+/// Guards against a stream whose later lines belong to another request, so that the answer ends in
+/// that request's text. Each line carries its attempt id and position, and the last line carries
+/// their number.
 #[derive(Clone, Debug)]
 pub struct StreamAssembler {
     attempt: AttemptId,
@@ -44,17 +46,17 @@
 }
 
 impl StreamAssembler {
-    /// Begins the stream of `attempt`.
+    /// Creates an assembler for the stream of `attempt`.
     #[must_use]
     pub fn new(attempt: AttemptId) -> Self {
         Self { attempt, text: String::new(), pieces: 0, ended: false }
     }
 
-    /// Takes the next line; returns the whole text with the last one.
+    /// Appends the next line. Returns the complete text with the last line.
     ///
     /// # Errors
     ///
-    /// Returns why the stream can't be trusted; it must then be given up.
+    /// Returns why the stream is rejected; no more lines may be appended after that.
     pub fn take(&mut self, line: &StreamLine) -> Result<Option<&str>, StreamFault> {
         if line.attempt.parse() != Ok(self.attempt) {
             return Err(StreamFault::Foreign);
--- a/crates/crocusdale_core/src/tickets/mod.rs
+++ b/crates/crocusdale_core/src/tickets/mod.rs
@@ -1,4 +1,4 @@
-//! Proof of a request's age by the clock of one process.
+//! Tickets that prove the age of an idempotency key by the clock of a single process.
 
 mod ticket_issuer;
 
--- a/crates/crocusdale_core/src/tickets/ticket_issuer.rs
+++ b/crates/crocusdale_core/src/tickets/ticket_issuer.rs
@@ -4,10 +4,11 @@
 
 use crate::identity::{MonotonicTime, RequestKey};
 
-/// Mints and judges the tickets of one process life; it remembers none of them.
+/// Issues and verifies the tickets of one process incarnation, without storing them.
 ///
-/// A ticket names the life, the time of its minting by that life's clock, and a tag that binds
-/// both to one key. No other life accepts it, and no clocks need agree.
+/// A ticket contains the incarnation, the time of issue by its clock, and an authentication tag
+/// that binds both to one key. No other incarnation accepts the ticket, so no two clocks have to
+/// agree.
 ///
 /// # Examples
 ///
@@ -30,20 +31,21 @@
 }
 
 impl TicketIssuer {
-    /// The book of the process life `incarnation`.
+    /// Creates the issuer of the process incarnation `incarnation`, which signs tickets with
+    /// `secret`.
     #[must_use]
     pub fn new(incarnation: u64, secret: u64) -> Self {
         Self { incarnation, secret }
     }
 
-    /// Mints a ticket for `key`.
+    /// Issues a ticket for `key` at the time `now`.
     #[must_use]
     pub fn mint(&self, key: &RequestKey, now: MonotonicTime) -> String {
         let minted = u64::try_from(now.since_start().as_millis()).unwrap_or(u64::MAX);
         format!("{:x}-{minted:x}-{:x}", self.incarnation, self.tag(key, minted))
     }
 
-    /// Whether `ticket` was minted by this life, for `key`, at most `life` ago.
+    /// Whether this process incarnation issued `ticket` for `key` at most `life` ago.
     #[must_use]
     pub fn is_good(
         &self,
