--- a/crates/crocusdale_core/src/pipeline/run_evidence.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_counts.rs
@@ -2,14 +2,14 @@
 
 /// Number of attempts of one request that ran or may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RunEvidence {
+pub struct AttemptCounts {
     /// Attempts of which at least one byte may have been written to an upstream.
     pub sent: u32,
     /// Attempts that certainly ran, because the upstream answered them, even if only with an error.
     pub ran: u32,
 }
 
-impl RunEvidence {
+impl AttemptCounts {
     /// Outcome of a request that gets no answer.
     ///
     /// The outcome is "unknown" only if neither "refused" (not run) nor "failed" (ran) can be
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -29,12 +29,12 @@
         plan: RequestPlan,
         witnesses: WitnessSet,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let key = plan.request.key.clone();
-        steps.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        steps.push(set_timer(TimerKey::Claim(call), now + CLAIM_PATIENCE));
-        steps.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
+        actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
+        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_PATIENCE));
+        actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
         let poll = Some(WitnessPoll::new(self.own.clone(), witnesses));
         let run = RequestRun::new(call, self.own.mark(), plan);
         let followers = self.take_inquiries(&key);
@@ -54,15 +54,15 @@
         now: MonotonicTime,
     ) -> Vec<ShardStep> {
         let InquiryBasis { key_life, provable_until } = basis;
-        let mut steps = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
+        let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
         let poll = WitnessPoll::new(self.own.clone(), witnesses);
         let until = now + INQUIRY_PATIENCE;
-        steps.push(set_timer(TimerKey::Inquiry(call), until));
+        actions.push(set_timer(TimerKey::Inquiry(call), until));
         let inquiry =
             KeyInquiry { key, poll, until, key_life, provable_until, refusal, holder: None };
         self.inquiries.insert(call, inquiry);
-        self.inquiry_step(call, now, &mut steps);
-        steps
+        self.inquiry_step(call, now, &mut actions);
+        actions
     }
 
     /// Handles the reply of a witness; `None` if no reply came.
@@ -72,18 +72,18 @@
         witness: &str,
         reply: Option<RegisterReply>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         if let Some(inquiry) = self.inquiries.get_mut(&call) {
             inquiry.poll.take(witness, reply);
-            self.inquiry_step(call, now, steps);
+            self.inquiry_step(call, now, actions);
             return;
         }
         let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut()) else {
             return;
         };
         poll.take(witness, reply);
-        self.claim_step(call, now, steps);
+        self.claim_step(call, now, actions);
     }
 
     /// Handles the reply of the daemon that holds the claim of a key; `None` if it can't be
@@ -93,13 +93,13 @@
         call: CallId,
         reply: Option<HolderReply>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
         match inquiry.take_holder(reply) {
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, steps),
+            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, actions),
             InquiryStep::Wait | InquiryStep::AskHolder(_) => {
-                steps.push(set_timer(TimerKey::Holder(call), now + HOLDER_PACE));
+                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_PACE));
             }
         }
     }
@@ -108,7 +108,7 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let Some(active) = self.runs.get_mut(&call) else { return };
         let Some(poll) = &active.poll else { return };
@@ -117,9 +117,9 @@
             ClaimVerdict::Granted => {
                 active.witnesses = Some(poll.witnesses().clone());
                 active.poll = None;
-                active.run.begin(now, steps);
+                active.run.begin(now, actions);
             }
-            ClaimVerdict::Impossible => self.give_up_claim(call, now, steps),
+            ClaimVerdict::Impossible => self.give_up_claim(call, now, actions),
         }
     }
 
@@ -132,7 +132,7 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let Some(active) = self.runs.remove(&call) else { return };
         let Some(mut poll) = active.poll else { return };
@@ -140,8 +140,8 @@
         let key_life = active.run.plan().declarations.deployment().key_life;
         let provable_until = active.run.plan().provable_until;
         self.keys.end(key.clone(), None, key_life, now);
-        steps.push(ShardStep::GiveBack(active.run.plan().permit.clone()));
-        steps.push(ShardStep::Command(Command::Count(CounterName::ClaimsRefused)));
+        actions.push(ShardStep::GiveBack(active.run.plan().permit.clone()));
+        actions.push(ShardStep::Command(Command::Count(CounterName::ClaimsRefused)));
         let asked = poll.ask_again();
         let witnesses = poll.witnesses().clone();
         let refusal =
@@ -150,8 +150,8 @@
             Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
         let until = now + INQUIRY_PATIENCE;
         for call in active.followers.into_iter().chain([call]) {
-            steps.push(set_timer(TimerKey::Inquiry(call), until));
-            steps.extend(register_calls(call, &key, &witnesses, asked.clone(), true));
+            actions.push(set_timer(TimerKey::Inquiry(call), until));
+            actions.extend(register_calls(call, &key, &witnesses, asked.clone(), true));
             let (poll, refusal) = (poll.clone(), Some(refusal.clone()));
             let inquiry = KeyInquiry {
                 key: key.clone(),
@@ -163,7 +163,7 @@
                 holder: None,
             };
             self.inquiries.insert(call, inquiry);
-            self.inquiry_step(call, now, steps);
+            self.inquiry_step(call, now, actions);
         }
     }
 
@@ -171,16 +171,16 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
         match inquiry.next_step(now) {
             InquiryStep::Wait => {}
             InquiryStep::AskHolder(holder) => {
                 let key = inquiry.key.clone();
-                steps.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+                actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
             }
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, steps),
+            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, actions),
         }
     }
 
@@ -189,7 +189,7 @@
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         if let Some(inquiry) = self.inquiries.remove(&call) {
             // The refusal may count claims of this process incarnation as proof that the key never
@@ -197,7 +197,7 @@
             if answer.kind == OutcomeKind::Refused {
                 self.keys.end(inquiry.key, None, inquiry.key_life, now);
             }
-            steps.push(reply(call, answer));
+            actions.push(reply(call, answer));
         }
     }
 
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -1,7 +1,7 @@
 //! Steps that forward the caller's own request to an upstream.
 
-use super::branch_run::{BranchAnswer, FailedAttempt};
 use super::request_run::{REMAKES, count};
+use super::step_run::{AttemptFailure, StepOutput};
 use super::{
     AnswerHead, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun, RunProof,
     ShardStep,
@@ -41,8 +41,8 @@
         let ends = plan.ends(|step: &PlanStep| matches!(step.work, StepWork::Batched { .. }));
         let mut results = Vec::new();
         for position in ends {
-            let branch = self.branches.iter().find(|branch| branch.step == position);
-            if let Some(BranchAnswer::Results(made)) = branch.and_then(|each| each.answer.as_ref())
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+            if let Some(StepOutput::Results(made)) = step_run.and_then(|each| each.answer.as_ref())
             {
                 results.extend(made);
             }
@@ -75,41 +75,41 @@
         id: AttemptId,
         head: AnswerHead,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         match head.proof {
             RunProof::Ran => {}
             RunProof::Declined | RunProof::WrongProcess | RunProof::Malformed => {
                 self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                return self.attempt_failed(index, FailedAttempt::NotRun, now, steps);
+                self.step_runs[index].attempts -= 1;
+                return self.attempt_failed(index, AttemptFailure::NotRun, now, actions);
             }
             RunProof::InputGone => {
                 self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                self.release(index, AttemptReport::Cancelled, steps);
-                self.branches[index].open = None;
+                self.step_runs[index].attempts -= 1;
+                self.release(index, AttemptReport::Cancelled, actions);
+                self.step_runs[index].in_flight = None;
                 if self.remakes < REMAKES && now < self.plan.deadline {
-                    self.remake(now, steps);
+                    self.remake(now, actions);
                     return None;
                 }
-                return Some(self.end(RefusalReason::UpstreamBroken, now, steps));
+                return Some(self.end(RefusalReason::UpstreamBroken, now, actions));
             }
         }
         self.progress(index, now);
         if head.is_success() {
             self.succeeded = true;
-            self.pass_on(id, steps);
+            self.pass_on(id, actions);
             return None;
         }
         if self.forwarded {
             // The caller already has the head of an earlier response, so this error can't be passed
             // on.
             self.evidence.ran += 1;
-            steps.push(ShardStep::Command(Command::Cancel(id)));
-            return self.attempt_failed(index, FailedAttempt::Declined, now, steps);
+            actions.push(ShardStep::Command(Command::Cancel(id)));
+            return self.attempt_failed(index, AttemptFailure::Declined, now, actions);
         }
-        self.forward_failed(index, id, now, steps)
+        self.forward_failed(index, id, now, actions)
     }
 
     /// Handles an error response from an upstream that ran the forwarded request. A repeatable
@@ -120,27 +120,27 @@
         index: usize,
         id: AttemptId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         if !self.may_repeat(index) || self.forwarded || now >= self.plan.deadline {
-            self.pass_on(id, steps);
+            self.pass_on(id, actions);
             return None;
         }
         self.evidence.ran += 1;
-        steps.push(count(CounterName::AttemptsDeclined));
-        self.release(index, AttemptReport::Failed, steps);
-        let branch = &mut self.branches[index];
-        if let Some(open) = branch.open.take() {
-            branch.tried.push(open.upstream);
+        actions.push(count(CounterName::AttemptsDeclined));
+        self.release(index, AttemptReport::Failed, actions);
+        let step_run = &mut self.step_runs[index];
+        if let Some(in_flight) = step_run.in_flight.take() {
+            step_run.tried.push(in_flight.upstream);
         }
-        branch.held = Some(id);
+        step_run.held = Some(id);
         let request = self.slot_request(index);
-        steps.push(ShardStep::Retry { request, reason: RefusalReason::UpstreamError });
+        actions.push(ShardStep::Retry { request, reason: RefusalReason::UpstreamError });
         None
     }
 
-    pub(super) fn pass_on(&mut self, attempt: AttemptId, steps: &mut Vec<ShardStep>) {
+    pub(super) fn pass_on(&mut self, attempt: AttemptId, actions: &mut Vec<ShardStep>) {
         self.forwarded = true;
-        steps.push(ShardStep::Command(Command::PassOn { call: self.call, attempt }));
+        actions.push(ShardStep::Command(Command::PassOn { call: self.call, attempt }));
     }
 }
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use super::branch_run::{AttemptRole, BranchAnswer, FailedAttempt};
+use super::step_run::{AttemptFailure, AttemptKind, StepOutput};
 use super::{
     AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardStep, StreamFault,
     StreamLine,
@@ -63,10 +63,10 @@
     fn json_inputs(&self, position: usize) -> Vec<StageAnswer<'_>> {
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let answer = |earlier: &usize| {
-            let branch = self.branches.iter().find(|branch| branch.step == *earlier)?;
-            match &branch.answer {
-                Some(BranchAnswer::Json(answer)) => {
-                    Some(StageAnswer { stage: &branch.stage, answer })
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == *earlier)?;
+            match &step_run.answer {
+                Some(StepOutput::Json(answer)) => {
+                    Some(StageAnswer { stage: &step_run.stage, answer })
                 }
                 _ => None,
             }
@@ -79,24 +79,24 @@
         index: usize,
         line: &StreamLine,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         self.progress(index, now);
-        let open = self.branches[index].open.as_mut()?;
-        let AttemptRole::Json(assembler) = &mut open.role else { return None };
+        let in_flight = self.step_runs[index].in_flight.as_mut()?;
+        let AttemptKind::Json(assembler) = &mut in_flight.role else { return None };
         match assembler.take(line) {
             Ok(None) => {
                 if self.passes_on(index) {
                     self.forwarded = true;
                     let text = line.text.clone();
-                    steps.push(ShardStep::Command(Command::Forward { call: self.call, text }));
+                    actions.push(ShardStep::Command(Command::Forward { call: self.call, text }));
                 }
                 None
             }
             Ok(Some(text)) => {
                 let answer = serde_json::value::to_raw_value(text).expect("text is JSON");
                 self.evidence.ran += 1;
-                self.branch_answered(index, BranchAnswer::Json(answer), now, steps)
+                self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             Err(fault) => {
                 let reason = match fault {
@@ -104,8 +104,8 @@
                     StreamFault::OutOfOrder => BreakReason::Malformed,
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
-                steps.push(ShardStep::Command(Command::Cancel(open.id)));
-                self.attempt_failed(index, FailedAttempt::Broken(reason), now, steps)
+                actions.push(ShardStep::Command(Command::Cancel(in_flight.id)));
+                self.attempt_failed(index, AttemptFailure::Broken(reason), now, actions)
             }
         }
     }
@@ -114,18 +114,18 @@
     /// must be the only last step of the plan.
     fn passes_on(&self, index: usize) -> bool {
         let mut ends = self.plan.pipeline.plan.ends(|_| true);
-        let only = ends.next() == Some(self.branches[index].step) && ends.next().is_none();
+        let only = ends.next() == Some(self.step_runs[index].step) && ends.next().is_none();
         self.plan.request.stream && only
     }
 
     pub(super) fn json_answer(&self) -> Box<RawValue> {
         let mut last = Vec::new();
         for position in self.plan.pipeline.plan.ends(|_| true) {
-            let branch = self.branches.iter().find(|branch| branch.step == position);
-            if let Some(branch) = branch
-                && let Some(BranchAnswer::Json(answer)) = &branch.answer
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+            if let Some(step_run) = step_run
+                && let Some(StepOutput::Json(answer)) = &step_run.answer
             {
-                last.push(StageAnswer { stage: &branch.stage, answer });
+                last.push(StageAnswer { stage: &step_run.stage, answer });
             }
         }
         match last.as_slice() {
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -2,8 +2,8 @@
 //! attempts, retries, and the final answer.
 
 mod attempt;
-mod attempt_ends;
-mod branch_run;
+mod attempt_counts;
+mod attempt_failures;
 mod caller_request;
 mod claim_steps;
 mod event_sequence;
@@ -18,13 +18,14 @@
 mod request_plan;
 mod request_run;
 mod request_shard;
-mod run_evidence;
 mod shard_step;
+mod step_run;
 mod stream_assembler;
 
 pub use attempt::{
     AnswerHead, AttemptEvent, AttemptOrder, BreakReason, PieceFault, RelayOrder, RunProof,
 };
+pub use attempt_counts::AttemptCounts;
 pub use caller_request::{CallerRequest, KEY_LIMIT, RequestContent, SubmittedRequest};
 pub use event_sequence::{EventSequence, EventVerdict};
 pub use final_answer::{FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, StageCost};
@@ -34,6 +35,5 @@
 pub use request_plan::RequestPlan;
 pub use request_run::RequestRun;
 pub use request_shard::{InquiryBasis, RequestShard};
-pub use run_evidence::RunEvidence;
 pub use shard_step::{RegisterCall, ShardStep};
 pub use stream_assembler::{StreamAssembler, StreamFault, StreamLine};
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::branch_run::{AttemptRole, BranchAnswer, FailedAttempt, OpenAttempt};
 use super::request_run::{REMAKES, count};
+use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput};
 use super::{
     FinalAnswer, PieceFault, PieceOrder, PieceSource, PlacedResult, RefusalReason, RequestRun,
     ResultHandle, ShardStep,
@@ -32,10 +32,10 @@
         &mut self,
         index: usize,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let id = self.next_attempt();
-        let position = self.branches[index].step;
+        let position = self.step_runs[index].step;
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let head = self.plan.request.forward();
         let source = if after.is_empty() {
@@ -47,7 +47,7 @@
             attempt: id,
             request: self.plan.request.key.key.clone(),
             digest: Some(self.plan.digest),
-            pool: self.branches[index].stage.clone(),
+            pool: self.step_runs[index].stage.clone(),
             step: u32::try_from(position).unwrap_or(u32::MAX),
             pieces: self.plan.pieces(position),
             result_bytes: self.result_bytes(position),
@@ -58,16 +58,16 @@
             is_flood: self.plan.is_flood,
             due: self.plan.due(position),
             expires: self.plan.latest(position),
-            repeated: !self.branches[index].tried.is_empty() || self.remakes > 0,
+            repeated: !self.step_runs[index].tried.is_empty() || self.remakes > 0,
         };
-        let branch = &mut self.branches[index];
-        branch.attempts += 1;
-        let (upstream, role) = (String::new(), AttemptRole::Pieces);
-        branch.open =
-            Some(OpenAttempt { id, upstream, address: None, sent: now, progress: now, role });
-        let tried = branch.tried.clone();
+        let step_run = &mut self.step_runs[index];
+        step_run.attempts += 1;
+        let (upstream, role) = (String::new(), AttemptKind::Pieces);
+        step_run.in_flight =
+            Some(InFlightAttempt { id, upstream, address: None, sent: now, progress: now, role });
+        let tried = step_run.tried.clone();
         let target = self.target_request().filter(|_| self.makes_heavy(position)).map(Box::new);
-        steps.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
+        actions.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
     }
 
     /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
@@ -82,14 +82,14 @@
             return None;
         };
         let is_heavy = bytes.saturating_mul(LIGHT_SHARE) >= rules.result_bytes;
-        let made_by = self.branches.iter().find(|branch| branch.step == earlier)?;
+        let made_by = self.step_runs.iter().find(|step_run| step_run.step == earlier)?;
         (users == 1 && is_heavy).then(|| made_by.section.clone())
     }
 
     /// Records that `section` of the pool runs the work items of the attempt `id`.
     pub fn note_section(&mut self, id: AttemptId, section: &str) {
-        if let Some(branch) = self.branches.iter_mut().find(|branch| branch.is_attempt(id)) {
-            section.clone_into(&mut branch.section);
+        if let Some(step_run) = self.step_runs.iter_mut().find(|step_run| step_run.is_attempt(id)) {
+            section.clone_into(&mut step_run.section);
         }
     }
 
@@ -98,10 +98,10 @@
     fn heavy_zone(&self, position: usize) -> Option<String> {
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for branch in self.branches.iter().filter(|branch| after.contains(&branch.step)) {
-            let Some(BranchAnswer::Results(made)) = &branch.answer else { continue };
+        for step_run in self.step_runs.iter().filter(|step_run| after.contains(&step_run.step)) {
+            let Some(StepOutput::Results(made)) = &step_run.answer else { continue };
             for result in made {
-                *zones.entry(&result.zone).or_default() += self.result_bytes(branch.step);
+                *zones.entry(&result.zone).or_default() += self.result_bytes(step_run.step);
             }
         }
         let (zone, bytes) = zones.into_iter().max_by_key(|(_, bytes)| *bytes)?;
@@ -126,8 +126,8 @@
 
     fn results_of(&self, steps: &[usize]) -> Vec<ResultHandle> {
         let mut handles = Vec::new();
-        for branch in self.branches.iter().filter(|branch| steps.contains(&branch.step)) {
-            if let Some(BranchAnswer::Results(made)) = &branch.answer {
+        for step_run in self.step_runs.iter().filter(|step_run| steps.contains(&step_run.step)) {
+            if let Some(StepOutput::Results(made)) = &step_run.answer {
                 handles.extend(made.iter().map(|result| result.handle.clone()));
             }
         }
@@ -139,26 +139,26 @@
         index: usize,
         fault: PieceFault,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         let counter = match fault {
             PieceFault::Moved => CounterName::PiecesMoved,
             _ => CounterName::PiecesFailed,
         };
-        steps.push(count(counter));
-        self.branches[index].open = None;
+        actions.push(count(counter));
+        self.step_runs[index].in_flight = None;
         let in_time = now < self.plan.deadline;
         match fault {
-            PieceFault::Moved if in_time && self.branches[index].moves < MOVES => {
-                self.branches[index].moves += 1;
-                self.offer_pieces(index, now, steps);
+            PieceFault::Moved if in_time && self.step_runs[index].moves < MOVES => {
+                self.step_runs[index].moves += 1;
+                self.offer_pieces(index, now, actions);
                 None
             }
             PieceFault::InputGone if in_time && self.remakes < REMAKES => {
-                self.remake(now, steps);
+                self.remake(now, actions);
                 None
             }
-            _ => Some(self.end(FailedAttempt::Pieces(fault).reason(), now, steps)),
+            _ => Some(self.end(AttemptFailure::Pieces(fault).reason(), now, actions)),
         }
     }
 
@@ -168,63 +168,63 @@
         index: usize,
         vm: String,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let branch = &mut self.branches[index];
-        branch.open = None;
-        branch.tried.push(vm);
-        if branch.tried.len() >= DISPATCHERS || now >= self.plan.deadline {
-            return Some(self.end(RefusalReason::NoUpstream, now, steps));
+        let step_run = &mut self.step_runs[index];
+        step_run.in_flight = None;
+        step_run.tried.push(vm);
+        if step_run.tried.len() >= DISPATCHERS || now >= self.plan.deadline {
+            return Some(self.end(RefusalReason::NoUpstream, now, actions));
         }
-        steps.push(count(CounterName::DispatchersLost));
-        self.offer_pieces(index, now, steps);
+        actions.push(count(CounterName::DispatchersLost));
+        self.offer_pieces(index, now, actions);
         None
     }
 
     /// Starts all batched steps again, because a result that a later step needs was lost with the
     /// upstream that stored it.
-    pub(super) fn remake(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn remake(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         self.remakes += 1;
-        self.close_branches(steps);
-        self.free_inputs(steps);
+        self.close_step_runs(actions);
+        self.free_inputs(actions);
         self.freed = false;
-        let forward = self.branches.drain(..).find(|branch| branch.work == StepWork::Forward);
-        self.carried = forward.map(|branch| (branch.attempts, branch.tried));
-        steps.push(count(CounterName::StepsRemade));
-        self.begin_steps(now, steps);
+        let forward = self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
+        self.carried = forward.map(|step_run| (step_run.attempts, step_run.tried));
+        actions.push(count(CounterName::StepsRemade));
+        self.begin_steps(now, actions);
     }
 
     /// Frees every result. Either the results that were needed have been fetched, or no step will
     /// fetch them any more.
-    pub(super) fn free_inputs(&mut self, steps: &mut Vec<ShardStep>) {
-        for index in 0..self.branches.len() {
-            self.freed |= self.free_results(index, steps);
+    pub(super) fn free_inputs(&mut self, actions: &mut Vec<ShardStep>) {
+        for index in 0..self.step_runs.len() {
+            self.freed |= self.free_results(index, actions);
         }
     }
 
     /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
     /// result memory holds only the results of a few seconds, and each result that stays keeps out
     /// work items of another request.
-    pub(super) fn free_used(&mut self, position: usize, steps: &mut Vec<ShardStep>) {
+    pub(super) fn free_used(&mut self, position: usize, actions: &mut Vec<ShardStep>) {
         for earlier in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
             let mut later =
                 plan.iter().enumerate().filter(|(_, step)| step.after.contains(&earlier));
             if later.all(|(step, _)| self.is_done(step))
-                && let Some(index) = self.branches.iter().position(|each| each.step == earlier)
+                && let Some(index) = self.step_runs.iter().position(|each| each.step == earlier)
             {
-                self.free_results(index, steps);
+                self.free_results(index, actions);
             }
         }
     }
 
-    fn free_results(&mut self, index: usize, steps: &mut Vec<ShardStep>) -> bool {
-        let branch = &mut self.branches[index];
-        let Some(BranchAnswer::Results(made)) = &mut branch.answer else { return false };
+    fn free_results(&mut self, index: usize, actions: &mut Vec<ShardStep>) -> bool {
+        let step_run = &mut self.step_runs[index];
+        let Some(StepOutput::Results(made)) = &mut step_run.answer else { return false };
         if made.is_empty() {
             return false;
         }
-        steps.push(free_results(&branch.section, std::mem::take(made)));
+        actions.push(free_results(&step_run.section, std::mem::take(made)));
         true
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
-use super::branch_run::{AttemptRole, BranchAnswer, BranchRun, FailedAttempt, OpenAttempt};
+use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput, StepRun};
 use super::{
-    AttemptEvent, BreakReason, FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan,
-    RunEvidence, ShardStep, StageCost,
+    AttemptCounts, AttemptEvent, BreakReason, FinalAnswer, FinalOutcome, OutcomeKind,
+    RefusalReason, RequestPlan, ShardStep, StageCost,
 };
 use crate::configuration::{RepeatRule, StepWork};
 use crate::daemon::{Command, CounterName, TimerKey};
@@ -24,9 +24,9 @@
     pub(super) incarnation: u64,
     pub(super) plan: RequestPlan,
     /// Runs of the steps that have started.
-    pub(super) branches: Vec<BranchRun>,
+    pub(super) step_runs: Vec<StepRun>,
     pub(super) costs: Vec<StageCost>,
-    pub(super) evidence: RunEvidence,
+    pub(super) evidence: AttemptCounts,
     pub(super) sequence: u32,
     /// Whether a part of the response was passed on to the caller.
     pub(super) forwarded: bool,
@@ -51,9 +51,9 @@
             call,
             incarnation,
             plan,
-            branches: Vec::new(),
+            step_runs: Vec::new(),
             costs: Vec::new(),
-            evidence: RunEvidence::default(),
+            evidence: AttemptCounts::default(),
             sequence: 0,
             forwarded: false,
             succeeded: false,
@@ -77,8 +77,8 @@
     }
 
     /// Starts the steps that need no results of other steps.
-    pub fn begin(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        self.begin_steps(now, steps);
+    pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+        self.begin_steps(now, actions);
     }
 
     /// Sends an attempt to the upstream that the router assigned.
@@ -90,43 +90,44 @@
         &mut self,
         grant: SlotGrant,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let branch = self.branches.iter().position(|branch| branch.step == grant.request.branch);
-        let wanted = branch.filter(|index| {
-            let branch = &self.branches[*index];
-            branch.stage == grant.request.stage && branch.is_waiting()
+        let step_run =
+            self.step_runs.iter().position(|step_run| step_run.step == grant.request.branch);
+        let wanted = step_run.filter(|index| {
+            let step_run = &self.step_runs[*index];
+            step_run.stage == grant.request.stage && step_run.is_waiting()
         });
         // A request that can't be answered in time would only take up a slot that another request
         // could use.
         let unservable = now + grant.fastest >= self.plan.deadline;
         let Some(index) = wanted.filter(|_| !unservable) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
-            steps.push(ShardStep::Release { upstream: grant.upstream, call, report });
-            return wanted.and_then(|_| self.denied(RefusalReason::Overload, now, steps));
+            actions.push(ShardStep::Release { upstream: grant.upstream, call, report });
+            return wanted.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
         };
         let id = self.next_attempt();
-        let role = match self.branches[index].work {
+        let role = match self.step_runs[index].work {
             StepWork::Forward => {
                 let order = self.relay_order(id, &grant, now);
-                steps.push(ShardStep::Command(Command::Relay(order)));
-                AttemptRole::Forward
+                actions.push(ShardStep::Command(Command::Relay(order)));
+                AttemptKind::Forward
             }
             StepWork::Json | StepWork::Batched { .. } => {
                 let order = self.order(id, &grant);
                 let silence = self.plan.stage(&grant.request.stage).silence;
-                steps.push(ShardStep::Command(Command::Send(order)));
-                steps.push(set_timer(TimerKey::Silence(id), now + silence));
-                AttemptRole::Json(super::StreamAssembler::new(id))
+                actions.push(ShardStep::Command(Command::Send(order)));
+                actions.push(set_timer(TimerKey::Silence(id), now + silence));
+                AttemptKind::Json(super::StreamAssembler::new(id))
             }
         };
-        let branch = &mut self.branches[index];
-        if let Some(held) = branch.held.take() {
+        let step_run = &mut self.step_runs[index];
+        if let Some(held) = step_run.held.take() {
             // Another attempt starts, so the held error response is dropped.
-            steps.push(ShardStep::Command(Command::Cancel(held)));
+            actions.push(ShardStep::Command(Command::Cancel(held)));
         }
-        branch.attempts += 1;
-        branch.open = Some(OpenAttempt {
+        step_run.attempts += 1;
+        step_run.in_flight = Some(InFlightAttempt {
             id,
             upstream: grant.upstream,
             address: Some(grant.address),
@@ -135,7 +136,7 @@
             role,
         });
         self.evidence.sent += 1;
-        steps.push(count(CounterName::AttemptsSent));
+        actions.push(count(CounterName::AttemptsSent));
         None
     }
 
@@ -144,27 +145,27 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let held = self.branches.iter_mut().find_map(|branch| {
-            let held = branch.held.take()?;
-            Some((held, branch))
+        let held = self.step_runs.iter_mut().find_map(|step_run| {
+            let held = step_run.held.take()?;
+            Some((held, step_run))
         });
-        if let Some((held, branch)) = held {
+        if let Some((held, step_run)) = held {
             // The error response of the previous attempt is the best available answer, so it is
             // passed on unchanged.
-            branch.open = Some(OpenAttempt {
+            step_run.in_flight = Some(InFlightAttempt {
                 id: held,
                 upstream: String::new(),
                 address: None,
                 sent: now,
                 progress: now,
-                role: AttemptRole::Forward,
+                role: AttemptKind::Forward,
             });
-            self.pass_on(held, steps);
+            self.pass_on(held, actions);
             return None;
         }
-        Some(self.end(reason, now, steps))
+        Some(self.end(reason, now, actions))
     }
 
     /// Handles an event of an attempt. Returns the final answer if the event ends the run.
@@ -173,63 +174,63 @@
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let Some(index) = self.branches.iter().position(|branch| branch.is_attempt(id)) else {
-            steps.push(count(CounterName::LateAnswers));
+        let Some(index) = self.step_runs.iter().position(|step_run| step_run.is_attempt(id)) else {
+            actions.push(count(CounterName::LateAnswers));
             return None;
         };
         match event {
             AttemptEvent::NotSent => {
                 self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                self.attempt_failed(index, FailedAttempt::NotSent, now, steps)
+                self.step_runs[index].attempts -= 1;
+                self.attempt_failed(index, AttemptFailure::NotSent, now, actions)
             }
             AttemptEvent::Greeted { life, leaving } => {
                 let upstream = self.progress(index, now).to_owned();
-                steps.push(ShardStep::Greet { upstream, life, leaving });
+                actions.push(ShardStep::Greet { upstream, life, leaving });
                 None
             }
-            AttemptEvent::Line(line) => self.line(index, &line, now, steps),
+            AttemptEvent::Line(line) => self.line(index, &line, now, actions),
             AttemptEvent::Answered { echo, answer } => {
                 if echo != Some(id) {
-                    let failure = FailedAttempt::Broken(BreakReason::Foreign);
-                    return self.attempt_failed(index, failure, now, steps);
+                    let failure = AttemptFailure::Broken(BreakReason::Foreign);
+                    return self.attempt_failed(index, failure, now, actions);
                 }
                 self.evidence.ran += 1;
-                steps.push(ShardStep::Succeeded(self.plan.digest));
-                self.branch_answered(index, BranchAnswer::Json(answer), now, steps)
+                actions.push(ShardStep::Succeeded(self.plan.digest));
+                self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             AttemptEvent::Declined { status: _ } => {
                 self.evidence.ran += 1;
-                self.attempt_failed(index, FailedAttempt::Declined, now, steps)
+                self.attempt_failed(index, AttemptFailure::Declined, now, actions)
             }
             AttemptEvent::Broken(reason) => {
-                self.attempt_failed(index, FailedAttempt::Broken(reason), now, steps)
+                self.attempt_failed(index, AttemptFailure::Broken(reason), now, actions)
             }
-            AttemptEvent::Headed(head) => self.headed(index, id, head, now, steps),
+            AttemptEvent::Headed(head) => self.headed(index, id, head, now, actions),
             AttemptEvent::Flowing => {
                 let upstream = self.progress(index, now).to_owned();
-                steps.push(ShardStep::Flowing { upstream, call: self.call });
-                self.free_inputs(steps);
+                actions.push(ShardStep::Flowing { upstream, call: self.call });
+                self.free_inputs(actions);
                 None
             }
             AttemptEvent::Passed => {
                 if self.succeeded {
-                    steps.push(ShardStep::Succeeded(self.plan.digest));
+                    actions.push(ShardStep::Succeeded(self.plan.digest));
                 }
                 self.evidence.ran = (self.evidence.ran + 1).min(self.evidence.sent);
-                self.free_inputs(steps);
-                self.branch_answered(index, BranchAnswer::Passed, now, steps)
+                self.free_inputs(actions);
+                self.complete_step(index, StepOutput::Forwarded, now, actions)
             }
             AttemptEvent::PiecesMade(results) => {
-                self.branch_answered(index, BranchAnswer::Results(results), now, steps)
+                self.complete_step(index, StepOutput::Results(results), now, actions)
             }
             AttemptEvent::PiecesFailed { fault, retry_after } => {
                 self.retry_after = Some(retry_after);
-                self.pieces_failed(index, fault, now, steps)
+                self.pieces_failed(index, fault, now, actions)
             }
-            AttemptEvent::DispatcherLost(vm) => self.dispatcher_lost(index, vm, now, steps),
+            AttemptEvent::DispatcherLost(vm) => self.dispatcher_lost(index, vm, now, actions),
         }
     }
 
@@ -239,10 +240,10 @@
         &mut self,
         (reason, left): (RefusalReason, Duration),
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         self.retry_after = Some(left);
-        self.denied(reason, now, steps)
+        self.denied(reason, now, actions)
     }
 
     /// Ends the run without an answer and cancels everything that is still open.
@@ -250,12 +251,12 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> FinalAnswer {
-        let stage = self.branches.iter().find(|branch| branch.answer.is_none());
-        let stage = stage.map(|branch| branch.stage.clone());
-        self.close_branches(steps);
-        self.free_inputs(steps);
+        let stage = self.step_runs.iter().find(|step_run| step_run.answer.is_none());
+        let stage = stage.map(|step_run| step_run.stage.clone());
+        self.close_step_runs(actions);
+        self.free_inputs(actions);
         let verdict = self.evidence.verdict(self.plan.repeatable);
         let mut outcome = FinalOutcome::new(verdict, &self.plan.request.key).reason(reason);
         if verdict == OutcomeKind::Refused && self.plan.forward().is_some() {
@@ -286,40 +287,40 @@
     }
 
     /// Starts every step that has not started and whose inputs are available.
-    pub(super) fn begin_steps(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn begin_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         for position in 0..self.plan.pipeline.plan.steps().len() {
             let step = &self.plan.pipeline.plan.steps()[position];
-            let begun = self.branches.iter().any(|branch| branch.step == position);
+            let begun = self.step_runs.iter().any(|step_run| step_run.step == position);
             if begun || !step.after.iter().all(|earlier| self.is_done(*earlier)) {
                 continue;
             }
-            let mut branch = BranchRun::new(position, &step.stage, step.work, now);
+            let mut step_run = StepRun::new(position, &step.stage, step.work, now);
             let batched = matches!(step.work, StepWork::Batched { .. });
             if step.work == StepWork::Forward
                 && let Some((attempts, tried)) = self.carried.take()
             {
-                (branch.attempts, branch.tried) = (attempts, tried);
+                (step_run.attempts, step_run.tried) = (attempts, tried);
             }
             if batched && self.plan.pieces(position) == 0 {
-                branch.answer = Some(BranchAnswer::Results(Vec::new()));
+                step_run.answer = Some(StepOutput::Results(Vec::new()));
             }
-            let index = self.branches.len();
-            let is_answered = branch.answer.is_some();
-            self.branches.push(branch);
+            let index = self.step_runs.len();
+            let is_answered = step_run.answer.is_some();
+            self.step_runs.push(step_run);
             if is_answered {
                 continue;
             }
             if batched {
-                self.offer_pieces(index, now, steps);
+                self.offer_pieces(index, now, actions);
             } else {
-                steps.push(ShardStep::Acquire(self.slot_request(index)));
+                actions.push(ShardStep::Acquire(self.slot_request(index)));
             }
         }
     }
 
     pub(super) fn is_done(&self, position: usize) -> bool {
-        let branch = self.branches.iter().find(|branch| branch.step == position);
-        branch.is_some_and(|branch| branch.answer.is_some())
+        let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+        step_run.is_some_and(|step_run| step_run.answer.is_some())
     }
 
     pub(super) fn next_attempt(&mut self) -> AttemptId {
@@ -328,16 +329,16 @@
     }
 
     pub(super) fn slot_request(&self, index: usize) -> SlotRequest {
-        let branch = &self.branches[index];
+        let step_run = &self.step_runs[index];
         let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
         SlotRequest {
             call: self.call,
-            branch: branch.step,
-            stage: branch.stage.clone(),
+            branch: step_run.step,
+            stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: branch.tried.clone(),
-            demand: demand.filter(|_| branch.work == StepWork::Forward),
+            tried: step_run.tried.clone(),
+            demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
             homes: self.plan.homes.clone(),
         }
@@ -349,47 +350,47 @@
         match self.plan.forward() {
             None => self.plan.repeatable,
             Some(forward) => {
-                self.plan.repeatable && self.branches[index].attempts < forward.attempts
+                self.plan.repeatable && self.step_runs[index].attempts < forward.attempts
             }
         }
     }
 
     pub(super) fn progress(&mut self, index: usize, now: MonotonicTime) -> &str {
-        match &mut self.branches[index].open {
-            Some(open) => {
-                open.progress = now;
-                &open.upstream
+        match &mut self.step_runs[index].in_flight {
+            Some(in_flight) => {
+                in_flight.progress = now;
+                &in_flight.upstream
             }
             None => "",
         }
     }
 
-    pub(super) fn branch_answered(
+    pub(super) fn complete_step(
         &mut self,
         index: usize,
-        answer: BranchAnswer,
+        answer: StepOutput,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let open = self.branches[index].open.take()?;
-        let spent = now.since(open.sent);
-        self.branches[index].answer = Some(answer);
-        let branch = &self.branches[index];
-        let rate = self.plan.stage(&branch.stage).cost;
+        let in_flight = self.step_runs[index].in_flight.take()?;
+        let spent = now.since(in_flight.sent);
+        self.step_runs[index].answer = Some(answer);
+        let step_run = &self.step_runs[index];
+        let rate = self.plan.stage(&step_run.stage).cost;
         self.costs.push(StageCost {
-            stage: branch.stage.clone(),
-            upstream: open.upstream.clone(),
-            time_ms: now.since(branch.since).as_secs_f64() * 1e3,
-            attempts: branch.attempts,
-            tried: branch.tried.clone(),
+            stage: step_run.stage.clone(),
+            upstream: in_flight.upstream.clone(),
+            time_ms: now.since(step_run.since).as_secs_f64() * 1e3,
+            attempts: step_run.attempts,
+            tried: step_run.tried.clone(),
             cost: spent.as_secs_f64() * rate,
         });
-        if open.has_slot() {
+        if in_flight.has_slot() {
             let (call, report) = (self.call, AttemptReport::Answered(spent));
-            steps.push(ShardStep::Release { upstream: open.upstream, call, report });
+            actions.push(ShardStep::Release { upstream: in_flight.upstream, call, report });
         }
-        self.free_used(self.branches[index].step, steps);
-        self.begin_steps(now, steps);
+        self.free_used(self.step_runs[index].step, actions);
+        self.begin_steps(now, actions);
         let finished = (0..self.plan.pipeline.plan.steps().len()).all(|each| self.is_done(each));
         finished.then(|| self.answered(now))
     }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -68,7 +68,7 @@
         call: CallId,
         key: &RequestKey,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) -> bool {
         self.keys.forget(now);
         match self.keys.get(key) {
@@ -80,7 +80,7 @@
                 true
             }
             Some(KeyUse::Finished(answer)) => {
-                steps.push(reply(call, answer.clone()));
+                actions.push(reply(call, answer.clone()));
                 true
             }
             Some(KeyUse::GivenUp) | None => false,
@@ -105,27 +105,27 @@
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         debug_assert!(!plan.claimed);
-        steps.push(set_timer(TimerKey::Deadline(call), plan.deadline));
+        actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
         let mut run = RequestRun::new(call, self.own.mark(), plan);
-        run.begin(now, steps);
+        run.begin(now, actions);
         let active = ActiveRun { run, poll: None, witnesses: None, followers: Vec::new() };
         self.runs.insert(call, active);
     }
 
     /// Handles the upstream that the router assigned to a step.
-    pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         let call = grant.request.call;
         match self.runs.get_mut(&call) {
             Some(active) => {
-                let end = active.run.dispatch(grant, now, steps);
-                self.finish_if(call, end, now, steps);
+                let end = active.run.dispatch(grant, now, actions);
+                self.finish_if(call, end, now, actions);
             }
             None => {
                 let report = AttemptReport::Cancelled;
-                steps.push(ShardStep::Release { upstream: grant.upstream, call, report });
+                actions.push(ShardStep::Release { upstream: grant.upstream, call, report });
             }
         }
     }
@@ -136,11 +136,11 @@
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         if let Some(active) = self.runs.get_mut(&call) {
-            let end = active.run.denied(reason, now, steps);
-            self.finish_if(call, end, now, steps);
+            let end = active.run.denied(reason, now, actions);
+            self.finish_if(call, end, now, actions);
         }
     }
 
@@ -150,42 +150,42 @@
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         match self.runs.get_mut(&id.call) {
             Some(active) => {
-                let end = active.run.attempt_event(id, event, now, steps);
-                self.finish_if(id.call, end, now, steps);
+                let end = active.run.attempt_event(id, event, now, actions);
+                self.finish_if(id.call, end, now, actions);
             }
-            None => steps.push(ShardStep::Command(Command::Count(CounterName::LateAnswers))),
+            None => actions.push(ShardStep::Command(Command::Count(CounterName::LateAnswers))),
         }
     }
 
     /// Handles an expired timer of this shard.
-    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         match timer {
             TimerKey::Deadline(call) => {
                 if self.runs.contains_key(&call) {
-                    self.end_run(call, RefusalReason::Deadline, now, steps);
+                    self.end_run(call, RefusalReason::Deadline, now, actions);
                 }
             }
             TimerKey::Claim(call) => {
                 if let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut())
                 {
                     poll.close();
-                    self.claim_step(call, now, steps);
+                    self.claim_step(call, now, actions);
                 }
             }
             TimerKey::Silence(id) => {
                 if let Some(active) = self.runs.get_mut(&id.call) {
-                    let end = active.run.silence_check(id, now, steps);
-                    self.finish_if(id.call, end, now, steps);
+                    let end = active.run.silence_check(id, now, actions);
+                    self.finish_if(id.call, end, now, actions);
                 }
             }
             TimerKey::Inquiry(call) => {
                 if let Some(inquiry) = self.inquiries.get_mut(&call) {
                     let answer = inquiry.give_up(now);
-                    self.finish_inquiry(call, answer, now, steps);
+                    self.finish_inquiry(call, answer, now, actions);
                 }
             }
             TimerKey::Holder(call) => {
@@ -193,7 +193,7 @@
                     && let Some(holder) = inquiry.holder.clone()
                 {
                     let key = inquiry.key.clone();
-                    steps.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+                    actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
                 }
             }
             _ => debug_assert!(false, "{timer:?} is not a timer of a request"),
@@ -203,11 +203,11 @@
     /// Handles the disconnect of a caller. A run that may be repeated is cancelled and its
     /// resources are freed; a run that must happen at most once continues, and its outcome can be
     /// looked up.
-    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         let ends = self.runs.get(&call).is_some_and(|active| !active.run.outlives_caller());
         if ends {
-            steps.push(ShardStep::Command(Command::Count(CounterName::CallersGone)));
-            self.end_run(call, RefusalReason::Deadline, now, steps);
+            actions.push(ShardStep::Command(Command::Count(CounterName::CallersGone)));
+            self.end_run(call, RefusalReason::Deadline, now, actions);
         }
     }
 
@@ -218,7 +218,7 @@
         digest: RequestDigest,
         left: Duration,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let like = self
             .runs
@@ -226,7 +226,7 @@
             .filter(|(_, active)| active.run.plan().digest == digest && active.run.is_unsent());
         let calls: Vec<CallId> = like.map(|(call, _)| *call).collect();
         for call in calls {
-            self.denied_for(call, (RefusalReason::Quarantined, left), now, steps);
+            self.denied_for(call, (RefusalReason::Quarantined, left), now, actions);
         }
     }
 
@@ -244,9 +244,9 @@
         call: CallId,
         why: (RefusalReason, Duration),
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
-        self.settle_run(call, now, steps, |run, steps| run.denied_for(why, now, steps));
+        self.settle_run(call, now, actions, |run, actions| run.denied_for(why, now, actions));
     }
 
     /// Ends every run with `reason`.
@@ -254,11 +254,11 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let calls: Vec<CallId> = self.runs.keys().copied().collect();
         for call in calls {
-            self.end_run(call, reason, now, steps);
+            self.end_run(call, reason, now, actions);
         }
     }
 
@@ -277,9 +277,9 @@
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
-        self.settle_run(call, now, steps, |run, steps| Some(run.end(reason, now, steps)));
+        self.settle_run(call, now, actions, |run, actions| Some(run.end(reason, now, actions)));
     }
 
     /// Ends the run of `call` through `settle`, or abandons its key if the key is not claimed yet.
@@ -287,16 +287,16 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
         settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardStep>) -> Option<FinalAnswer>,
     ) {
         let Some(active) = self.runs.get_mut(&call) else { return };
         if active.poll.is_some() {
-            self.give_up_claim(call, now, steps);
+            self.give_up_claim(call, now, actions);
             return;
         }
-        let end = settle(&mut active.run, steps);
-        self.finish_if(call, end, now, steps);
+        let end = settle(&mut active.run, actions);
+        self.finish_if(call, end, now, actions);
     }
 
     fn finish_if(
@@ -304,10 +304,10 @@
         call: CallId,
         end: Option<FinalAnswer>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         if let Some(answer) = end {
-            self.finish_run(call, answer, now, steps);
+            self.finish_run(call, answer, now, actions);
         }
     }
 
@@ -316,25 +316,25 @@
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardStep>,
     ) {
         let Some(active) = self.runs.remove(&call) else { return };
         let plan = active.run.plan();
-        steps.push(ShardStep::GiveBack(plan.permit.clone()));
+        actions.push(ShardStep::GiveBack(plan.permit.clone()));
         if plan.claimed {
             let key = plan.request.key.clone();
             for witness in active.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
                 let witness = witness.clone();
-                steps.push(ShardStep::Command(Command::RecordOutcome { witness, key, body }));
+                actions.push(ShardStep::Command(Command::RecordOutcome { witness, key, body }));
             }
             let life = plan.declarations.deployment().key_life;
             self.keys.end(key, Some(answer.clone()), life, now);
         }
         for follower in active.followers {
-            steps.push(reply(follower, answer.clone()));
+            actions.push(reply(follower, answer.clone()));
         }
-        steps.push(reply(call, answer));
+        actions.push(reply(call, answer));
     }
 }
 
--- a/crates/crocusdale_core/src/pipeline/branch_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -9,7 +9,7 @@
 
 /// One started step of a request.
 #[derive(Debug)]
-pub(super) struct BranchRun {
+pub(super) struct StepRun {
     /// Position of the step in the pipeline's plan.
     pub(super) step: usize,
     pub(super) stage: String,
@@ -25,28 +25,28 @@
     /// Number of times that the work items were handed to another dispatcher before any call
     /// contained them.
     pub(super) moves: u32,
-    pub(super) open: Option<OpenAttempt>,
+    pub(super) in_flight: Option<InFlightAttempt>,
     /// Attempt whose error response is held back. It is passed on to the caller if no other attempt
     /// can be made.
     pub(super) held: Option<AttemptId>,
-    pub(super) answer: Option<BranchAnswer>,
+    pub(super) answer: Option<StepOutput>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug)]
-pub(super) struct OpenAttempt {
+pub(super) struct InFlightAttempt {
     pub(super) id: AttemptId,
     pub(super) upstream: String,
     /// Socket address of the upstream; `None` unless this daemon calls the upstream itself.
     pub(super) address: Option<SocketAddr>,
     pub(super) sent: MonotonicTime,
     pub(super) progress: MonotonicTime,
-    pub(super) role: AttemptRole,
+    pub(super) role: AttemptKind,
 }
 
 /// What kind of call an attempt makes.
 #[derive(Debug)]
-pub(super) enum AttemptRole {
+pub(super) enum AttemptKind {
     /// A JSON call of a stage, with the assembler for a streamed answer.
     Json(StreamAssembler),
     /// Work items that were handed to a dispatcher.
@@ -57,14 +57,14 @@
 
 /// Output of a finished step.
 #[derive(Clone, Debug)]
-pub(super) enum BranchAnswer {
+pub(super) enum StepOutput {
     Json(Box<RawValue>),
     Results(Vec<PlacedResult>),
     /// The response was forwarded to the caller and is not kept.
-    Passed,
+    Forwarded,
 }
 
-impl BranchRun {
+impl StepRun {
     pub(super) fn new(step: usize, stage: &str, work: StepWork, now: MonotonicTime) -> Self {
         Self {
             step,
@@ -75,7 +75,7 @@
             attempts: 0,
             tried: Vec::new(),
             moves: 0,
-            open: None,
+            in_flight: None,
             held: None,
             answer: None,
         }
@@ -83,24 +83,24 @@
 
     /// Whether the step waits for the router to assign an upstream.
     pub(super) fn is_waiting(&self) -> bool {
-        self.open.is_none() && self.answer.is_none()
+        self.in_flight.is_none() && self.answer.is_none()
     }
 
     pub(super) fn is_attempt(&self, id: AttemptId) -> bool {
-        self.open.as_ref().is_some_and(|open| open.id == id)
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.id == id)
     }
 }
 
-impl OpenAttempt {
+impl InFlightAttempt {
     /// Whether the attempt holds a concurrency slot of an upstream in the router.
     pub(super) fn has_slot(&self) -> bool {
-        !matches!(self.role, AttemptRole::Pieces)
+        !matches!(self.role, AttemptKind::Pieces)
     }
 }
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FailedAttempt {
+pub(super) enum AttemptFailure {
     NotSent,
     Declined,
     /// The upstream stated that it did not run the forwarded request.
@@ -109,7 +109,7 @@
     Pieces(PieceFault),
 }
 
-impl FailedAttempt {
+impl AttemptFailure {
     pub(super) fn counter(self) -> CounterName {
         match self {
             Self::NotSent => CounterName::AttemptsNotSent,
