--- a/crates/crocusdale_core/src/pipeline/attempt_counts.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_counts.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// Attempts of which at least one byte may have been written to an upstream.
-    pub sent: u32,
+    pub possibly_sent: u32,
     /// Attempts that certainly ran, because the upstream answered them, even if only with an error.
-    pub ran: u32,
+    pub executed: u32,
 }
 
 impl AttemptCounts {
@@ -16,11 +16,11 @@
     /// proved. If the request is not `repeatable`, one attempt without a reply is enough for
     /// "unknown", because the caller has to know whether exactly that attempt ran.
     #[must_use]
-    pub fn verdict(self, repeatable: bool) -> OutcomeKind {
-        debug_assert!(self.ran <= self.sent);
-        if self.sent == 0 {
+    pub fn outcome_kind(self, repeatable: bool) -> OutcomeKind {
+        debug_assert!(self.executed <= self.possibly_sent);
+        if self.possibly_sent == 0 {
             OutcomeKind::Refused
-        } else if self.ran == 0 || (!repeatable && self.ran < self.sent) {
+        } else if self.executed == 0 || (!repeatable && self.executed < self.possibly_sent) {
             OutcomeKind::Unknown
         } else {
             OutcomeKind::Failed
--- a/crates/crocusdale_core/src/pipeline/attempt_failures.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_failures.rs
@@ -1,6 +1,6 @@
 //! How attempts of a request end without an answer, and which of them are retried.
 
-use super::request_run::{REMAKES, count, set_timer};
+use super::request_run::{MAX_REBUILDS, count, set_timer};
 use super::step_run::{AttemptFailure, InFlightAttempt};
 use super::{BreakReason, FinalAnswer, RequestRun, ShardStep};
 use crate::configuration::RepeatRule;
@@ -13,24 +13,29 @@
     ///
     /// Guards against connections that stay silent for good while their hosts accept new ones:
     /// progress is expected of the attempt itself, not of the host.
-    pub fn silence_check(
+    pub fn check_silence(
         &mut self,
         id: AttemptId,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         let index = self.step_runs.iter().position(|step_run| step_run.is_attempt(id))?;
-        let silence = self.plan.stage(&self.step_runs[index].stage).silence;
-        let progress = self.step_runs[index].in_flight.as_ref()?.progress;
-        if now.since(progress) < silence {
-            actions.push(set_timer(TimerKey::Silence(id), progress + silence));
+        let silence_timeout = self.plan.stage(&self.step_runs[index].stage).silence;
+        let last_progress = self.step_runs[index].in_flight.as_ref()?.last_progress;
+        if now.since(last_progress) < silence_timeout {
+            actions.push(set_timer(TimerKey::Silence(id), last_progress + silence_timeout));
             return None;
         }
         actions.push(ShardStep::Command(Command::Cancel(id)));
-        self.attempt_failed(index, AttemptFailure::Broken(BreakReason::Silent), now, actions)
+        self.handle_attempt_failure(
+            index,
+            AttemptFailure::Broken(BreakReason::Silent),
+            now,
+            actions,
+        )
     }
 
-    pub(super) fn attempt_failed(
+    pub(super) fn handle_attempt_failure(
         &mut self,
         index: usize,
         failure: AttemptFailure,
@@ -41,10 +46,10 @@
             AttemptFailure::NotRun => AttemptReport::Declined,
             _ => AttemptReport::Failed,
         };
-        self.release(index, report, actions);
-        let may_repeat = self.may_repeat(index);
-        let resumable =
-            self.plan.forward().is_some_and(|each| each.repeat == RepeatRule::ResumableStream);
+        self.release_slot(index, report, actions);
+        let can_repeat = self.can_repeat(index);
+        let is_resumable =
+            self.plan.forward().is_some_and(|rules| rules.repeat == RepeatRule::ResumableStream);
         let step_run = &mut self.step_runs[index];
         let in_flight = step_run.in_flight.take()?;
         step_run.tried.push(in_flight.upstream.clone());
@@ -57,28 +62,28 @@
                 reason,
             })));
         }
-        if let Some(address) = in_flight.address.filter(|_| failure.is_suspicious()) {
+        if let Some(address) = in_flight.address.filter(|_| failure.is_possible_crash()) {
             let (digest, upstream) = (self.plan.digest, in_flight.upstream.clone());
             actions.push(ShardStep::Suspect { digest, upstream, address });
         }
-        if failure.is_distrusted() {
+        if failure.is_broken_response() {
             actions.push(ShardStep::Command(Command::Distrust(in_flight.upstream)));
         }
-        let unrun = matches!(failure, AttemptFailure::NotSent | AttemptFailure::NotRun);
-        let may_go_on = (may_repeat || unrun) && (!self.forwarded || resumable);
-        if may_go_on && now < self.plan.deadline {
-            if self.freed && self.remakes < REMAKES {
-                self.remake(now, actions);
+        let has_not_run = matches!(failure, AttemptFailure::NotSent | AttemptFailure::NotRun);
+        let can_retry = (can_repeat || has_not_run) && (!self.has_sent_response || is_resumable);
+        if can_retry && now < self.plan.deadline {
+            if self.has_freed_results && self.rebuilds < MAX_REBUILDS {
+                self.rebuild_inputs(now, actions);
                 return None;
             }
             let request = self.slot_request(index);
-            actions.push(ShardStep::Retry { request, reason: failure.reason() });
+            actions.push(ShardStep::Retry { request, reason: failure.refusal_reason() });
             return None;
         }
-        Some(self.end(failure.reason(), now, actions))
+        Some(self.finish_unanswered(failure.refusal_reason(), now, actions))
     }
 
-    pub(super) fn release(
+    pub(super) fn release_slot(
         &mut self,
         index: usize,
         report: AttemptReport,
@@ -94,12 +99,12 @@
 
     pub(super) fn close_step_runs(&mut self, actions: &mut Vec<ShardStep>) {
         for index in 0..self.step_runs.len() {
-            if let Some(held) = self.step_runs[index].held.take() {
-                actions.push(ShardStep::Command(Command::Cancel(held)));
+            if let Some(held_attempt) = self.step_runs[index].held_attempt.take() {
+                actions.push(ShardStep::Command(Command::Cancel(held_attempt)));
             }
             if let Some(in_flight) = self.step_runs[index].in_flight.take() {
                 self.close_attempt(index, in_flight, actions);
-            } else if self.step_runs[index].answer.is_none() {
+            } else if self.step_runs[index].output.is_none() {
                 actions.push(ShardStep::Withdraw(self.slot_request(index)));
             }
         }
@@ -112,7 +117,7 @@
         actions: &mut Vec<ShardStep>,
     ) {
         if !in_flight.has_slot() {
-            let pool = self.step_runs[index].section.clone();
+            let pool = self.step_runs[index].pool_section.clone();
             actions.push(ShardStep::WithdrawPieces { attempt: in_flight.id, pool });
             return;
         }
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -31,7 +31,7 @@
 }
 
 impl RequestRun {
-    pub(super) fn order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
+    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
         let stage = self.plan.stage(&grant.request.stage);
         let inputs = self.json_inputs(grant.request.branch);
         let RequestContent::Json(payload) = &self.plan.request.content else {
@@ -64,7 +64,7 @@
         let after = &self.plan.pipeline.plan.steps()[position].after;
         let answer = |earlier: &usize| {
             let step_run = self.step_runs.iter().find(|step_run| step_run.step == *earlier)?;
-            match &step_run.answer {
+            match &step_run.output {
                 Some(StepOutput::Json(answer)) => {
                     Some(StageAnswer { stage: &step_run.stage, answer })
                 }
@@ -74,20 +74,20 @@
         after.iter().filter_map(answer).collect()
     }
 
-    pub(super) fn line(
+    pub(super) fn handle_stream_line(
         &mut self,
         index: usize,
         line: &StreamLine,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        self.progress(index, now);
+        self.record_progress(index, now);
         let in_flight = self.step_runs[index].in_flight.as_mut()?;
-        let AttemptKind::Json(assembler) = &mut in_flight.role else { return None };
+        let AttemptKind::Json(assembler) = &mut in_flight.kind else { return None };
         match assembler.take(line) {
             Ok(None) => {
-                if self.passes_on(index) {
-                    self.forwarded = true;
+                if self.is_streamed_to_caller(index) {
+                    self.has_sent_response = true;
                     let text = line.text.clone();
                     actions.push(ShardStep::Command(Command::Forward { call: self.call, text }));
                 }
@@ -95,7 +95,7 @@
             }
             Ok(Some(text)) => {
                 let answer = serde_json::value::to_raw_value(text).expect("text is JSON");
-                self.evidence.ran += 1;
+                self.attempt_counts.executed += 1;
                 self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             Err(fault) => {
@@ -105,25 +105,25 @@
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
                 actions.push(ShardStep::Command(Command::Cancel(in_flight.id)));
-                self.attempt_failed(index, AttemptFailure::Broken(reason), now, actions)
+                self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
         }
     }
 
     /// Whether the stream of the step run at `index` goes to the caller as it arrives. The step
     /// must be the only last step of the plan.
-    fn passes_on(&self, index: usize) -> bool {
+    fn is_streamed_to_caller(&self, index: usize) -> bool {
         let mut ends = self.plan.pipeline.plan.ends(|_| true);
         let only = ends.next() == Some(self.step_runs[index].step) && ends.next().is_none();
         self.plan.request.stream && only
     }
 
-    pub(super) fn json_answer(&self) -> Box<RawValue> {
+    pub(super) fn combined_answer(&self) -> Box<RawValue> {
         let mut last = Vec::new();
         for position in self.plan.pipeline.plan.ends(|_| true) {
             let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
             if let Some(step_run) = step_run
-                && let Some(StepOutput::Json(answer)) = &step_run.answer
+                && let Some(StepOutput::Json(answer)) = &step_run.output
             {
                 last.push(StageAnswer { stage: &step_run.stage, answer });
             }
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::request_run::{REMAKES, count};
+use super::request_run::{MAX_REBUILDS, count};
 use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput};
 use super::{
     FinalAnswer, PieceFault, PieceOrder, PieceSource, PlacedResult, RefusalReason, RequestRun,
@@ -13,35 +13,35 @@
 use crate::identity::{AttemptId, MonotonicTime};
 
 /// Maximum number of dispatchers that are tried for one batched step.
-const DISPATCHERS: usize = 3;
+const MAX_DISPATCHERS: usize = 3;
 /// Maximum number of times that work items which were in no call are handed to another dispatcher.
 /// A pool changes its dispatcher once for each daemon that joins or leaves. More changes than this
 /// within a second mean that the daemons do not agree on their membership.
-const MOVES: u32 = 5;
+const MAX_DISPATCHER_CHANGES: u32 = 5;
 /// Fraction (one part in this many) of an upstream's result memory below which the inputs of a step
 /// are kept until the step has ended. Freeing such small inputs as soon as they are fetched gains
 /// almost no memory, and a work item that then fails at random would make its request compute them
 /// again.
-const LIGHT_SHARE: u64 = 50;
+const EARLY_FREE_DIVISOR: u64 = 50;
 /// Fetched bytes from which on a step runs in the availability zone of its inputs, instead of the
 /// zone that will read its results. A smaller fetch from another zone costs almost nothing.
-const HEAVY_BYTES: u64 = 200_000;
+const LARGE_TRANSFER_BYTES: u64 = 200_000;
 
 impl RequestRun {
-    pub(super) fn offer_pieces(
+    pub(super) fn submit_pieces(
         &mut self,
         index: usize,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let id = self.next_attempt();
+        let id = self.next_attempt_id();
         let position = self.step_runs[index].step;
-        let after = &self.plan.pipeline.plan.steps()[position].after;
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
         let head = self.plan.request.forward();
-        let source = if after.is_empty() {
+        let source = if input_steps.is_empty() {
             PieceSource::Caller(head.map(|head| head.piece_source.clone()).unwrap_or_default())
         } else {
-            PieceSource::Results(self.results_of(after))
+            PieceSource::Results(self.result_handles(input_steps))
         };
         let order = PieceOrder {
             attempt: id,
@@ -52,69 +52,78 @@
             pieces: self.plan.pieces(position),
             result_bytes: self.result_bytes(position),
             source,
-            inputs_pool: self.sole_input(position),
-            zone: self.heavy_zone(position),
+            inputs_pool: self.early_free_pool(position),
+            zone: self.input_zone(position),
             level: self.plan.level,
             is_flood: self.plan.is_flood,
             due: self.plan.due(position),
             expires: self.plan.latest(position),
-            repeated: !self.step_runs[index].tried.is_empty() || self.remakes > 0,
+            repeated: !self.step_runs[index].tried.is_empty() || self.rebuilds > 0,
         };
         let step_run = &mut self.step_runs[index];
         step_run.attempts += 1;
-        let (upstream, role) = (String::new(), AttemptKind::Pieces);
-        step_run.in_flight =
-            Some(InFlightAttempt { id, upstream, address: None, sent: now, progress: now, role });
+        let (upstream, kind) = (String::new(), AttemptKind::Pieces);
+        step_run.in_flight = Some(InFlightAttempt {
+            id,
+            upstream,
+            address: None,
+            sent_at: now,
+            last_progress: now,
+            kind,
+        });
         let tried = step_run.tried.clone();
-        let target = self.target_request().filter(|_| self.makes_heavy(position)).map(Box::new);
+        let target =
+            self.forward_slot_request().filter(|_| self.has_large_results(position)).map(Box::new);
         actions.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
     }
 
     /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
     /// before the step has ended. They must come from one step, be read by no other step, and take
     /// up enough of an upstream's result memory.
-    fn sole_input(&self, position: usize) -> Option<String> {
+    fn early_free_pool(&self, position: usize) -> Option<String> {
         let steps = self.plan.pipeline.plan.steps();
-        let [earlier] = steps[position].after[..] else { return None };
-        let users = steps.iter().filter(|step| step.after.contains(&earlier)).count();
-        let bytes = self.result_bytes(earlier) * u64::from(self.plan.pieces(earlier));
-        let PoolKind::Batch(rules) = self.plan.stage(&steps[earlier].stage).kind else {
+        let [input_step] = steps[position].after[..] else { return None };
+        let reader_count = steps.iter().filter(|step| step.after.contains(&input_step)).count();
+        let bytes = self.result_bytes(input_step) * u64::from(self.plan.pieces(input_step));
+        let PoolKind::Batch(rules) = self.plan.stage(&steps[input_step].stage).kind else {
             return None;
         };
-        let is_heavy = bytes.saturating_mul(LIGHT_SHARE) >= rules.result_bytes;
-        let made_by = self.step_runs.iter().find(|step_run| step_run.step == earlier)?;
-        (users == 1 && is_heavy).then(|| made_by.section.clone())
+        let is_large = bytes.saturating_mul(EARLY_FREE_DIVISOR) >= rules.result_bytes;
+        let producer = self.step_runs.iter().find(|step_run| step_run.step == input_step)?;
+        (reader_count == 1 && is_large).then(|| producer.pool_section.clone())
     }
 
     /// Records that `section` of the pool runs the work items of the attempt `id`.
     pub fn note_section(&mut self, id: AttemptId, section: &str) {
         if let Some(step_run) = self.step_runs.iter_mut().find(|step_run| step_run.is_attempt(id)) {
-            section.clone_into(&mut step_run.section);
+            section.clone_into(&mut step_run.pool_section);
         }
     }
 
     /// Availability zone that holds most input bytes of the step at `position`, if they are large.
     /// Each work item of the step fetches all inputs.
-    fn heavy_zone(&self, position: usize) -> Option<String> {
-        let after = &self.plan.pipeline.plan.steps()[position].after;
+    fn input_zone(&self, position: usize) -> Option<String> {
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for step_run in self.step_runs.iter().filter(|step_run| after.contains(&step_run.step)) {
-            let Some(StepOutput::Results(made)) = &step_run.answer else { continue };
-            for result in made {
+        for step_run in
+            self.step_runs.iter().filter(|step_run| input_steps.contains(&step_run.step))
+        {
+            let Some(StepOutput::Results(placed_results)) = &step_run.output else { continue };
+            for result in placed_results {
                 *zones.entry(&result.zone).or_default() += self.result_bytes(step_run.step);
             }
         }
         let (zone, bytes) = zones.into_iter().max_by_key(|(_, bytes)| *bytes)?;
-        let fetched = bytes * u64::from(self.plan.pieces(position));
-        (fetched >= HEAVY_BYTES).then(|| zone.to_owned())
+        let fetched_bytes = bytes * u64::from(self.plan.pieces(position));
+        (fetched_bytes >= LARGE_TRANSFER_BYTES).then(|| zone.to_owned())
     }
 
     /// Whether the results of the step at `position` are large and read only by forwarded steps.
-    fn makes_heavy(&self, position: usize) -> bool {
+    fn has_large_results(&self, position: usize) -> bool {
         let plan = self.plan.pipeline.plan.steps();
-        let mut later = plan.iter().filter(|step| step.after.contains(&position));
+        let mut reader_steps = plan.iter().filter(|step| step.after.contains(&position));
         let bytes = self.result_bytes(position) * u64::from(self.plan.pieces(position));
-        later.all(|step| step.work == StepWork::Forward) && bytes >= HEAVY_BYTES
+        reader_steps.all(|step| step.work == StepWork::Forward) && bytes >= LARGE_TRANSFER_BYTES
     }
 
     fn result_bytes(&self, position: usize) -> u64 {
@@ -124,17 +133,19 @@
         }
     }
 
-    fn results_of(&self, steps: &[usize]) -> Vec<ResultHandle> {
+    fn result_handles(&self, input_steps: &[usize]) -> Vec<ResultHandle> {
         let mut handles = Vec::new();
-        for step_run in self.step_runs.iter().filter(|step_run| steps.contains(&step_run.step)) {
-            if let Some(StepOutput::Results(made)) = &step_run.answer {
-                handles.extend(made.iter().map(|result| result.handle.clone()));
+        for step_run in
+            self.step_runs.iter().filter(|step_run| input_steps.contains(&step_run.step))
+        {
+            if let Some(StepOutput::Results(placed_results)) = &step_run.output {
+                handles.extend(placed_results.iter().map(|result| result.handle.clone()));
             }
         }
         handles
     }
 
-    pub(super) fn pieces_failed(
+    pub(super) fn handle_piece_failure(
         &mut self,
         index: usize,
         fault: PieceFault,
@@ -147,23 +158,30 @@
         };
         actions.push(count(counter));
         self.step_runs[index].in_flight = None;
-        let in_time = now < self.plan.deadline;
+        let is_in_time = now < self.plan.deadline;
         match fault {
-            PieceFault::Moved if in_time && self.step_runs[index].moves < MOVES => {
-                self.step_runs[index].moves += 1;
-                self.offer_pieces(index, now, actions);
+            PieceFault::Moved
+                if is_in_time
+                    && self.step_runs[index].dispatcher_changes < MAX_DISPATCHER_CHANGES =>
+            {
+                self.step_runs[index].dispatcher_changes += 1;
+                self.submit_pieces(index, now, actions);
                 None
             }
-            PieceFault::InputGone if in_time && self.remakes < REMAKES => {
-                self.remake(now, actions);
+            PieceFault::InputGone if is_in_time && self.rebuilds < MAX_REBUILDS => {
+                self.rebuild_inputs(now, actions);
                 None
             }
-            _ => Some(self.end(AttemptFailure::Pieces(fault).reason(), now, actions)),
+            _ => Some(self.finish_unanswered(
+                AttemptFailure::Pieces(fault).refusal_reason(),
+                now,
+                actions,
+            )),
         }
     }
 
     /// Submits the work items of a lost dispatcher to the dispatcher that ranks next.
-    pub(super) fn dispatcher_lost(
+    pub(super) fn handle_lost_dispatcher(
         &mut self,
         index: usize,
         vm: String,
@@ -173,45 +191,46 @@
         let step_run = &mut self.step_runs[index];
         step_run.in_flight = None;
         step_run.tried.push(vm);
-        if step_run.tried.len() >= DISPATCHERS || now >= self.plan.deadline {
-            return Some(self.end(RefusalReason::NoUpstream, now, actions));
+        if step_run.tried.len() >= MAX_DISPATCHERS || now >= self.plan.deadline {
+            return Some(self.finish_unanswered(RefusalReason::NoUpstream, now, actions));
         }
         actions.push(count(CounterName::DispatchersLost));
-        self.offer_pieces(index, now, actions);
+        self.submit_pieces(index, now, actions);
         None
     }
 
     /// Starts all batched steps again, because a result that a later step needs was lost with the
     /// upstream that stored it.
-    pub(super) fn remake(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
-        self.remakes += 1;
+    pub(super) fn rebuild_inputs(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+        self.rebuilds += 1;
         self.close_step_runs(actions);
-        self.free_inputs(actions);
-        self.freed = false;
+        self.free_all_results(actions);
+        self.has_freed_results = false;
         let forward = self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
-        self.carried = forward.map(|step_run| (step_run.attempts, step_run.tried));
+        self.forward_history = forward.map(|step_run| (step_run.attempts, step_run.tried));
         actions.push(count(CounterName::StepsRemade));
-        self.begin_steps(now, actions);
+        self.start_ready_steps(now, actions);
     }
 
     /// Frees every result. Either the results that were needed have been fetched, or no step will
     /// fetch them any more.
-    pub(super) fn free_inputs(&mut self, actions: &mut Vec<ShardStep>) {
+    pub(super) fn free_all_results(&mut self, actions: &mut Vec<ShardStep>) {
         for index in 0..self.step_runs.len() {
-            self.freed |= self.free_results(index, actions);
+            self.has_freed_results |= self.free_results(index, actions);
         }
     }
 
     /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
     /// result memory holds only the results of a few seconds, and each result that stays keeps out
     /// work items of another request.
-    pub(super) fn free_used(&mut self, position: usize, actions: &mut Vec<ShardStep>) {
-        for earlier in self.plan.pipeline.plan.steps()[position].after.clone() {
+    pub(super) fn free_unneeded_inputs(&mut self, position: usize, actions: &mut Vec<ShardStep>) {
+        for input_step in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
-            let mut later =
-                plan.iter().enumerate().filter(|(_, step)| step.after.contains(&earlier));
-            if later.all(|(step, _)| self.is_done(step))
-                && let Some(index) = self.step_runs.iter().position(|each| each.step == earlier)
+            let mut reader_steps =
+                plan.iter().enumerate().filter(|(_, step)| step.after.contains(&input_step));
+            if reader_steps.all(|(step, _)| self.is_done(step))
+                && let Some(index) =
+                    self.step_runs.iter().position(|step_run| step_run.step == input_step)
             {
                 self.free_results(index, actions);
             }
@@ -220,11 +239,11 @@
 
     fn free_results(&mut self, index: usize, actions: &mut Vec<ShardStep>) -> bool {
         let step_run = &mut self.step_runs[index];
-        let Some(StepOutput::Results(made)) = &mut step_run.answer else { return false };
-        if made.is_empty() {
+        let Some(StepOutput::Results(placed_results)) = &mut step_run.output else { return false };
+        if placed_results.is_empty() {
             return false;
         }
-        actions.push(free_results(&step_run.section, std::mem::take(made)));
+        actions.push(free_results(&step_run.pool_section, std::mem::take(placed_results)));
         true
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -12,10 +12,10 @@
 
 /// Minimum retry delay for a caller whose request was shed. A batched call takes a few tenths of a
 /// second, so the queues have moved on by then.
-const COME_BACK: Duration = Duration::from_millis(400);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
-pub(super) const REMAKES: u32 = 1;
+pub(super) const MAX_REBUILDS: u32 = 1;
 
 /// Execution state of one request on its way through the steps of its pipeline.
 #[derive(Debug)]
@@ -25,20 +25,20 @@
     pub(super) plan: RequestPlan,
     /// Runs of the steps that have started.
     pub(super) step_runs: Vec<StepRun>,
-    pub(super) costs: Vec<StageCost>,
-    pub(super) evidence: AttemptCounts,
-    pub(super) sequence: u32,
+    pub(super) stage_costs: Vec<StageCost>,
+    pub(super) attempt_counts: AttemptCounts,
+    pub(super) last_sequence: u32,
     /// Whether a part of the response was passed on to the caller.
-    pub(super) forwarded: bool,
+    pub(super) has_sent_response: bool,
     /// Whether an upstream answered the forwarded request with a success status.
-    pub(super) succeeded: bool,
+    pub(super) has_upstream_success: bool,
     /// Number of times that the batched steps were run again because results were gone.
-    pub(super) remakes: u32,
+    pub(super) rebuilds: u32,
     /// Whether results were freed after an upstream had fetched them.
-    pub(super) freed: bool,
+    pub(super) has_freed_results: bool,
     /// Attempt count and tried upstreams of the forwarded step, kept while its inputs are computed
     /// again.
-    pub(super) carried: Option<(u32, Vec<String>)>,
+    pub(super) forward_history: Option<(u32, Vec<String>)>,
     /// Time after which the pool that refused the request is expected to have capacity again.
     pub(super) retry_after: Option<Duration>,
 }
@@ -52,14 +52,14 @@
             incarnation,
             plan,
             step_runs: Vec::new(),
-            costs: Vec::new(),
-            evidence: AttemptCounts::default(),
-            sequence: 0,
-            forwarded: false,
-            succeeded: false,
-            remakes: 0,
-            freed: false,
-            carried: None,
+            stage_costs: Vec::new(),
+            attempt_counts: AttemptCounts::default(),
+            last_sequence: 0,
+            has_sent_response: false,
+            has_upstream_success: false,
+            rebuilds: 0,
+            has_freed_results: false,
+            forward_history: None,
             retry_after: None,
         }
     }
@@ -73,12 +73,12 @@
     /// Whether no attempt that may have run the request was written to an upstream.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
-        self.evidence.sent == 0
+        self.attempt_counts.possibly_sent == 0
     }
 
     /// Starts the steps that need no results of other steps.
     pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
-        self.begin_steps(now, actions);
+        self.start_ready_steps(now, actions);
     }
 
     /// Sends an attempt to the upstream that the router assigned.
@@ -92,50 +92,50 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let step_run =
+        let step_index =
             self.step_runs.iter().position(|step_run| step_run.step == grant.request.branch);
-        let wanted = step_run.filter(|index| {
+        let waiting_index = step_index.filter(|index| {
             let step_run = &self.step_runs[*index];
             step_run.stage == grant.request.stage && step_run.is_waiting()
         });
         // A request that can't be answered in time would only take up a slot that another request
         // could use.
-        let unservable = now + grant.fastest >= self.plan.deadline;
-        let Some(index) = wanted.filter(|_| !unservable) else {
+        let is_too_late = now + grant.fastest >= self.plan.deadline;
+        let Some(index) = waiting_index.filter(|_| !is_too_late) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
             actions.push(ShardStep::Release { upstream: grant.upstream, call, report });
-            return wanted.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
+            return waiting_index.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
         };
-        let id = self.next_attempt();
-        let role = match self.step_runs[index].work {
+        let id = self.next_attempt_id();
+        let kind = match self.step_runs[index].work {
             StepWork::Forward => {
-                let order = self.relay_order(id, &grant, now);
+                let order = self.forward_order(id, &grant, now);
                 actions.push(ShardStep::Command(Command::Relay(order)));
                 AttemptKind::Forward
             }
             StepWork::Json | StepWork::Batched { .. } => {
-                let order = self.order(id, &grant);
-                let silence = self.plan.stage(&grant.request.stage).silence;
+                let order = self.json_order(id, &grant);
+                let silence_timeout = self.plan.stage(&grant.request.stage).silence;
                 actions.push(ShardStep::Command(Command::Send(order)));
-                actions.push(set_timer(TimerKey::Silence(id), now + silence));
+                actions.push(set_timer(TimerKey::Silence(id), now + silence_timeout));
                 AttemptKind::Json(super::StreamAssembler::new(id))
             }
         };
         let step_run = &mut self.step_runs[index];
-        if let Some(held) = step_run.held.take() {
+        if let Some(held_attempt) = step_run.held_attempt.take() {
             // Another attempt starts, so the held error response is dropped.
-            actions.push(ShardStep::Command(Command::Cancel(held)));
+            actions.push(ShardStep::Command(Command::Cancel(held_attempt)));
         }
         step_run.attempts += 1;
         step_run.in_flight = Some(InFlightAttempt {
             id,
             upstream: grant.upstream,
             address: Some(grant.address),
-            sent: now,
-            progress: now,
-            role,
+            sent_at: now,
+            last_progress: now,
+            kind,
         });
-        self.evidence.sent += 1;
+        self.attempt_counts.possibly_sent += 1;
         actions.push(count(CounterName::AttemptsSent));
         None
     }
@@ -147,25 +147,25 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
-        let held = self.step_runs.iter_mut().find_map(|step_run| {
-            let held = step_run.held.take()?;
-            Some((held, step_run))
+        let held_attempt = self.step_runs.iter_mut().find_map(|step_run| {
+            let held_attempt = step_run.held_attempt.take()?;
+            Some((held_attempt, step_run))
         });
-        if let Some((held, step_run)) = held {
+        if let Some((held_attempt, step_run)) = held_attempt {
             // The error response of the previous attempt is the best available answer, so it is
             // passed on unchanged.
             step_run.in_flight = Some(InFlightAttempt {
-                id: held,
+                id: held_attempt,
                 upstream: String::new(),
                 address: None,
-                sent: now,
-                progress: now,
-                role: AttemptKind::Forward,
+                sent_at: now,
+                last_progress: now,
+                kind: AttemptKind::Forward,
             });
-            self.pass_on(held, actions);
+            self.forward_response(held_attempt, actions);
             return None;
         }
-        Some(self.end(reason, now, actions))
+        Some(self.finish_unanswered(reason, now, actions))
     }
 
     /// Handles an event of an attempt. Returns the final answer if the event ends the run.
@@ -182,45 +182,46 @@
         };
         match event {
             AttemptEvent::NotSent => {
-                self.evidence.sent -= 1;
+                self.attempt_counts.possibly_sent -= 1;
                 self.step_runs[index].attempts -= 1;
-                self.attempt_failed(index, AttemptFailure::NotSent, now, actions)
+                self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
             AttemptEvent::Greeted { life, leaving } => {
-                let upstream = self.progress(index, now).to_owned();
+                let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardStep::Greet { upstream, life, leaving });
                 None
             }
-            AttemptEvent::Line(line) => self.line(index, &line, now, actions),
+            AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
             AttemptEvent::Answered { echo, answer } => {
                 if echo != Some(id) {
                     let failure = AttemptFailure::Broken(BreakReason::Foreign);
-                    return self.attempt_failed(index, failure, now, actions);
+                    return self.handle_attempt_failure(index, failure, now, actions);
                 }
-                self.evidence.ran += 1;
+                self.attempt_counts.executed += 1;
                 actions.push(ShardStep::Succeeded(self.plan.digest));
                 self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             AttemptEvent::Declined { status: _ } => {
-                self.evidence.ran += 1;
-                self.attempt_failed(index, AttemptFailure::Declined, now, actions)
+                self.attempt_counts.executed += 1;
+                self.handle_attempt_failure(index, AttemptFailure::Declined, now, actions)
             }
             AttemptEvent::Broken(reason) => {
-                self.attempt_failed(index, AttemptFailure::Broken(reason), now, actions)
+                self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
-            AttemptEvent::Headed(head) => self.headed(index, id, head, now, actions),
+            AttemptEvent::Headed(head) => self.handle_response_head(index, id, head, now, actions),
             AttemptEvent::Flowing => {
-                let upstream = self.progress(index, now).to_owned();
+                let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardStep::Flowing { upstream, call: self.call });
-                self.free_inputs(actions);
+                self.free_all_results(actions);
                 None
             }
             AttemptEvent::Passed => {
-                if self.succeeded {
+                if self.has_upstream_success {
                     actions.push(ShardStep::Succeeded(self.plan.digest));
                 }
-                self.evidence.ran = (self.evidence.ran + 1).min(self.evidence.sent);
-                self.free_inputs(actions);
+                self.attempt_counts.executed =
+                    (self.attempt_counts.executed + 1).min(self.attempt_counts.possibly_sent);
+                self.free_all_results(actions);
                 self.complete_step(index, StepOutput::Forwarded, now, actions)
             }
             AttemptEvent::PiecesMade(results) => {
@@ -228,9 +229,11 @@
             }
             AttemptEvent::PiecesFailed { fault, retry_after } => {
                 self.retry_after = Some(retry_after);
-                self.pieces_failed(index, fault, now, actions)
+                self.handle_piece_failure(index, fault, now, actions)
+            }
+            AttemptEvent::DispatcherLost(vm) => {
+                self.handle_lost_dispatcher(index, vm, now, actions)
             }
-            AttemptEvent::DispatcherLost(vm) => self.dispatcher_lost(index, vm, now, actions),
         }
     }
 
@@ -247,28 +250,30 @@
     }
 
     /// Ends the run without an answer and cancels everything that is still open.
-    pub fn end(
+    pub fn finish_unanswered(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> FinalAnswer {
-        let stage = self.step_runs.iter().find(|step_run| step_run.answer.is_none());
+        let stage = self.step_runs.iter().find(|step_run| step_run.output.is_none());
         let stage = stage.map(|step_run| step_run.stage.clone());
         self.close_step_runs(actions);
-        self.free_inputs(actions);
-        let verdict = self.evidence.verdict(self.plan.repeatable);
-        let mut outcome = FinalOutcome::new(verdict, &self.plan.request.key).reason(reason);
-        if verdict == OutcomeKind::Refused && self.plan.forward().is_some() {
+        self.free_all_results(actions);
+        let outcome_kind = self.attempt_counts.outcome_kind(self.plan.repeatable);
+        let mut outcome = FinalOutcome::new(outcome_kind, &self.plan.request.key).reason(reason);
+        if outcome_kind == OutcomeKind::Refused && self.plan.forward().is_some() {
             // A caller that retries at once meets the queue for which it was refused. A retry delay
             // longer than the caller's deadline is told as well, so that the caller does not retry
             // in vain.
-            let least = self.plan.deadline.since(now).min(COME_BACK);
-            let retry_after = self.retry_after.map_or(least, |told| told.max(least));
+            let min_retry_after = self.plan.deadline.since(now).min(MIN_RETRY_AFTER);
+            let retry_after = self
+                .retry_after
+                .map_or(min_retry_after, |pool_retry_after| pool_retry_after.max(min_retry_after));
             outcome = outcome.retry(retry_after, true);
         }
         outcome.stage = stage;
-        outcome.stages = std::mem::take(&mut self.costs);
+        outcome.stages = std::mem::take(&mut self.stage_costs);
         outcome.took = Some(now.since(self.plan.arrived));
         FinalAnswer::from(outcome)
     }
@@ -287,31 +292,31 @@
     }
 
     /// Starts every step that has not started and whose inputs are available.
-    pub(super) fn begin_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub(super) fn start_ready_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         for position in 0..self.plan.pipeline.plan.steps().len() {
             let step = &self.plan.pipeline.plan.steps()[position];
-            let begun = self.step_runs.iter().any(|step_run| step_run.step == position);
-            if begun || !step.after.iter().all(|earlier| self.is_done(*earlier)) {
+            let is_started = self.step_runs.iter().any(|step_run| step_run.step == position);
+            if is_started || !step.after.iter().all(|input_step| self.is_done(*input_step)) {
                 continue;
             }
             let mut step_run = StepRun::new(position, &step.stage, step.work, now);
-            let batched = matches!(step.work, StepWork::Batched { .. });
+            let is_batched = matches!(step.work, StepWork::Batched { .. });
             if step.work == StepWork::Forward
-                && let Some((attempts, tried)) = self.carried.take()
+                && let Some((attempts, tried)) = self.forward_history.take()
             {
                 (step_run.attempts, step_run.tried) = (attempts, tried);
             }
-            if batched && self.plan.pieces(position) == 0 {
-                step_run.answer = Some(StepOutput::Results(Vec::new()));
+            if is_batched && self.plan.pieces(position) == 0 {
+                step_run.output = Some(StepOutput::Results(Vec::new()));
             }
             let index = self.step_runs.len();
-            let is_answered = step_run.answer.is_some();
+            let is_answered = step_run.output.is_some();
             self.step_runs.push(step_run);
             if is_answered {
                 continue;
             }
-            if batched {
-                self.offer_pieces(index, now, actions);
+            if is_batched {
+                self.submit_pieces(index, now, actions);
             } else {
                 actions.push(ShardStep::Acquire(self.slot_request(index)));
             }
@@ -320,12 +325,12 @@
 
     pub(super) fn is_done(&self, position: usize) -> bool {
         let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
-        step_run.is_some_and(|step_run| step_run.answer.is_some())
+        step_run.is_some_and(|step_run| step_run.output.is_some())
     }
 
-    pub(super) fn next_attempt(&mut self) -> AttemptId {
-        self.sequence += 1;
-        AttemptId { incarnation: self.incarnation, call: self.call, sequence: self.sequence }
+    pub(super) fn next_attempt_id(&mut self) -> AttemptId {
+        self.last_sequence += 1;
+        AttemptId { incarnation: self.incarnation, call: self.call, sequence: self.last_sequence }
     }
 
     pub(super) fn slot_request(&self, index: usize) -> SlotRequest {
@@ -346,7 +351,7 @@
 
     /// Whether the step run at `index` may be retried on another upstream even if an earlier
     /// attempt may have run.
-    pub(super) fn may_repeat(&self, index: usize) -> bool {
+    pub(super) fn can_repeat(&self, index: usize) -> bool {
         match self.plan.forward() {
             None => self.plan.repeatable,
             Some(forward) => {
@@ -355,10 +360,10 @@
         }
     }
 
-    pub(super) fn progress(&mut self, index: usize, now: MonotonicTime) -> &str {
+    pub(super) fn record_progress(&mut self, index: usize, now: MonotonicTime) -> &str {
         match &mut self.step_runs[index].in_flight {
             Some(in_flight) => {
-                in_flight.progress = now;
+                in_flight.last_progress = now;
                 &in_flight.upstream
             }
             None => "",
@@ -368,40 +373,41 @@
     pub(super) fn complete_step(
         &mut self,
         index: usize,
-        answer: StepOutput,
+        output: StepOutput,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> Option<FinalAnswer> {
         let in_flight = self.step_runs[index].in_flight.take()?;
-        let spent = now.since(in_flight.sent);
-        self.step_runs[index].answer = Some(answer);
+        let upstream_time = now.since(in_flight.sent_at);
+        self.step_runs[index].output = Some(output);
         let step_run = &self.step_runs[index];
-        let rate = self.plan.stage(&step_run.stage).cost;
-        self.costs.push(StageCost {
+        let cost_factor = self.plan.stage(&step_run.stage).cost;
+        self.stage_costs.push(StageCost {
             stage: step_run.stage.clone(),
             upstream: in_flight.upstream.clone(),
-            time_ms: now.since(step_run.since).as_secs_f64() * 1e3,
+            time_ms: now.since(step_run.started_at).as_secs_f64() * 1e3,
             attempts: step_run.attempts,
             tried: step_run.tried.clone(),
-            cost: spent.as_secs_f64() * rate,
+            cost: upstream_time.as_secs_f64() * cost_factor,
         });
         if in_flight.has_slot() {
-            let (call, report) = (self.call, AttemptReport::Answered(spent));
+            let (call, report) = (self.call, AttemptReport::Answered(upstream_time));
             actions.push(ShardStep::Release { upstream: in_flight.upstream, call, report });
         }
-        self.free_used(self.step_runs[index].step, actions);
-        self.begin_steps(now, actions);
-        let finished = (0..self.plan.pipeline.plan.steps().len()).all(|each| self.is_done(each));
-        finished.then(|| self.answered(now))
+        self.free_unneeded_inputs(self.step_runs[index].step, actions);
+        self.start_ready_steps(now, actions);
+        let is_finished =
+            (0..self.plan.pipeline.plan.steps().len()).all(|position| self.is_done(position));
+        is_finished.then(|| self.finish_answered(now))
     }
 
     /// Builds the final answer from the answers of the last steps, in declared order.
-    pub(super) fn answered(&mut self, now: MonotonicTime) -> FinalAnswer {
+    pub(super) fn finish_answered(&mut self, now: MonotonicTime) -> FinalAnswer {
         let mut outcome = FinalOutcome::new(OutcomeKind::Answered, &self.plan.request.key);
         if self.plan.forward().is_none() {
-            outcome.answer = Some(self.json_answer());
+            outcome.answer = Some(self.combined_answer());
         }
-        outcome.stages = std::mem::take(&mut self.costs);
+        outcome.stages = std::mem::take(&mut self.stage_costs);
         outcome.took = Some(now.since(self.plan.arrived));
         FinalAnswer::from(outcome)
     }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -178,7 +178,7 @@
             }
             TimerKey::Silence(id) => {
                 if let Some(active) = self.runs.get_mut(&id.call) {
-                    let end = active.run.silence_check(id, now, actions);
+                    let end = active.run.check_silence(id, now, actions);
                     self.finish_if(id.call, end, now, actions);
                 }
             }
@@ -279,7 +279,9 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        self.settle_run(call, now, actions, |run, actions| Some(run.end(reason, now, actions)));
+        self.settle_run(call, now, actions, |run, actions| {
+            Some(run.finish_unanswered(reason, now, actions))
+        });
     }
 
     /// Ends the run of `call` through `settle`, or abandons its key if the key is not claimed yet.
--- a/crates/crocusdale_core/src/pipeline/step_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -15,21 +15,21 @@
     pub(super) stage: String,
     /// Configuration section of the pool that runs the step's work items; for other steps, the
     /// stage name.
-    pub(super) section: String,
+    pub(super) pool_section: String,
     pub(super) work: StepWork,
-    pub(super) since: MonotonicTime,
+    pub(super) started_at: MonotonicTime,
     /// Number of attempts that may have run.
     pub(super) attempts: u32,
     /// Names of the upstreams, or of the VMs of dispatchers, that failed the step.
     pub(super) tried: Vec<String>,
     /// Number of times that the work items were handed to another dispatcher before any call
     /// contained them.
-    pub(super) moves: u32,
+    pub(super) dispatcher_changes: u32,
     pub(super) in_flight: Option<InFlightAttempt>,
     /// Attempt whose error response is held back. It is passed on to the caller if no other attempt
     /// can be made.
-    pub(super) held: Option<AttemptId>,
-    pub(super) answer: Option<StepOutput>,
+    pub(super) held_attempt: Option<AttemptId>,
+    pub(super) output: Option<StepOutput>,
 }
 
 /// An attempt that has not ended.
@@ -39,9 +39,9 @@
     pub(super) upstream: String,
     /// Socket address of the upstream; `None` unless this daemon calls the upstream itself.
     pub(super) address: Option<SocketAddr>,
-    pub(super) sent: MonotonicTime,
-    pub(super) progress: MonotonicTime,
-    pub(super) role: AttemptKind,
+    pub(super) sent_at: MonotonicTime,
+    pub(super) last_progress: MonotonicTime,
+    pub(super) kind: AttemptKind,
 }
 
 /// What kind of call an attempt makes.
@@ -69,21 +69,21 @@
         Self {
             step,
             stage: stage.to_owned(),
-            section: stage.to_owned(),
+            pool_section: stage.to_owned(),
             work,
-            since: now,
+            started_at: now,
             attempts: 0,
             tried: Vec::new(),
-            moves: 0,
+            dispatcher_changes: 0,
             in_flight: None,
-            held: None,
-            answer: None,
+            held_attempt: None,
+            output: None,
         }
     }
 
     /// Whether the step waits for the router to assign an upstream.
     pub(super) fn is_waiting(&self) -> bool {
-        self.in_flight.is_none() && self.answer.is_none()
+        self.in_flight.is_none() && self.output.is_none()
     }
 
     pub(super) fn is_attempt(&self, id: AttemptId) -> bool {
@@ -94,7 +94,7 @@
 impl InFlightAttempt {
     /// Whether the attempt holds a concurrency slot of an upstream in the router.
     pub(super) fn has_slot(&self) -> bool {
-        !matches!(self.role, AttemptKind::Pieces)
+        !matches!(self.kind, AttemptKind::Pieces)
     }
 }
 
@@ -123,16 +123,16 @@
     }
 
     /// Whether the failure may mean that the upstream crashed during the attempt.
-    pub(super) fn is_suspicious(self) -> bool {
+    pub(super) fn is_possible_crash(self) -> bool {
         matches!(self, Self::Broken(BreakReason::Cut))
     }
 
     /// Whether idle connections to the upstream may be as broken as the one that this attempt used.
-    pub(super) fn is_distrusted(self) -> bool {
+    pub(super) fn is_broken_response(self) -> bool {
         matches!(self, Self::Broken(_))
     }
 
-    pub(super) fn reason(self) -> RefusalReason {
+    pub(super) fn refusal_reason(self) -> RefusalReason {
         match self {
             Self::NotSent | Self::Pieces(PieceFault::NoUpstream) => RefusalReason::NoUpstream,
             Self::NotRun | Self::Pieces(PieceFault::Late | PieceFault::Moved) => {
