--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -113,8 +113,8 @@
 impl TryFrom<SubmittedRequest> for CallerRequest {
     type Error = Box<FinalOutcome>;
 
-    fn try_from(wire: SubmittedRequest) -> Result<Self, Self::Error> {
-        let key = RequestKey::new(wire.workspace, wire.key);
+    fn try_from(submitted: SubmittedRequest) -> Result<Self, Self::Error> {
+        let key = RequestKey::new(submitted.workspace, submitted.key);
         let refuse = |reason, detail: String| {
             Err(Box::new(
                 FinalOutcome::new(OutcomeKind::Refused, &key).reason(reason).detail(detail),
@@ -126,20 +126,20 @@
                 return refuse(RefusalReason::Malformed, detail);
             }
         }
-        if let Some(fault) = wire.labels.first_fault() {
+        if let Some(fault) = submitted.labels.first_fault() {
             let detail =
                 format!("labels: {fault}; accepted: up to {} pairs of words", LabelSet::MOST);
             return refuse(RefusalReason::BadLabels, detail);
         }
         Ok(Self {
             key,
-            labels: wire.labels,
-            deadline: Duration::from_millis(wire.deadline_ms),
-            repeatable: wire.repeatable,
-            stream: wire.stream,
-            age: Duration::from_millis(wire.age_ms),
-            ticket: wire.ticket,
-            content: RequestContent::Json(wire.payload),
+            labels: submitted.labels,
+            deadline: Duration::from_millis(submitted.deadline_ms),
+            repeatable: submitted.repeatable,
+            stream: submitted.stream,
+            age: Duration::from_millis(submitted.age_ms),
+            ticket: submitted.ticket,
+            content: RequestContent::Json(submitted.payload),
         })
     }
 }
--- a/crates/crocusdale_core/src/pipeline/event_sequence.rs
+++ b/crates/crocusdale_core/src/pipeline/event_sequence.rs
@@ -4,7 +4,7 @@
 /// already has is dropped. An event after a gap ends the attempt before it is passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventSequence {
-    last: Option<u64>,
+    last_id: Option<u64>,
 }
 
 /// What to do with an event of a resumed stream.
@@ -22,24 +22,24 @@
     /// Resumes after the event id `last`; `None` if the caller has no event yet.
     #[must_use]
     pub fn after(last: Option<u64>) -> Self {
-        Self { last }
+        Self { last_id: last }
     }
 
     /// Id of the last event that the caller has, or `None` if it has none.
     #[must_use]
     pub fn last(self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
     /// Classifies the event `id` and advances to it if it is the next one. An event without an id
     /// is always passed on.
     pub fn take(&mut self, id: Option<u64>) -> EventVerdict {
         let Some(id) = id else { return EventVerdict::Pass };
-        match self.last {
+        match self.last_id {
             Some(last) if id <= last => EventVerdict::Repeated,
             Some(last) if id > last + 1 => EventVerdict::Missing,
             _ => {
-                self.last = Some(id);
+                self.last_id = Some(id);
                 EventVerdict::Pass
             }
         }
--- a/crates/crocusdale_core/src/pipeline/final_answer.rs
+++ b/crates/crocusdale_core/src/pipeline/final_answer.rs
@@ -242,7 +242,8 @@
 
 impl From<FinalOutcome> for FinalAnswer {
     fn from(outcome: FinalOutcome) -> Self {
-        let body = serde_json::to_vec(&outcome).expect("an outcome has no maps with odd keys");
+        let body = serde_json::to_vec(&outcome)
+            .expect("a final outcome has no maps, so it always serializes to JSON");
         Self::new(outcome, body.into())
     }
 }
--- a/crates/crocusdale_core/src/pipeline/forward_head.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_head.rs
@@ -40,8 +40,8 @@
     /// routed to the same engine, whose prefix cache holds it.
     #[must_use]
     pub fn subject(&self) -> Option<&PromptPart> {
-        let shared = self.parts.len().checked_sub(1)?;
-        self.parts[..shared].last()
+        let shared_count = self.parts.len().checked_sub(1)?;
+        self.parts[..shared_count].last()
     }
 
     /// The prompt segments that other requests may share: all but the last.
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -35,7 +35,7 @@
         let stage = self.plan.stage(&grant.request.stage);
         let inputs = self.json_inputs(grant.request.branch);
         let RequestContent::Json(payload) = &self.plan.request.content else {
-            unreachable!("a pipeline of JSON stages serves JSON requests")
+            unreachable!("JSON stage reached by a forwarded request; accepted: JSON requests")
         };
         let input = StageInput {
             attempt: attempt.to_string(),
@@ -50,7 +50,8 @@
             upstream: grant.upstream.clone(),
             address: grant.address,
             path: stage.path.clone(),
-            body: serde_json::to_vec(&input).expect("an input has no maps with odd keys"),
+            body: serde_json::to_vec(&input)
+                .expect("a stage input has no maps, so it always serializes to JSON"),
             stream: stage.stream,
             fresh: !self.plan.repeatable,
             level: self.plan.level,
@@ -61,9 +62,9 @@
     /// Answers that the JSON step at `position` reads. They are in declared order, whatever order
     /// they arrived in.
     fn json_inputs(&self, position: usize) -> Vec<StageAnswer<'_>> {
-        let after = &self.plan.pipeline.plan.steps()[position].after;
-        let answer = |earlier: &usize| {
-            let step_run = self.step_runs.iter().find(|step_run| step_run.step == *earlier)?;
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
+        let answer_of = |input_step: &usize| {
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == *input_step)?;
             match &step_run.output {
                 Some(StepOutput::Json(answer)) => {
                     Some(StageAnswer { stage: &step_run.stage, answer })
@@ -71,7 +72,7 @@
                 _ => None,
             }
         };
-        after.iter().filter_map(answer).collect()
+        input_steps.iter().filter_map(answer_of).collect()
     }
 
     pub(super) fn handle_stream_line(
@@ -94,7 +95,8 @@
                 None
             }
             Ok(Some(text)) => {
-                let answer = serde_json::value::to_raw_value(text).expect("text is JSON");
+                let answer = serde_json::value::to_raw_value(text)
+                    .expect("a string always serializes to JSON");
                 self.attempt_counts.executed += 1;
                 self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
@@ -113,24 +115,26 @@
     /// Whether the stream of the step run at `index` goes to the caller as it arrives. The step
     /// must be the only last step of the plan.
     fn is_streamed_to_caller(&self, index: usize) -> bool {
-        let mut ends = self.plan.pipeline.plan.ends(|_| true);
-        let only = ends.next() == Some(self.step_runs[index].step) && ends.next().is_none();
-        self.plan.request.stream && only
+        let mut last_steps = self.plan.pipeline.plan.ends(|_| true);
+        let is_only_last_step =
+            last_steps.next() == Some(self.step_runs[index].step) && last_steps.next().is_none();
+        self.plan.request.stream && is_only_last_step
     }
 
     pub(super) fn combined_answer(&self) -> Box<RawValue> {
-        let mut last = Vec::new();
+        let mut last_answers = Vec::new();
         for position in self.plan.pipeline.plan.ends(|_| true) {
             let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
             if let Some(step_run) = step_run
                 && let Some(StepOutput::Json(answer)) = &step_run.output
             {
-                last.push(StageAnswer { stage: &step_run.stage, answer });
+                last_answers.push(StageAnswer { stage: &step_run.stage, answer });
             }
         }
-        match last.as_slice() {
+        match last_answers.as_slice() {
             [single] => single.answer.to_owned(),
-            several => serde_json::value::to_raw_value(several).expect("answers are JSON"),
+            answers => serde_json::value::to_raw_value(answers)
+                .expect("a list of JSON answers always serializes to JSON"),
         }
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -10,9 +10,9 @@
 use crate::identity::{MonotonicTime, RequestDigest, RequestKey};
 
 /// Expected time to first response of a forwarded request, before any was measured in its pool.
-const FIRST_ANSWER: Duration = Duration::from_millis(250);
+const DEFAULT_FIRST_RESPONSE_TIME: Duration = Duration::from_millis(250);
 /// Upper bound on a request's deadline, which keeps sums of times from overflowing.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// A request with the configuration that applies to it.
 #[derive(Clone, Debug)]
@@ -67,15 +67,15 @@
         now: MonotonicTime,
     ) -> Result<Self, Box<FinalOutcome>> {
         match &request.content {
-            RequestContent::Json(_) => Self::make_labelled(request, declarations, now),
+            RequestContent::Json(_) => Self::plan_json_request(request, declarations, now),
             RequestContent::Forward(head) => {
                 let head = head.clone();
-                Self::make_forwarded(request, &head, declarations, now)
+                Self::plan_forwarded_request(request, &head, declarations, now)
             }
         }
     }
 
-    fn make_labelled(
+    fn plan_json_request(
         request: CallerRequest,
         declarations: &Arc<Declarations>,
         now: MonotonicTime,
@@ -85,9 +85,9 @@
             return refuse(&request.key, RefusalReason::UnknownWorkspace, detail);
         };
         let labels = request.labels.or(&workspace.labels);
-        let longest = longest_deadline(declarations, &labels);
-        if request.deadline.is_zero() || request.deadline > longest {
-            let detail = format!("deadline_ms: accepted: 1 to {}", longest.as_millis());
+        let max_deadline = max_deadline_for(declarations, &labels);
+        if request.deadline.is_zero() || request.deadline > max_deadline {
+            let detail = format!("deadline_ms: accepted: 1 to {}", max_deadline.as_millis());
             return refuse(&request.key, RefusalReason::BadDeadline, detail);
         }
         let Some(pipeline) = declarations.pipeline_for(&labels) else {
@@ -115,30 +115,31 @@
         })
     }
 
-    fn make_forwarded(
+    fn plan_forwarded_request(
         mut request: CallerRequest,
         head: &ForwardHead,
         declarations: &Arc<Declarations>,
         now: MonotonicTime,
     ) -> Result<Self, Box<FinalOutcome>> {
-        let found = declarations.route(&head.host, &head.path);
-        let Some((pipeline, forward)) = found.and_then(|each| Some((each, each.forward.as_ref()?)))
+        let route = declarations.route(&head.host, &head.path);
+        let Some((pipeline, forward)) =
+            route.and_then(|pipeline| Some((pipeline, pipeline.forward.as_ref()?)))
         else {
             return refuse(&request.key, RefusalReason::NoRoute, "no pipeline serves this path");
         };
         let workspace = if forward.public || !declarations.needs_access() {
             None
         } else {
-            let known =
+            let access_workspace =
                 head.access.as_deref().and_then(|key| declarations.workspace_of_access(key));
-            let Some(workspace) = known else {
+            let Some(workspace) = access_workspace else {
                 let detail = "the access key is missing or unknown";
                 return refuse(&request.key, RefusalReason::NoAccess, detail);
             };
             Some(workspace)
         };
         let rules = workspace.and_then(|name| declarations.workspace(name));
-        let wait = request.deadline.min(forward.timeout).min(LONGEST_DEADLINE);
+        let timeout = request.deadline.min(forward.timeout).min(MAX_DEADLINE);
         let level = rules.and_then(|rules| rules.level).unwrap_or(forward.level);
         let labels = rules.map(|rules: &WorkspaceRules| rules.labels.clone()).unwrap_or_default();
         let homes = rules.map(|rules| rules.homes.clone()).unwrap_or_default();
@@ -146,7 +147,7 @@
         let objective = now + forward.objective;
         let repeatable = pipeline.repeatable;
         let mut pipeline = pipeline.clone();
-        pipeline.plan = pipeline.plan.with_pool(draw_pool(forward, &request.key));
+        pipeline.plan = pipeline.plan.with_pool(select_pool(forward, &request.key));
         request.key.workspace = workspace.unwrap_or_default().to_owned();
         Ok(Self {
             digest: request.digest(&request.key.workspace),
@@ -154,7 +155,7 @@
             level,
             arrived: now,
             objective,
-            deadline: now + wait,
+            deadline: now + timeout,
             provable_until: now,
             repeatable,
             claimed: false,
@@ -176,7 +177,7 @@
     /// Panics if `stage` is not declared in this plan's configuration.
     #[must_use]
     pub fn stage(&self, stage: &str) -> &StageRules {
-        self.declarations.stage(stage).expect("a checked pipeline names declared stages")
+        self.declarations.stage(stage).expect("a validated pipeline contains only declared stages")
     }
 
     /// Forwarding rules of the pipeline, or `None` if it serves JSON requests.
@@ -201,30 +202,30 @@
                 // Work items share calls, which are half full on average.
                 pieces => rules.expected(pieces.max(rules.pieces / 2)),
             },
-            (StepWork::Forward, PoolKind::Engine(_)) => FIRST_ANSWER,
+            (StepWork::Forward, PoolKind::Engine(_)) => DEFAULT_FIRST_RESPONSE_TIME,
             _ => Duration::ZERO,
         }
     }
 
     /// Latest time at which the step at `position` can end for the request to meet its deadline.
     #[must_use]
-    pub fn latest(&self, position: usize) -> MonotonicTime {
+    pub fn latest_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let after = plan.way_after(position, |step, position| self.step_time(position, step));
-        MonotonicTime::from_start(self.deadline.since_start().saturating_sub(after))
+        let time_after = plan.way_after(position, |step, position| self.step_time(position, step));
+        MonotonicTime::from_start(self.deadline.since_start().saturating_sub(time_after))
     }
 
     /// Time by which the step at `position` should end for the request to meet its latency
     /// objective, if the later steps take their expected time and the queueing delay in
     /// [`Self::delays`].
     #[must_use]
-    pub fn due(&self, position: usize) -> MonotonicTime {
+    pub fn target_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let after = plan.way_after(position, |step, position| {
+        let time_after = plan.way_after(position, |step, position| {
             let delay = self.delays.get(position).copied().unwrap_or_default();
             self.step_time(position, step) + delay
         });
-        let since_start = self.objective.since_start().saturating_sub(after);
+        let since_start = self.objective.since_start().saturating_sub(time_after);
         MonotonicTime::from_start(since_start)
     }
 }
@@ -240,19 +241,19 @@
 
 /// Selects the pool of a request by the weights of the pools. The same request always gets the same
 /// pool.
-fn draw_pool<'a>(forward: &'a ForwardRules, key: &RequestKey) -> &'a str {
-    let total: u64 = forward.pools.iter().map(|pool| u64::from(pool.weight)).sum();
-    let mut left = key.stable_hash() % total.max(1);
-    let drawn = forward.pools.iter().find(|pool| {
+fn select_pool<'a>(forward: &'a ForwardRules, key: &RequestKey) -> &'a str {
+    let total_weight: u64 = forward.pools.iter().map(|pool| u64::from(pool.weight)).sum();
+    let mut remaining_weight = key.stable_hash() % total_weight.max(1);
+    let selected = forward.pools.iter().find(|pool| {
         let weight = u64::from(pool.weight);
-        let hit = left < weight;
-        left = left.saturating_sub(weight);
-        hit
+        let is_selected = remaining_weight < weight;
+        remaining_weight = remaining_weight.saturating_sub(weight);
+        is_selected
     });
-    drawn.or(forward.pools.last()).map_or("", |pool: &WeightedPool| pool.pool.as_str())
+    selected.or(forward.pools.last()).map_or("", |pool: &WeightedPool| pool.pool.as_str())
 }
 
-fn longest_deadline(declarations: &Declarations, labels: &LabelSet) -> Duration {
-    let rules = declarations.rules_for(labels).filter_map(|rule| rule.deadline);
-    rules.fold(declarations.deployment().longest_deadline, Duration::min)
+fn max_deadline_for(declarations: &Declarations, labels: &LabelSet) -> Duration {
+    let deadlines = declarations.rules_for(labels).filter_map(|rule| rule.deadline);
+    deadlines.fold(declarations.deployment().longest_deadline, Duration::min)
 }
--- a/crates/crocusdale_core/src/pipeline/stream_assembler.rs
+++ b/crates/crocusdale_core/src/pipeline/stream_assembler.rs
@@ -3,7 +3,7 @@
 use crate::identity::AttemptId;
 
 /// Maximum length of an assembled text, in bytes.
-const TEXT_LIMIT: usize = 4 << 20;
+const MAX_TEXT_BYTES: usize = 4 << 20;
 
 /// One line of an upstream's streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 pub struct StreamAssembler {
     attempt: AttemptId,
     text: String,
-    pieces: u64,
+    text_lines: u64,
     ended: bool,
 }
 
@@ -49,7 +49,7 @@
     /// Creates an assembler for the stream of `attempt`.
     #[must_use]
     pub fn new(attempt: AttemptId) -> Self {
-        Self { attempt, text: String::new(), pieces: 0, ended: false }
+        Self { attempt, text: String::new(), text_lines: 0, ended: false }
     }
 
     /// Appends the next line. Returns the complete text with the last line.
@@ -61,17 +61,17 @@
         if line.attempt.parse() != Ok(self.attempt) {
             return Err(StreamFault::Foreign);
         }
-        if self.ended || line.index != self.pieces || (line.end && !line.text.is_empty()) {
+        if self.ended || line.index != self.text_lines || (line.end && !line.text.is_empty()) {
             return Err(StreamFault::OutOfOrder);
         }
-        if self.text.len() + line.text.len() > TEXT_LIMIT {
+        if self.text.len() + line.text.len() > MAX_TEXT_BYTES {
             return Err(StreamFault::TooLarge);
         }
         self.ended = line.end;
         if line.end {
             return Ok(Some(&self.text));
         }
-        self.pieces += 1;
+        self.text_lines += 1;
         self.text.push_str(&line.text);
         Ok(None)
     }
