--- a/crates/crocusdale_core/src/claims/register_shard.rs
+++ b/crates/crocusdale_core/src/claims/register_shard.rs
@@ -6,14 +6,14 @@
 use crate::identity::{InstanceId, MonotonicTime, RequestKey};
 
 /// Maximum number of registers in one shard. A full shard abstains from further keys.
-const REGISTERS_LIMIT: usize = 65_536;
+const MAX_REGISTERS: usize = 65_536;
 /// Maximum size of an outcome that a register stores, in bytes. Larger outcomes are not stored.
-const OUTCOME_LIMIT: usize = 16_384;
+const MAX_OUTCOME_BYTES: usize = 16_384;
 
 /// Multiple of the key lifetime for which a register is kept. One lifetime is enough for
 /// at-most-once execution. The rest serves callers that ask late, and protects against a claim
 /// holder whose process was paused in between.
-const REGISTER_LIVES: u32 = 8;
+const RETENTION_LIFETIMES: u32 = 8;
 
 /// Content of a register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -62,10 +62,10 @@
     /// Number of registers that store an outcome.
     #[must_use]
     pub fn outcome_count(&self) -> usize {
-        let outcome = |state: &&RegisterState| {
+        let has_outcome = |state: &&RegisterState| {
             matches!(state, RegisterState::Claimed { outcome: Some(_), .. })
         };
-        self.registers.values().filter(outcome).count()
+        self.registers.values().filter(has_outcome).count()
     }
 
     /// Writes a claim of `claimant` unless the register is already written. Returns the content.
@@ -105,7 +105,7 @@
         now: MonotonicTime,
         key_life: Duration,
     ) {
-        if body.len() > OUTCOME_LIMIT {
+        if body.len() > MAX_OUTCOME_BYTES {
             return;
         }
         self.claim(key, reporter, now, key_life);
@@ -125,19 +125,19 @@
         now: MonotonicTime,
         key_life: Duration,
     ) -> RegisterReply {
-        self.expire(now);
+        self.remove_expired(now);
         if let Some(held) = self.registers.get(key) {
             return RegisterReply::Holds(held.clone());
         }
-        if self.registers.len() >= REGISTERS_LIMIT {
+        if self.registers.len() >= MAX_REGISTERS {
             return RegisterReply::Abstains(key_life);
         }
         self.registers.insert(key.clone(), state.clone());
-        self.expiries.push_back((now + key_life * REGISTER_LIVES, key.clone()));
+        self.expiries.push_back((now + key_life * RETENTION_LIFETIMES, key.clone()));
         RegisterReply::Holds(state)
     }
 
-    fn expire(&mut self, now: MonotonicTime) {
+    fn remove_expired(&mut self, now: MonotonicTime) {
         while self.expiries.front().is_some_and(|(expiry, _)| *expiry <= now) {
             if let Some((_, key)) = self.expiries.pop_front() {
                 self.registers.remove(&key);
--- a/crates/crocusdale_core/src/claims/witness_poll.rs
+++ b/crates/crocusdale_core/src/claims/witness_poll.rs
@@ -21,7 +21,7 @@
     /// The key never ran and never will.
     NotRun,
     /// The request ended. Holds the JSON of its outcome.
-    Known(Vec<u8>),
+    Finished(Vec<u8>),
     /// The claim holder has to be asked for the outcome.
     AskHolder(InstanceId),
     /// The replies prove nothing about the key.
@@ -33,25 +33,25 @@
 /// Replies of a key's witnesses to one daemon.
 #[derive(Clone, Debug)]
 pub struct WitnessPoll {
-    own: InstanceId,
+    own_instance: InstanceId,
     witnesses: WitnessSet,
-    ballots: Vec<Ballot>,
+    reply_states: Vec<ReplyState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Ballot {
+enum ReplyState {
     Pending,
-    Lost,
+    Missing,
     Abstained(Duration),
     Held(RegisterState),
 }
 
 impl WitnessPoll {
-    /// Starts a poll of `witnesses` by the process incarnation `own`, without any replies.
+    /// Starts a poll of `witnesses` by the process incarnation `own_instance`, without any replies.
     #[must_use]
-    pub fn new(own: InstanceId, witnesses: WitnessSet) -> Self {
-        let ballots = vec![Ballot::Pending; witnesses.vms().len()];
-        Self { own, witnesses, ballots }
+    pub fn new(own_instance: InstanceId, witnesses: WitnessSet) -> Self {
+        let reply_states = vec![ReplyState::Pending; witnesses.vms().len()];
+        Self { own_instance, witnesses, reply_states }
     }
 
     /// The witnesses that are polled.
@@ -62,36 +62,40 @@
 
     /// Records the reply of the witness `vm`; `None` if no reply came. Register content that was
     /// seen once is never overwritten by a missing reply or an abstention.
-    pub fn take(&mut self, vm: &str, reply: Option<RegisterReply>) {
-        let Some(index) = self.witnesses.vms().iter().position(|each| each == vm) else { return };
-        let ballot = match reply {
-            Some(RegisterReply::Holds(state)) => Ballot::Held(state),
-            Some(RegisterReply::Abstains(wait)) => Ballot::Abstained(wait),
-            None => Ballot::Lost,
+    pub fn record_reply(&mut self, vm: &str, reply: Option<RegisterReply>) {
+        let Some(index) = self.witnesses.vms().iter().position(|witness| witness == vm) else {
+            return;
         };
-        if matches!(ballot, Ballot::Held(_)) || !matches!(self.ballots[index], Ballot::Held(_)) {
-            self.ballots[index] = ballot;
+        let reply_state = match reply {
+            Some(RegisterReply::Holds(state)) => ReplyState::Held(state),
+            Some(RegisterReply::Abstains(wait)) => ReplyState::Abstained(wait),
+            None => ReplyState::Missing,
+        };
+        if matches!(reply_state, ReplyState::Held(_))
+            || !matches!(self.reply_states[index], ReplyState::Held(_))
+        {
+            self.reply_states[index] = reply_state;
         }
     }
 
     /// Marks the witnesses whose register content is not known as pending again and returns their
     /// VM names.
-    pub fn ask_again(&mut self) -> Vec<String> {
-        let mut asked = Vec::new();
-        for (ballot, vm) in self.ballots.iter_mut().zip(self.witnesses.vms()) {
-            if !matches!(ballot, Ballot::Held(_)) {
-                *ballot = Ballot::Pending;
-                asked.push(vm.clone());
+    pub fn reopen_unknown(&mut self) -> Vec<String> {
+        let mut unknown_witnesses = Vec::new();
+        for (reply_state, vm) in self.reply_states.iter_mut().zip(self.witnesses.vms()) {
+            if !matches!(reply_state, ReplyState::Held(_)) {
+                *reply_state = ReplyState::Pending;
+                unknown_witnesses.push(vm.clone());
             }
         }
-        asked
+        unknown_witnesses
     }
 
-    /// Marks missing replies as lost.
-    pub fn close(&mut self) {
-        for ballot in &mut self.ballots {
-            if *ballot == Ballot::Pending {
-                *ballot = Ballot::Lost;
+    /// Marks witnesses that have not replied as missing, so that no verdict waits for them.
+    pub fn stop_waiting(&mut self) {
+        for reply_state in &mut self.reply_states {
+            if *reply_state == ReplyState::Pending {
+                *reply_state = ReplyState::Missing;
             }
         }
     }
@@ -99,11 +103,11 @@
     /// Whether the polling daemon may run the key.
     #[must_use]
     pub fn claim_verdict(&self) -> ClaimVerdict {
-        let own = self.count(|ballot| self.is_own(ballot));
-        let pending = self.count(|ballot| *ballot == Ballot::Pending);
-        if own >= WITNESS_QUORUM {
+        let own_claims = self.count_replies(|reply_state| self.is_own_claim(reply_state));
+        let pending = self.count_replies(|reply_state| *reply_state == ReplyState::Pending);
+        if own_claims >= WITNESS_QUORUM {
             ClaimVerdict::Granted
-        } else if own + pending < WITNESS_QUORUM {
+        } else if own_claims + pending < WITNESS_QUORUM {
             ClaimVerdict::Impossible
         } else {
             ClaimVerdict::Pending
@@ -116,22 +120,26 @@
     /// register to any other daemon, and one register is not enough to run the key.
     #[must_use]
     pub fn key_verdict(&self) -> KeyVerdict {
-        let dead = self
-            .count(|ballot| *ballot == Ballot::Held(RegisterState::Buried) || self.is_own(ballot));
-        if dead >= WITNESS_QUORUM {
+        let not_running = self.count_replies(|reply_state| {
+            *reply_state == ReplyState::Held(RegisterState::Buried)
+                || self.is_own_claim(reply_state)
+        });
+        if not_running >= WITNESS_QUORUM {
             return KeyVerdict::NotRun;
         }
         let mut holder = None;
-        for ballot in &self.ballots {
-            if let Ballot::Held(RegisterState::Claimed { holder: other, outcome }) = ballot {
+        for reply_state in &self.reply_states {
+            if let ReplyState::Held(RegisterState::Claimed { holder: claimant, outcome }) =
+                reply_state
+            {
                 match outcome {
-                    Some(body) => return KeyVerdict::Known(body.clone()),
-                    None if *other != self.own => holder = Some(other.clone()),
+                    Some(body) => return KeyVerdict::Finished(body.clone()),
+                    None if *claimant != self.own_instance => holder = Some(claimant.clone()),
                     None => {}
                 }
             }
         }
-        if self.ballots.contains(&Ballot::Pending) {
+        if self.reply_states.contains(&ReplyState::Pending) {
             return KeyVerdict::Pending;
         }
         holder.map_or(KeyVerdict::Unknown, KeyVerdict::AskHolder)
@@ -139,19 +147,22 @@
 
     /// Longest time for which a witness said that it abstains; `None` if no witness abstained.
     #[must_use]
-    pub fn abstention(&self) -> Option<Duration> {
-        let waits = self.ballots.iter().filter_map(|ballot| match ballot {
-            Ballot::Abstained(wait) => Some(*wait),
+    pub fn longest_abstention(&self) -> Option<Duration> {
+        let waits = self.reply_states.iter().filter_map(|reply_state| match reply_state {
+            ReplyState::Abstained(wait) => Some(*wait),
             _ => None,
         });
         waits.max()
     }
 
-    fn is_own(&self, ballot: &Ballot) -> bool {
-        matches!(ballot, Ballot::Held(RegisterState::Claimed { holder, .. }) if *holder == self.own)
+    fn is_own_claim(&self, reply_state: &ReplyState) -> bool {
+        matches!(
+            reply_state,
+            ReplyState::Held(RegisterState::Claimed { holder, .. }) if *holder == self.own_instance
+        )
     }
 
-    fn count(&self, accept: impl Fn(&Ballot) -> bool) -> usize {
-        self.ballots.iter().filter(|ballot| accept(ballot)).count()
+    fn count_replies(&self, is_counted: impl Fn(&ReplyState) -> bool) -> usize {
+        self.reply_states.iter().filter(|reply_state| is_counted(reply_state)).count()
     }
 }
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -5,7 +5,7 @@
 
 use super::request_shard::{ActiveRun, InquiryBasis, reply, set_timer};
 use super::{
-    FinalAnswer, FinalOutcome, HolderReply, InquiryStep, KeyInquiry, OutcomeKind, RefusalReason,
+    FinalAnswer, FinalOutcome, HolderReply, LookupStep, OutcomeKind, OutcomeLookup, RefusalReason,
     RegisterCall, RequestPlan, RequestRun, RequestShard, ShardStep,
 };
 use crate::claims::{ClaimVerdict, RegisterReply, WitnessPoll};
@@ -14,11 +14,11 @@
 use crate::membership::WitnessSet;
 
 /// How long witnesses may take to answer a claim before the key is abandoned.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(400);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long an outcome lookup may take before it answers with what is known.
-const INQUIRY_PATIENCE: Duration = Duration::from_millis(1_500);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval at which a lookup asks the claim holder of a running request for the outcome.
-const HOLDER_PACE: Duration = Duration::from_millis(50);
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl RequestShard {
     /// Starts a request that must run at most once. Nothing is dispatched before its key is
@@ -33,13 +33,13 @@
     ) {
         let key = plan.request.key.clone();
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_PATIENCE));
+        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_TIMEOUT));
         actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
-        let poll = Some(WitnessPoll::new(self.own.clone(), witnesses));
-        let run = RequestRun::new(call, self.own.mark(), plan);
-        let followers = self.take_inquiries(&key);
-        self.keys.begin(key, call);
-        self.runs.insert(call, ActiveRun { run, poll, witnesses: None, followers });
+        let poll = Some(WitnessPoll::new(self.own_instance.clone(), witnesses));
+        let run = RequestRun::new(call, self.own_instance.mark(), plan);
+        let waiting_calls = self.take_lookups(&key);
+        self.key_table.mark_running(key, call);
+        self.runs.insert(call, ActiveRun { run, poll, witnesses: None, waiting_calls });
     }
 
     /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
@@ -55,13 +55,13 @@
     ) -> Vec<ShardStep> {
         let InquiryBasis { key_life, provable_until } = basis;
         let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
-        let poll = WitnessPoll::new(self.own.clone(), witnesses);
-        let until = now + INQUIRY_PATIENCE;
-        actions.push(set_timer(TimerKey::Inquiry(call), until));
-        let inquiry =
-            KeyInquiry { key, poll, until, key_life, provable_until, refusal, holder: None };
-        self.inquiries.insert(call, inquiry);
-        self.inquiry_step(call, now, &mut actions);
+        let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
+        let answer_by = now + LOOKUP_TIMEOUT;
+        actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+        let lookup =
+            OutcomeLookup { key, poll, answer_by, key_life, provable_until, refusal, holder: None };
+        self.lookups.insert(call, lookup);
+        self.advance_lookup(call, now, &mut actions);
         actions
     }
 
@@ -74,16 +74,17 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        if let Some(inquiry) = self.inquiries.get_mut(&call) {
-            inquiry.poll.take(witness, reply);
-            self.inquiry_step(call, now, actions);
+        if let Some(lookup) = self.lookups.get_mut(&call) {
+            lookup.poll.record_reply(witness, reply);
+            self.advance_lookup(call, now, actions);
             return;
         }
-        let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut()) else {
+        let Some(poll) = self.runs.get_mut(&call).and_then(|active_run| active_run.poll.as_mut())
+        else {
             return;
         };
-        poll.take(witness, reply);
-        self.claim_step(call, now, actions);
+        poll.record_reply(witness, reply);
+        self.advance_claim(call, now, actions);
     }
 
     /// Handles the reply of the daemon that holds the claim of a key; `None` if it can't be
@@ -95,31 +96,31 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
-        match inquiry.take_holder(reply) {
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, actions),
-            InquiryStep::Wait | InquiryStep::AskHolder(_) => {
-                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_PACE));
+        let Some(lookup) = self.lookups.get_mut(&call) else { return };
+        match lookup.handle_holder_reply(reply) {
+            LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
+            LookupStep::Wait | LookupStep::AskHolder(_) => {
+                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_POLL_INTERVAL));
             }
         }
     }
 
-    pub(super) fn claim_step(
+    pub(super) fn advance_claim(
         &mut self,
         call: CallId,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let Some(active) = self.runs.get_mut(&call) else { return };
-        let Some(poll) = &active.poll else { return };
+        let Some(active_run) = self.runs.get_mut(&call) else { return };
+        let Some(poll) = &active_run.poll else { return };
         match poll.claim_verdict() {
             ClaimVerdict::Pending => {}
             ClaimVerdict::Granted => {
-                active.witnesses = Some(poll.witnesses().clone());
-                active.poll = None;
-                active.run.begin(now, actions);
+                active_run.witnesses = Some(poll.witnesses().clone());
+                active_run.poll = None;
+                active_run.run.begin(now, actions);
             }
-            ClaimVerdict::Impossible => self.give_up_claim(call, now, actions),
+            ClaimVerdict::Impossible => self.abandon_claim(call, now, actions),
         }
     }
 
@@ -128,74 +129,74 @@
     /// This process incarnation never runs the key from here on, so its own claims count as
     /// tombstones. It writes tombstones to the other registers to prove that no daemon will run the
     /// key.
-    pub(super) fn give_up_claim(
+    pub(super) fn abandon_claim(
         &mut self,
         call: CallId,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let Some(active) = self.runs.remove(&call) else { return };
-        let Some(mut poll) = active.poll else { return };
-        let key = active.run.plan().request.key.clone();
-        let key_life = active.run.plan().declarations.deployment().key_life;
-        let provable_until = active.run.plan().provable_until;
-        self.keys.end(key.clone(), None, key_life, now);
-        actions.push(ShardStep::GiveBack(active.run.plan().permit.clone()));
+        let Some(active_run) = self.runs.remove(&call) else { return };
+        let Some(mut poll) = active_run.poll else { return };
+        let key = active_run.run.plan().request.key.clone();
+        let key_life = active_run.run.plan().declarations.deployment().key_life;
+        let provable_until = active_run.run.plan().provable_until;
+        self.key_table.mark_ended(key.clone(), None, key_life, now);
+        actions.push(ShardStep::GiveBack(active_run.run.plan().permit.clone()));
         actions.push(ShardStep::Command(Command::Count(CounterName::ClaimsRefused)));
-        let asked = poll.ask_again();
+        let unknown_witnesses = poll.reopen_unknown();
         let witnesses = poll.witnesses().clone();
         let refusal =
             FinalOutcome::new(OutcomeKind::Refused, &key).reason(RefusalReason::NotClaimed);
         let refusal =
             Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
-        let until = now + INQUIRY_PATIENCE;
-        for call in active.followers.into_iter().chain([call]) {
-            actions.push(set_timer(TimerKey::Inquiry(call), until));
-            actions.extend(register_calls(call, &key, &witnesses, asked.clone(), true));
+        let answer_by = now + LOOKUP_TIMEOUT;
+        for call in active_run.waiting_calls.into_iter().chain([call]) {
+            actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+            actions.extend(register_calls(call, &key, &witnesses, unknown_witnesses.clone(), true));
             let (poll, refusal) = (poll.clone(), Some(refusal.clone()));
-            let inquiry = KeyInquiry {
+            let lookup = OutcomeLookup {
                 key: key.clone(),
                 poll,
-                until,
+                answer_by,
                 key_life,
                 provable_until,
                 refusal,
                 holder: None,
             };
-            self.inquiries.insert(call, inquiry);
-            self.inquiry_step(call, now, actions);
+            self.lookups.insert(call, lookup);
+            self.advance_lookup(call, now, actions);
         }
     }
 
-    pub(super) fn inquiry_step(
+    pub(super) fn advance_lookup(
         &mut self,
         call: CallId,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
-        match inquiry.next_step(now) {
-            InquiryStep::Wait => {}
-            InquiryStep::AskHolder(holder) => {
-                let key = inquiry.key.clone();
+        let Some(lookup) = self.lookups.get_mut(&call) else { return };
+        match lookup.next_step(now) {
+            LookupStep::Wait => {}
+            LookupStep::AskHolder(holder) => {
+                let key = lookup.key.clone();
                 actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
             }
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, actions),
+            LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
         }
     }
 
-    pub(super) fn finish_inquiry(
+    pub(super) fn finish_lookup(
         &mut self,
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        if let Some(inquiry) = self.inquiries.remove(&call) {
+        if let Some(lookup) = self.lookups.remove(&call) {
             // The refusal may count claims of this process incarnation as proof that the key never
             // ran, so the key must never be claimed here again.
             if answer.kind == OutcomeKind::Refused {
-                self.keys.end(inquiry.key, None, inquiry.key_life, now);
+                self.key_table.mark_ended(lookup.key, None, lookup.key_life, now);
             }
             actions.push(reply(call, answer));
         }
@@ -207,11 +208,11 @@
     /// Guards against a lookup that reads the claims of a run of this same process incarnation. The
     /// lookup would count them as claims that never run, and answer "not run" while the request is
     /// running.
-    pub(super) fn take_inquiries(&mut self, key: &RequestKey) -> Vec<CallId> {
-        let about = self.inquiries.iter().filter(|(_, inquiry)| inquiry.key == *key);
-        let calls: Vec<CallId> = about.map(|(call, _)| *call).collect();
+    pub(super) fn take_lookups(&mut self, key: &RequestKey) -> Vec<CallId> {
+        let matching = self.lookups.iter().filter(|(_, lookup)| lookup.key == *key);
+        let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in &calls {
-            self.inquiries.remove(call);
+            self.lookups.remove(call);
         }
         calls
     }
@@ -221,12 +222,12 @@
     call: CallId,
     key: &RequestKey,
     witnesses: &WitnessSet,
-    asked: Vec<String>,
+    recipients: Vec<String>,
     bury: bool,
 ) -> Vec<ShardStep> {
-    let to_step = |witness| {
+    let to_action = |witness| {
         let (key, witnesses) = (key.clone(), witnesses.clone());
         ShardStep::Register(RegisterCall { call, witness, key, witnesses, bury })
     };
-    asked.into_iter().map(to_step).collect()
+    recipients.into_iter().map(to_action).collect()
 }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -1,9 +1,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::key_memory::{KeyMemory, KeyUse};
+use super::key_table::{KeyState, KeyTable};
 use super::{
-    AttemptEvent, FinalAnswer, HolderReply, KeyInquiry, RefusalReason, RequestPlan, RequestRun,
+    AttemptEvent, FinalAnswer, HolderReply, OutcomeLookup, RefusalReason, RequestPlan, RequestRun,
     ShardStep,
 };
 use crate::claims::WitnessPoll;
@@ -15,10 +15,10 @@
 /// State of the requests whose keys hash to one shard.
 #[derive(Debug)]
 pub struct RequestShard {
-    pub(super) own: InstanceId,
+    pub(super) own_instance: InstanceId,
     pub(super) runs: HashMap<CallId, ActiveRun>,
-    pub(super) inquiries: HashMap<CallId, KeyInquiry>,
-    pub(super) keys: KeyMemory,
+    pub(super) lookups: HashMap<CallId, OutcomeLookup>,
+    pub(super) key_table: KeyTable,
 }
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// Witnesses that hold the claim and receive the outcome; `None` until the key is claimed.
     pub(super) witnesses: Option<WitnessSet>,
     /// Other calls that wait for the same outcome.
-    pub(super) followers: Vec<CallId>,
+    pub(super) waiting_calls: Vec<CallId>,
 }
 
 /// Retention times under which an outcome lookup may prove that a key never ran.
@@ -43,22 +43,27 @@
 }
 
 impl RequestShard {
-    /// Creates an empty shard of the process incarnation `own`.
+    /// Creates an empty shard of the process incarnation `own_instance`.
     #[must_use]
-    pub fn new(own: InstanceId) -> Self {
-        Self { own, runs: HashMap::new(), inquiries: HashMap::new(), keys: KeyMemory::default() }
+    pub fn new(own_instance: InstanceId) -> Self {
+        Self {
+            own_instance,
+            runs: HashMap::new(),
+            lookups: HashMap::new(),
+            key_table: KeyTable::default(),
+        }
     }
 
     /// Number of running requests and outcome lookups.
     #[must_use]
     pub fn open_count(&self) -> usize {
-        self.runs.len() + self.inquiries.len()
+        self.runs.len() + self.lookups.len()
     }
 
     /// Number of keys in the table of requests that must run at most once.
     #[must_use]
     pub fn key_count(&self) -> usize {
-        self.keys.len()
+        self.key_table.len()
     }
 
     /// Answers `call` with the outcome of `key` if the key ran here, or attaches it to the running
@@ -70,33 +75,33 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) -> bool {
-        self.keys.forget(now);
-        match self.keys.get(key) {
-            Some(KeyUse::Running(runner)) => {
-                let runner = *runner;
-                if let Some(active) = self.runs.get_mut(&runner) {
-                    active.followers.push(call);
+        self.key_table.remove_expired(now);
+        match self.key_table.get(key) {
+            Some(KeyState::Running(running_call)) => {
+                let running_call = *running_call;
+                if let Some(active_run) = self.runs.get_mut(&running_call) {
+                    active_run.waiting_calls.push(call);
                 }
                 true
             }
-            Some(KeyUse::Finished(answer)) => {
+            Some(KeyState::Finished(answer)) => {
                 actions.push(reply(call, answer.clone()));
                 true
             }
-            Some(KeyUse::GivenUp) | None => false,
+            Some(KeyState::Abandoned) | None => false,
         }
     }
 
     /// Whether the key table can hold another key.
     #[must_use]
     pub fn has_memory(&self) -> bool {
-        self.keys.has_room()
+        self.key_table.has_capacity()
     }
 
     /// Whether this process incarnation has abandoned `key` and must not claim it again.
     #[must_use]
     pub fn has_given_up(&self, key: &RequestKey) -> bool {
-        matches!(self.keys.get(key), Some(KeyUse::GivenUp))
+        matches!(self.key_table.get(key), Some(KeyState::Abandoned))
     }
 
     /// Starts a request whose key needs no claim.
@@ -109,19 +114,19 @@
     ) {
         debug_assert!(!plan.claimed);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        let mut run = RequestRun::new(call, self.own.mark(), plan);
+        let mut run = RequestRun::new(call, self.own_instance.mark(), plan);
         run.begin(now, actions);
-        let active = ActiveRun { run, poll: None, witnesses: None, followers: Vec::new() };
-        self.runs.insert(call, active);
+        let active_run = ActiveRun { run, poll: None, witnesses: None, waiting_calls: Vec::new() };
+        self.runs.insert(call, active_run);
     }
 
     /// Handles the upstream that the router assigned to a step.
     pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
         let call = grant.request.call;
         match self.runs.get_mut(&call) {
-            Some(active) => {
-                let end = active.run.dispatch(grant, now, actions);
-                self.finish_if(call, end, now, actions);
+            Some(active_run) => {
+                let final_answer = active_run.run.dispatch(grant, now, actions);
+                self.finish_if_ended(call, final_answer, now, actions);
             }
             None => {
                 let report = AttemptReport::Cancelled;
@@ -138,9 +143,9 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        if let Some(active) = self.runs.get_mut(&call) {
-            let end = active.run.denied(reason, now, actions);
-            self.finish_if(call, end, now, actions);
+        if let Some(active_run) = self.runs.get_mut(&call) {
+            let final_answer = active_run.run.denied(reason, now, actions);
+            self.finish_if_ended(call, final_answer, now, actions);
         }
     }
 
@@ -153,9 +158,9 @@
         actions: &mut Vec<ShardStep>,
     ) {
         match self.runs.get_mut(&id.call) {
-            Some(active) => {
-                let end = active.run.attempt_event(id, event, now, actions);
-                self.finish_if(id.call, end, now, actions);
+            Some(active_run) => {
+                let final_answer = active_run.run.attempt_event(id, event, now, actions);
+                self.finish_if_ended(id.call, final_answer, now, actions);
             }
             None => actions.push(ShardStep::Command(Command::Count(CounterName::LateAnswers))),
         }
@@ -170,33 +175,38 @@
                 }
             }
             TimerKey::Claim(call) => {
-                if let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut())
+                if let Some(poll) =
+                    self.runs.get_mut(&call).and_then(|active_run| active_run.poll.as_mut())
                 {
-                    poll.close();
-                    self.claim_step(call, now, actions);
+                    poll.stop_waiting();
+                    self.advance_claim(call, now, actions);
                 }
             }
             TimerKey::Silence(id) => {
-                if let Some(active) = self.runs.get_mut(&id.call) {
-                    let end = active.run.check_silence(id, now, actions);
-                    self.finish_if(id.call, end, now, actions);
+                if let Some(active_run) = self.runs.get_mut(&id.call) {
+                    let final_answer = active_run.run.check_silence(id, now, actions);
+                    self.finish_if_ended(id.call, final_answer, now, actions);
                 }
             }
             TimerKey::Inquiry(call) => {
-                if let Some(inquiry) = self.inquiries.get_mut(&call) {
-                    let answer = inquiry.give_up(now);
-                    self.finish_inquiry(call, answer, now, actions);
+                if let Some(lookup) = self.lookups.get_mut(&call) {
+                    let answer = lookup.time_out(now);
+                    self.finish_lookup(call, answer, now, actions);
                 }
             }
             TimerKey::Holder(call) => {
-                if let Some(inquiry) = self.inquiries.get(&call)
-                    && let Some(holder) = inquiry.holder.clone()
+                if let Some(lookup) = self.lookups.get(&call)
+                    && let Some(holder) = lookup.holder.clone()
                 {
-                    let key = inquiry.key.clone();
+                    let key = lookup.key.clone();
                     actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
                 }
             }
-            _ => debug_assert!(false, "{timer:?} is not a timer of a request"),
+            _ => debug_assert!(
+                false,
+                "timer {timer:?} does not belong to a request shard; \
+                 accepted: Deadline, Claim, Silence, Inquiry, Holder"
+            ),
         }
     }
 
@@ -204,8 +214,9 @@
     /// resources are freed; a run that must happen at most once continues, and its outcome can be
     /// looked up.
     pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
-        let ends = self.runs.get(&call).is_some_and(|active| !active.run.outlives_caller());
-        if ends {
+        let is_cancelled =
+            self.runs.get(&call).is_some_and(|active_run| !active_run.run.outlives_caller());
+        if is_cancelled {
             actions.push(ShardStep::Command(Command::Count(CounterName::CallersGone)));
             self.end_run(call, RefusalReason::Deadline, now, actions);
         }
@@ -220,11 +231,10 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let like = self
-            .runs
-            .iter()
-            .filter(|(_, active)| active.run.plan().digest == digest && active.run.is_unsent());
-        let calls: Vec<CallId> = like.map(|(call, _)| *call).collect();
+        let matching = self.runs.iter().filter(|(_, active_run)| {
+            active_run.run.plan().digest == digest && active_run.run.is_unsent()
+        });
+        let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in calls {
             self.denied_for(call, (RefusalReason::Quarantined, left), now, actions);
         }
@@ -232,8 +242,8 @@
 
     /// Records that `section` of the pool runs the work items of `attempt`.
     pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
-        if let Some(active) = self.runs.get_mut(&attempt.call) {
-            active.run.note_section(attempt, section);
+        if let Some(active_run) = self.runs.get_mut(&attempt.call) {
+            active_run.run.note_section(attempt, section);
         }
     }
 
@@ -265,10 +275,10 @@
     /// Reply to another daemon that asks for the outcome of `key`.
     #[must_use]
     pub fn holder_reply(&self, key: &RequestKey) -> HolderReply {
-        match self.keys.get(key) {
-            Some(KeyUse::Running(_)) => HolderReply::Running,
-            Some(KeyUse::Finished(answer)) => HolderReply::Finished(answer.body.to_vec()),
-            Some(KeyUse::GivenUp) | None => HolderReply::Gone,
+        match self.key_table.get(key) {
+            Some(KeyState::Running(_)) => HolderReply::Running,
+            Some(KeyState::Finished(answer)) => HolderReply::Finished(answer.body.to_vec()),
+            Some(KeyState::Abandoned) | None => HolderReply::Gone,
         }
     }
 
@@ -292,23 +302,23 @@
         actions: &mut Vec<ShardStep>,
         settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardStep>) -> Option<FinalAnswer>,
     ) {
-        let Some(active) = self.runs.get_mut(&call) else { return };
-        if active.poll.is_some() {
-            self.give_up_claim(call, now, actions);
+        let Some(active_run) = self.runs.get_mut(&call) else { return };
+        if active_run.poll.is_some() {
+            self.abandon_claim(call, now, actions);
             return;
         }
-        let end = settle(&mut active.run, actions);
-        self.finish_if(call, end, now, actions);
+        let final_answer = settle(&mut active_run.run, actions);
+        self.finish_if_ended(call, final_answer, now, actions);
     }
 
-    fn finish_if(
+    fn finish_if_ended(
         &mut self,
         call: CallId,
-        end: Option<FinalAnswer>,
+        final_answer: Option<FinalAnswer>,
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        if let Some(answer) = end {
+        if let Some(answer) = final_answer {
             self.finish_run(call, answer, now, actions);
         }
     }
@@ -320,21 +330,21 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardStep>,
     ) {
-        let Some(active) = self.runs.remove(&call) else { return };
-        let plan = active.run.plan();
+        let Some(active_run) = self.runs.remove(&call) else { return };
+        let plan = active_run.run.plan();
         actions.push(ShardStep::GiveBack(plan.permit.clone()));
         if plan.claimed {
             let key = plan.request.key.clone();
-            for witness in active.witnesses.iter().flat_map(WitnessSet::vms) {
+            for witness in active_run.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
                 let witness = witness.clone();
                 actions.push(ShardStep::Command(Command::RecordOutcome { witness, key, body }));
             }
-            let life = plan.declarations.deployment().key_life;
-            self.keys.end(key, Some(answer.clone()), life, now);
+            let key_life = plan.declarations.deployment().key_life;
+            self.key_table.mark_ended(key, Some(answer.clone()), key_life, now);
         }
-        for follower in active.followers {
-            actions.push(reply(follower, answer.clone()));
+        for waiting_call in active_run.waiting_calls {
+            actions.push(reply(waiting_call, answer.clone()));
         }
         actions.push(reply(call, answer));
     }
--- a/crates/crocusdale_core/src/tickets/ticket_issuer.rs
+++ b/crates/crocusdale_core/src/tickets/ticket_issuer.rs
@@ -18,11 +18,11 @@
 /// use crocusdale_core::identity::{MonotonicTime, RequestKey};
 /// use crocusdale_core::tickets::TicketIssuer;
 ///
-/// let (book, key) = (TicketIssuer::new(1, 7), RequestKey::new("mail", "order"));
-/// let ticket = book.mint(&key, MonotonicTime::from_millis(0));
+/// let (issuer, key) = (TicketIssuer::new(1, 7), RequestKey::new("mail", "order"));
+/// let ticket = issuer.mint(&key, MonotonicTime::from_millis(0));
 /// let life = Duration::from_millis(500);
-/// assert!(book.is_good(&ticket, &key, MonotonicTime::from_millis(400), life));
-/// assert!(!book.is_good(&ticket, &key, MonotonicTime::from_millis(501), life));
+/// assert!(issuer.is_good(&ticket, &key, MonotonicTime::from_millis(400), life));
+/// assert!(!issuer.is_good(&ticket, &key, MonotonicTime::from_millis(501), life));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct TicketIssuer {
@@ -41,8 +41,8 @@
     /// Issues a ticket for `key` at the time `now`.
     #[must_use]
     pub fn mint(&self, key: &RequestKey, now: MonotonicTime) -> String {
-        let minted = u64::try_from(now.since_start().as_millis()).unwrap_or(u64::MAX);
-        format!("{:x}-{minted:x}-{:x}", self.incarnation, self.tag(key, minted))
+        let issued_ms = u64::try_from(now.since_start().as_millis()).unwrap_or(u64::MAX);
+        format!("{:x}-{issued_ms:x}-{:x}", self.incarnation, self.tag(key, issued_ms))
     }
 
     /// Whether this process incarnation issued `ticket` for `key` at most `life` ago.
@@ -55,18 +55,18 @@
         life: Duration,
     ) -> bool {
         let mut parts = ticket.splitn(3, '-').map(|part| u64::from_str_radix(part, 16));
-        let (Some(Ok(incarnation)), Some(Ok(minted)), Some(Ok(tag))) =
+        let (Some(Ok(incarnation)), Some(Ok(issued_ms)), Some(Ok(tag))) =
             (parts.next(), parts.next(), parts.next())
         else {
             return false;
         };
         incarnation == self.incarnation
-            && tag == self.tag(key, minted)
-            && now.since(MonotonicTime::from_millis(minted)) <= life
+            && tag == self.tag(key, issued_ms)
+            && now.since(MonotonicTime::from_millis(issued_ms)) <= life
     }
 
-    fn tag(&self, key: &RequestKey, minted: u64) -> u64 {
-        let bound = [self.incarnation, minted, key.stable_hash()].map(u64::to_le_bytes);
-        xxh3_64_with_seed(bound.as_flattened(), self.secret)
+    fn tag(&self, key: &RequestKey, issued_ms: u64) -> u64 {
+        let tag_input = [self.incarnation, issued_ms, key.stable_hash()].map(u64::to_le_bytes);
+        xxh3_64_with_seed(tag_input.as_flattened(), self.secret)
     }
 }
