--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -7,7 +7,7 @@
 use crate::configuration::{PlanStep, StepWork};
 use crate::identity::{CallId, MonotonicTime};
 use crate::pipeline::{
-    FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan, ShardStep,
+    FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan, ShardAction,
 };
 use crate::sync::lock;
 
@@ -25,7 +25,7 @@
         call: CallId,
         mut plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         plan.is_flood = lock(&self.workspaces).count(&plan.request.key.workspace, now);
         if let Some(wait) = self.refused_by_rates(&plan, now) {
@@ -37,7 +37,7 @@
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
             EntryVerdict::Unservable => self.refuse_late(call, &plan, now, steps),
             verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
-                steps.push(ShardStep::Command(Command::Note(StateChange::RequestWaits {
+                steps.push(ShardAction::Command(Command::Note(StateChange::RequestWaits {
                     request: plan.request.key.clone(),
                     verdict: verdict.to_string(),
                     needed_ms: millis(self.expected_way(&plan, now)),
@@ -50,7 +50,7 @@
     }
 
     /// Lets requests that wait begin, or ends them.
-    pub(super) fn turn_backlog(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn turn_backlog(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         let judge = |plan: &RequestPlan| self.entry_verdict(plan, now);
         let taken = lock(&self.backlog).take(LATE_PER_TURN, judge);
         for (call, mut plan, verdict) in taken {
@@ -64,15 +64,15 @@
     }
 
     /// The caller of a request that waits is gone.
-    pub(super) fn abandon_waiting(&self, call: CallId, steps: &mut Vec<ShardStep>) {
+    pub(super) fn abandon_waiting(&self, call: CallId, steps: &mut Vec<ShardAction>) {
         lock(&self.held).abandon(call);
         if let Some(plan) = lock(&self.backlog).withdraw(call) {
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
 
     /// Ends every request that waits.
-    pub(super) fn end_waiting(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn end_waiting(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         for (call, plan) in lock(&self.backlog).take_all() {
             self.refuse_late(call, &plan, now, steps);
         }
@@ -123,7 +123,7 @@
         call: CallId,
         plan: &RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         let waits = self.pool_waits(plan, now);
         let retry_after = waits.iter().map(PoolWait::retry_after).max().unwrap_or_default();
@@ -136,7 +136,7 @@
         call: CallId,
         plan: &RequestPlan,
         left: Duration,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         refuse_unbegun(call, plan, (RefusalReason::Quarantined, left), steps);
     }
@@ -180,12 +180,12 @@
     call: CallId,
     plan: &RequestPlan,
     (reason, retry_after): (RefusalReason, Duration),
-    steps: &mut Vec<ShardStep>,
+    steps: &mut Vec<ShardAction>,
 ) {
-    steps.push(ShardStep::GiveBack(plan.permit.clone()));
+    steps.push(ShardAction::ReleasePermit(plan.permit.clone()));
     let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).reason(reason);
     let answer = FinalAnswer::from(outcome.retry(retry_after, true));
-    steps.push(ShardStep::Command(Command::Reply { call, answer }));
+    steps.push(ShardAction::Command(Command::Reply { call, answer }));
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -4,7 +4,7 @@
 use super::crash_flow::NEWS_DELAY;
 use super::{Command, StateChange, TimerKey};
 use crate::identity::MonotonicTime;
-use crate::pipeline::{RefusalReason, ShardStep};
+use crate::pipeline::{RefusalReason, ShardAction};
 use crate::rate_limiting::{LimitChange, LimitRecord, RateNotice};
 use crate::sync::lock;
 
@@ -50,7 +50,7 @@
     }
 
     /// Refuses attempts that wait in vain for upstreams that name a rate.
-    pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         for (request, retry_after) in self.router().take_unservable(now) {
             let why = (RefusalReason::Overload, retry_after);
             self.shard(request.call.0).denied_for(request.call, why, now, steps);
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -4,7 +4,7 @@
 use super::held_work::HeldRequest;
 use super::{Command, CounterName};
 use crate::identity::MonotonicTime;
-use crate::pipeline::{RefusalReason, ShardStep};
+use crate::pipeline::{RefusalReason, ShardAction};
 use crate::routing::SlotRequest;
 use crate::sync::lock;
 
@@ -48,7 +48,7 @@
         request: SlotRequest,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         // Asked where an upstream is chosen, so that nothing that began before the quarantine gets one.
         if let Some(left) = self.quarantine_left(request.digest, now) {
@@ -57,7 +57,7 @@
             return;
         }
         let Some(request) = lock(&self.held).hold_attempt(request, reason) else {
-            steps.push(ShardStep::Command(Command::Count(CounterName::AttemptsHeld)));
+            steps.push(ShardAction::Command(Command::Count(CounterName::AttemptsHeld)));
             return;
         };
         match self.router().acquire(request, now) {
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -3,7 +3,7 @@
 use crate::batching::{BatchId, BatchOutcome, DispatchStep, DispatcherChoice, PoolSection};
 use crate::identity::{AttemptId, MonotonicTime, stable_hash};
 use crate::pipeline::{
-    AttemptEvent, PieceFault, PieceOrder, PlacedResult, ResultHandle, ShardStep,
+    AttemptEvent, PieceFault, PieceOrder, PlacedResult, ResultHandle, ShardAction,
 };
 use crate::sync::lock;
 
@@ -14,7 +14,7 @@
         mut order: PieceOrder,
         tried: &[String],
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
@@ -55,7 +55,7 @@
         &self,
         order: PieceOrder,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -92,7 +92,7 @@
     pub(super) fn turn_unwanted(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -106,7 +106,7 @@
         batch: BatchId,
         outcome: BatchOutcome,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -120,7 +120,7 @@
         upstream: &str,
         free: Option<u64>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -132,7 +132,7 @@
     pub(super) fn hand_over_pools(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let waiting =
@@ -173,7 +173,7 @@
     pub(super) fn turn_dispatcher(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -186,7 +186,7 @@
         &self,
         dispatch_steps: Vec<DispatchStep>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         // Calls go out before anything is told of the one that ended: until then their upstream
@@ -227,7 +227,7 @@
         pool: &str,
         outcome: Result<Vec<PlacedResult>, PieceFault>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -11,7 +11,7 @@
 use crate::membership::{LeavingUpstream, WitnessSet};
 use crate::pipeline::{
     CallerRequest, FinalAnswer, FinalOutcome, InquiryBasis, OutcomeKind, RefusalReason,
-    RegisterCall, RequestPlan, RequestShard, ShardStep,
+    RegisterCall, RequestPlan, RequestShard, ShardAction,
 };
 use crate::routing::{AttemptReport, SlotGrant};
 use crate::sync::lock;
@@ -82,7 +82,7 @@
     /// Carries steps out until nothing but commands is left.
     pub(super) fn run_steps(
         &self,
-        steps: Vec<ShardStep>,
+        steps: Vec<ShardAction>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
@@ -93,7 +93,11 @@
     }
 
     /// Gives upstreams that were found for attempts to their requests.
-    pub(super) fn run_grants(&self, grants: Vec<SlotGrant>, now: MonotonicTime) -> Vec<ShardStep> {
+    pub(super) fn run_grants(
+        &self,
+        grants: Vec<SlotGrant>,
+        now: MonotonicTime,
+    ) -> Vec<ShardAction> {
         let mut steps = Vec::new();
         for grant in grants {
             self.shard(grant.request.call.0).granted(grant, now, &mut steps);
@@ -168,18 +172,18 @@
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller calls repeatable may reach a pipeline that is not.
         if plan.request.repeatable && shard.join(call, &key, now, steps) {
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
         if let Some(reason) = self.obstacle(&plan, &shard, now) {
             drop(shard);
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
             let refusal = refusal(&key, reason, Duration::ZERO);
             let age_is_known =
                 matches!(reason, RefusalReason::NeverRun | RefusalReason::RequestLimit);
@@ -250,7 +254,7 @@
         refusal: Option<Box<FinalOutcome>>,
         age: Option<Duration>,
         now: MonotonicTime,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let basis = self.basis();
         let witnesses = WitnessSet::choose(&key, basis.history.current());
         // A daemon that has no configuration yet does not know how long the others remember keys.
@@ -263,17 +267,17 @@
 
     fn run_step(
         &self,
-        step: ShardStep,
+        step: ShardAction,
         now: MonotonicTime,
         out: &mut Vec<Command>,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let mut steps = Vec::new();
         match step {
-            ShardStep::Command(command) => out.push(command),
-            ShardStep::Acquire(request) => {
+            ShardAction::Command(command) => out.push(command),
+            ShardAction::AcquireSlot(request) => {
                 self.acquire(request, RefusalReason::NoUpstream, now, &mut steps);
             }
-            ShardStep::Retry { request, reason } => {
+            ShardAction::AcquireRetrySlot { request, reason } => {
                 if self.router().allow_retry(&request, now) {
                     out.push(Command::Count(CounterName::Retries));
                     self.acquire(request, reason, now, &mut steps);
@@ -282,37 +286,41 @@
                     self.shard(request.call.0).denied(request.call, reason, now, &mut steps);
                 }
             }
-            ShardStep::Withdraw(request) => {
+            ShardAction::CancelSlotRequest(request) => {
                 lock(&self.held).withdraw(&request);
                 self.router().withdraw(&request);
             }
-            ShardStep::Release { upstream, call, report } => {
+            ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.judge_time(report, now);
                 steps = self.run_grants(self.router().release(&upstream, call, report, now), now);
             }
-            ShardStep::Flowing { upstream, call } => self.router().flowing(&upstream, call),
-            ShardStep::FreeResults { pool, results } => self.free_results(&pool, results, out),
-            ShardStep::OfferPieces { mut order, tried, target } => {
+            ShardAction::RecordStreamStart { upstream, call } => {
+                self.router().flowing(&upstream, call)
+            }
+            ShardAction::FreeResults { pool, results } => self.free_results(&pool, results, out),
+            ShardAction::SubmitPieces { mut order, tried, target } => {
                 if let Some(target) = target.filter(|_| order.zone.is_none()) {
                     // Results are made where they will be needed, if nothing speaks against it.
                     order.zone = self.router().engine_zone(&target, now).map(str::to_owned);
                 }
                 self.offer_pieces(*order, &tried, now, &mut steps, out);
             }
-            ShardStep::WithdrawPieces { attempt, pool } => {
+            ShardAction::CancelPieces { attempt, pool } => {
                 lock(&self.dispatcher).withdraw(attempt, &pool);
                 out.push(Command::CancelPieces(attempt));
             }
-            ShardStep::Suspect { digest, upstream, address } => {
+            ShardAction::CheckCrash { digest, upstream, address } => {
                 self.suspect(digest, upstream, address, out);
             }
-            ShardStep::Succeeded(digest) => self.note_success(digest, now, out),
-            ShardStep::GiveBack(permit) => lock(&self.gate).release(&permit),
-            ShardStep::Register(register) => self.ask_witness(register, now, &mut steps, out),
-            ShardStep::Greet { upstream, life, leaving: false } => {
+            ShardAction::RecordSuccess(digest) => self.note_success(digest, now, out),
+            ShardAction::ReleasePermit(permit) => lock(&self.gate).release(&permit),
+            ShardAction::WriteRegister(register) => {
+                self.ask_witness(register, now, &mut steps, out)
+            }
+            ShardAction::RecordProcess { upstream, life, leaving: false } => {
                 self.router().greet(&upstream, &life)
             }
-            ShardStep::Greet { upstream, life, leaving: true } => {
+            ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
                 lock(&self.fleet).view.take_leaving_upstream(&news, now);
                 self.take_leaving(&[news], now, out);
@@ -332,7 +340,7 @@
         &self,
         register: RegisterCall,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let RegisterCall { call, witness, key, witnesses, bury } = register;
--- a/crates/crocusdale_core/src/pipeline/attempt_failures.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_failures.rs
@@ -2,7 +2,7 @@
 
 use super::request_run::{MAX_REBUILDS, count, set_timer};
 use super::step_run::{AttemptFailure, InFlightAttempt};
-use super::{BreakReason, FinalAnswer, RequestRun, ShardStep};
+use super::{BreakReason, FinalAnswer, RequestRun, ShardAction};
 use crate::configuration::RepeatRule;
 use crate::daemon::{Command, StateChange, TimerKey};
 use crate::identity::{AttemptId, MonotonicTime};
@@ -17,7 +17,7 @@
         &mut self,
         id: AttemptId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let index = self.step_runs.iter().position(|step_run| step_run.is_attempt(id))?;
         let silence_timeout = self.plan.stage(&self.step_runs[index].stage).silence;
@@ -26,7 +26,7 @@
             actions.push(set_timer(TimerKey::Silence(id), last_progress + silence_timeout));
             return None;
         }
-        actions.push(ShardStep::Command(Command::Cancel(id)));
+        actions.push(ShardAction::Command(Command::Cancel(id)));
         self.handle_attempt_failure(
             index,
             AttemptFailure::Broken(BreakReason::Silent),
@@ -40,7 +40,7 @@
         index: usize,
         failure: AttemptFailure,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let report = match failure {
             AttemptFailure::NotRun => AttemptReport::Declined,
@@ -55,7 +55,7 @@
         step_run.tried.push(in_flight.upstream.clone());
         actions.push(count(failure.counter()));
         if let AttemptFailure::Broken(reason) = failure {
-            actions.push(ShardStep::Command(Command::Note(StateChange::AttemptBroken {
+            actions.push(ShardAction::Command(Command::Note(StateChange::AttemptBroken {
                 request: self.plan.request.key.clone(),
                 digest: self.plan.digest,
                 upstream: in_flight.upstream.clone(),
@@ -64,10 +64,10 @@
         }
         if let Some(address) = in_flight.address.filter(|_| failure.is_possible_crash()) {
             let (digest, upstream) = (self.plan.digest, in_flight.upstream.clone());
-            actions.push(ShardStep::Suspect { digest, upstream, address });
+            actions.push(ShardAction::CheckCrash { digest, upstream, address });
         }
         if failure.is_broken_response() {
-            actions.push(ShardStep::Command(Command::Distrust(in_flight.upstream)));
+            actions.push(ShardAction::Command(Command::Distrust(in_flight.upstream)));
         }
         let has_not_run = matches!(failure, AttemptFailure::NotSent | AttemptFailure::NotRun);
         let can_retry = (can_repeat || has_not_run) && (!self.has_sent_response || is_resumable);
@@ -77,7 +77,8 @@
                 return None;
             }
             let request = self.slot_request(index);
-            actions.push(ShardStep::Retry { request, reason: failure.refusal_reason() });
+            actions
+                .push(ShardAction::AcquireRetrySlot { request, reason: failure.refusal_reason() });
             return None;
         }
         Some(self.finish_unanswered(failure.refusal_reason(), now, actions))
@@ -87,25 +88,29 @@
         &mut self,
         index: usize,
         report: AttemptReport,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let call = self.call;
         let in_flight =
             self.step_runs[index].in_flight.as_ref().filter(|in_flight| in_flight.has_slot());
         if let Some(in_flight) = in_flight {
-            actions.push(ShardStep::Release { upstream: in_flight.upstream.clone(), call, report });
+            actions.push(ShardAction::ReleaseSlot {
+                upstream: in_flight.upstream.clone(),
+                call,
+                report,
+            });
         }
     }
 
-    pub(super) fn close_step_runs(&mut self, actions: &mut Vec<ShardStep>) {
+    pub(super) fn close_step_runs(&mut self, actions: &mut Vec<ShardAction>) {
         for index in 0..self.step_runs.len() {
             if let Some(held_attempt) = self.step_runs[index].held_attempt.take() {
-                actions.push(ShardStep::Command(Command::Cancel(held_attempt)));
+                actions.push(ShardAction::Command(Command::Cancel(held_attempt)));
             }
             if let Some(in_flight) = self.step_runs[index].in_flight.take() {
                 self.close_attempt(index, in_flight, actions);
             } else if self.step_runs[index].output.is_none() {
-                actions.push(ShardStep::Withdraw(self.slot_request(index)));
+                actions.push(ShardAction::CancelSlotRequest(self.slot_request(index)));
             }
         }
     }
@@ -114,15 +119,15 @@
         &self,
         index: usize,
         in_flight: InFlightAttempt,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         if !in_flight.has_slot() {
             let pool = self.step_runs[index].pool_section.clone();
-            actions.push(ShardStep::WithdrawPieces { attempt: in_flight.id, pool });
+            actions.push(ShardAction::CancelPieces { attempt: in_flight.id, pool });
             return;
         }
         let (call, report) = (self.call, AttemptReport::Cancelled);
-        actions.push(ShardStep::Command(Command::Cancel(in_flight.id)));
-        actions.push(ShardStep::Release { upstream: in_flight.upstream, call, report });
+        actions.push(ShardAction::Command(Command::Cancel(in_flight.id)));
+        actions.push(ShardAction::ReleaseSlot { upstream: in_flight.upstream, call, report });
     }
 }
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -6,7 +6,7 @@
 use super::request_shard::{ActiveRun, InquiryBasis, reply, set_timer};
 use super::{
     FinalAnswer, FinalOutcome, HolderReply, LookupStep, OutcomeKind, OutcomeLookup, RefusalReason,
-    RegisterCall, RequestPlan, RequestRun, RequestShard, ShardStep,
+    RegisterCall, RequestPlan, RequestRun, RequestShard, ShardAction,
 };
 use crate::claims::{ClaimVerdict, RegisterReply, WitnessPoll};
 use crate::daemon::{Command, CounterName, TimerKey};
@@ -29,7 +29,7 @@
         plan: RequestPlan,
         witnesses: WitnessSet,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let key = plan.request.key.clone();
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
@@ -52,7 +52,7 @@
         refusal: Option<Box<FinalOutcome>>,
         basis: InquiryBasis,
         now: MonotonicTime,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let InquiryBasis { key_life, provable_until } = basis;
         let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
         let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
@@ -72,7 +72,7 @@
         witness: &str,
         reply: Option<RegisterReply>,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         if let Some(lookup) = self.lookups.get_mut(&call) {
             lookup.poll.record_reply(witness, reply);
@@ -94,7 +94,7 @@
         call: CallId,
         reply: Option<HolderReply>,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let Some(lookup) = self.lookups.get_mut(&call) else { return };
         match lookup.handle_holder_reply(reply) {
@@ -109,7 +109,7 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let Some(active_run) = self.runs.get_mut(&call) else { return };
         let Some(poll) = &active_run.poll else { return };
@@ -133,7 +133,7 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let Some(active_run) = self.runs.remove(&call) else { return };
         let Some(mut poll) = active_run.poll else { return };
@@ -141,8 +141,8 @@
         let key_life = active_run.run.plan().declarations.deployment().key_life;
         let provable_until = active_run.run.plan().provable_until;
         self.key_table.mark_ended(key.clone(), None, key_life, now);
-        actions.push(ShardStep::GiveBack(active_run.run.plan().permit.clone()));
-        actions.push(ShardStep::Command(Command::Count(CounterName::ClaimsRefused)));
+        actions.push(ShardAction::ReleasePermit(active_run.run.plan().permit.clone()));
+        actions.push(ShardAction::Command(Command::Count(CounterName::ClaimsRefused)));
         let unknown_witnesses = poll.reopen_unknown();
         let witnesses = poll.witnesses().clone();
         let refusal =
@@ -172,14 +172,14 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let Some(lookup) = self.lookups.get_mut(&call) else { return };
         match lookup.next_step(now) {
             LookupStep::Wait => {}
             LookupStep::AskHolder(holder) => {
                 let key = lookup.key.clone();
-                actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+                actions.push(ShardAction::Command(Command::AskHolder { call, key, holder }));
             }
             LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
         }
@@ -190,7 +190,7 @@
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         if let Some(lookup) = self.lookups.remove(&call) {
             // The refusal may count claims of this process incarnation as proof that the key never
@@ -224,10 +224,10 @@
     witnesses: &WitnessSet,
     recipients: Vec<String>,
     bury: bool,
-) -> Vec<ShardStep> {
+) -> Vec<ShardAction> {
     let to_action = |witness| {
         let (key, witnesses) = (key.clone(), witnesses.clone());
-        ShardStep::Register(RegisterCall { call, witness, key, witnesses, bury })
+        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, bury })
     };
     recipients.into_iter().map(to_action).collect()
 }
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -4,7 +4,7 @@
 use super::step_run::{AttemptFailure, StepOutput};
 use super::{
     AnswerHead, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun, RunProof,
-    ShardStep,
+    ShardAction,
 };
 use crate::configuration::{PlanStep, StepWork};
 use crate::daemon::{Command, CounterName};
@@ -76,7 +76,7 @@
         id: AttemptId,
         head: AnswerHead,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         match head.proof {
             RunProof::Ran => {}
@@ -107,7 +107,7 @@
             // The caller already has the head of an earlier response, so this error can't be passed
             // on.
             self.attempt_counts.executed += 1;
-            actions.push(ShardStep::Command(Command::Cancel(id)));
+            actions.push(ShardAction::Command(Command::Cancel(id)));
             return self.handle_attempt_failure(index, AttemptFailure::Declined, now, actions);
         }
         self.handle_error_response(index, id, now, actions)
@@ -121,7 +121,7 @@
         index: usize,
         id: AttemptId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         if !self.can_repeat(index) || self.has_sent_response || now >= self.plan.deadline {
             self.forward_response(id, actions);
@@ -136,12 +136,13 @@
         }
         step_run.held_attempt = Some(id);
         let request = self.slot_request(index);
-        actions.push(ShardStep::Retry { request, reason: RefusalReason::UpstreamError });
+        actions
+            .push(ShardAction::AcquireRetrySlot { request, reason: RefusalReason::UpstreamError });
         None
     }
 
-    pub(super) fn forward_response(&mut self, attempt: AttemptId, actions: &mut Vec<ShardStep>) {
+    pub(super) fn forward_response(&mut self, attempt: AttemptId, actions: &mut Vec<ShardAction>) {
         self.has_sent_response = true;
-        actions.push(ShardStep::Command(Command::PassOn { call: self.call, attempt }));
+        actions.push(ShardAction::Command(Command::PassOn { call: self.call, attempt }));
     }
 }
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -5,7 +5,7 @@
 
 use super::step_run::{AttemptFailure, AttemptKind, StepOutput};
 use super::{
-    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardStep, StreamFault,
+    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardAction, StreamFault,
     StreamLine,
 };
 use crate::daemon::Command;
@@ -80,7 +80,7 @@
         index: usize,
         line: &StreamLine,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         self.record_progress(index, now);
         let in_flight = self.step_runs[index].in_flight.as_mut()?;
@@ -90,7 +90,7 @@
                 if self.is_streamed_to_caller(index) {
                     self.has_sent_response = true;
                     let text = line.text.clone();
-                    actions.push(ShardStep::Command(Command::Forward { call: self.call, text }));
+                    actions.push(ShardAction::Command(Command::Forward { call: self.call, text }));
                 }
                 None
             }
@@ -106,7 +106,7 @@
                     StreamFault::OutOfOrder => BreakReason::Malformed,
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
-                actions.push(ShardStep::Command(Command::Cancel(in_flight.id)));
+                actions.push(ShardAction::Command(Command::Cancel(in_flight.id)));
                 self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
         }
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -18,7 +18,7 @@
 mod request_plan;
 mod request_run;
 mod request_shard;
-mod shard_step;
+mod shard_action;
 mod step_run;
 mod stream_assembler;
 
@@ -35,5 +35,5 @@
 pub use request_plan::RequestPlan;
 pub use request_run::RequestRun;
 pub use request_shard::{InquiryBasis, RequestShard};
-pub use shard_step::{RegisterCall, ShardStep};
+pub use shard_action::{RegisterCall, ShardAction};
 pub use stream_assembler::{StreamAssembler, StreamFault, StreamLine};
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -6,7 +6,7 @@
 use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput};
 use super::{
     FinalAnswer, PieceFault, PieceOrder, PieceSource, PlacedResult, RefusalReason, RequestRun,
-    ResultHandle, ShardStep,
+    ResultHandle, ShardAction,
 };
 use crate::configuration::{PoolKind, StepWork};
 use crate::daemon::CounterName;
@@ -32,7 +32,7 @@
         &mut self,
         index: usize,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let id = self.next_attempt_id();
         let position = self.step_runs[index].step;
@@ -74,7 +74,7 @@
         let tried = step_run.tried.clone();
         let target =
             self.forward_slot_request().filter(|_| self.has_large_results(position)).map(Box::new);
-        actions.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
+        actions.push(ShardAction::SubmitPieces { order: Box::new(order), tried, target });
     }
 
     /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
@@ -150,7 +150,7 @@
         index: usize,
         fault: PieceFault,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let counter = match fault {
             PieceFault::Moved => CounterName::PiecesMoved,
@@ -186,7 +186,7 @@
         index: usize,
         vm: String,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let step_run = &mut self.step_runs[index];
         step_run.in_flight = None;
@@ -201,7 +201,7 @@
 
     /// Starts all batched steps again, because a result that a later step needs was lost with the
     /// upstream that stored it.
-    pub(super) fn rebuild_inputs(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub(super) fn rebuild_inputs(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         self.rebuilds += 1;
         self.close_step_runs(actions);
         self.free_all_results(actions);
@@ -214,7 +214,7 @@
 
     /// Frees every result. Either the results that were needed have been fetched, or no step will
     /// fetch them any more.
-    pub(super) fn free_all_results(&mut self, actions: &mut Vec<ShardStep>) {
+    pub(super) fn free_all_results(&mut self, actions: &mut Vec<ShardAction>) {
         for index in 0..self.step_runs.len() {
             self.has_freed_results |= self.free_results(index, actions);
         }
@@ -223,7 +223,7 @@
     /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
     /// result memory holds only the results of a few seconds, and each result that stays keeps out
     /// work items of another request.
-    pub(super) fn free_unneeded_inputs(&mut self, position: usize, actions: &mut Vec<ShardStep>) {
+    pub(super) fn free_unneeded_inputs(&mut self, position: usize, actions: &mut Vec<ShardAction>) {
         for input_step in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
             let mut reader_steps =
@@ -237,7 +237,7 @@
         }
     }
 
-    fn free_results(&mut self, index: usize, actions: &mut Vec<ShardStep>) -> bool {
+    fn free_results(&mut self, index: usize, actions: &mut Vec<ShardAction>) -> bool {
         let step_run = &mut self.step_runs[index];
         let Some(StepOutput::Results(placed_results)) = &mut step_run.output else { return false };
         if placed_results.is_empty() {
@@ -248,7 +248,7 @@
     }
 }
 
-fn free_results(pool: &str, results: Vec<PlacedResult>) -> ShardStep {
+fn free_results(pool: &str, results: Vec<PlacedResult>) -> ShardAction {
     let results = results.into_iter().map(|result| result.handle).collect();
-    ShardStep::FreeResults { pool: pool.to_owned(), results }
+    ShardAction::FreeResults { pool: pool.to_owned(), results }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -3,7 +3,7 @@
 use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput, StepRun};
 use super::{
     AttemptCounts, AttemptEvent, BreakReason, FinalAnswer, FinalOutcome, OutcomeKind,
-    RefusalReason, RequestPlan, ShardStep, StageCost,
+    RefusalReason, RequestPlan, ShardAction, StageCost,
 };
 use crate::configuration::{RepeatRule, StepWork};
 use crate::daemon::{Command, CounterName, TimerKey};
@@ -77,7 +77,7 @@
     }
 
     /// Starts the steps that need no results of other steps.
-    pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         self.start_ready_steps(now, actions);
     }
 
@@ -90,7 +90,7 @@
         &mut self,
         grant: SlotGrant,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let step_index =
             self.step_runs.iter().position(|step_run| step_run.step == grant.request.branch);
@@ -103,20 +103,20 @@
         let is_too_late = now + grant.fastest >= self.plan.deadline;
         let Some(index) = waiting_index.filter(|_| !is_too_late) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
-            actions.push(ShardStep::Release { upstream: grant.upstream, call, report });
+            actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
             return waiting_index.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
         };
         let id = self.next_attempt_id();
         let kind = match self.step_runs[index].work {
             StepWork::Forward => {
                 let order = self.forward_order(id, &grant, now);
-                actions.push(ShardStep::Command(Command::Relay(order)));
+                actions.push(ShardAction::Command(Command::Relay(order)));
                 AttemptKind::Forward
             }
             StepWork::Json | StepWork::Batched { .. } => {
                 let order = self.json_order(id, &grant);
                 let silence_timeout = self.plan.stage(&grant.request.stage).silence;
-                actions.push(ShardStep::Command(Command::Send(order)));
+                actions.push(ShardAction::Command(Command::Send(order)));
                 actions.push(set_timer(TimerKey::Silence(id), now + silence_timeout));
                 AttemptKind::Json(super::StreamAssembler::new(id))
             }
@@ -124,7 +124,7 @@
         let step_run = &mut self.step_runs[index];
         if let Some(held_attempt) = step_run.held_attempt.take() {
             // Another attempt starts, so the held error response is dropped.
-            actions.push(ShardStep::Command(Command::Cancel(held_attempt)));
+            actions.push(ShardAction::Command(Command::Cancel(held_attempt)));
         }
         step_run.attempts += 1;
         step_run.in_flight = Some(InFlightAttempt {
@@ -145,7 +145,7 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let held_attempt = self.step_runs.iter_mut().find_map(|step_run| {
             let held_attempt = step_run.held_attempt.take()?;
@@ -174,7 +174,7 @@
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let Some(index) = self.step_runs.iter().position(|step_run| step_run.is_attempt(id)) else {
             actions.push(count(CounterName::LateAnswers));
@@ -188,7 +188,7 @@
             }
             AttemptEvent::Greeted { life, leaving } => {
                 let upstream = self.record_progress(index, now).to_owned();
-                actions.push(ShardStep::Greet { upstream, life, leaving });
+                actions.push(ShardAction::RecordProcess { upstream, life, leaving });
                 None
             }
             AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
@@ -198,7 +198,7 @@
                     return self.handle_attempt_failure(index, failure, now, actions);
                 }
                 self.attempt_counts.executed += 1;
-                actions.push(ShardStep::Succeeded(self.plan.digest));
+                actions.push(ShardAction::RecordSuccess(self.plan.digest));
                 self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             AttemptEvent::Declined { status: _ } => {
@@ -211,13 +211,13 @@
             AttemptEvent::Headed(head) => self.handle_response_head(index, id, head, now, actions),
             AttemptEvent::Flowing => {
                 let upstream = self.record_progress(index, now).to_owned();
-                actions.push(ShardStep::Flowing { upstream, call: self.call });
+                actions.push(ShardAction::RecordStreamStart { upstream, call: self.call });
                 self.free_all_results(actions);
                 None
             }
             AttemptEvent::Passed => {
                 if self.has_upstream_success {
-                    actions.push(ShardStep::Succeeded(self.plan.digest));
+                    actions.push(ShardAction::RecordSuccess(self.plan.digest));
                 }
                 self.attempt_counts.executed =
                     (self.attempt_counts.executed + 1).min(self.attempt_counts.possibly_sent);
@@ -243,7 +243,7 @@
         &mut self,
         (reason, left): (RefusalReason, Duration),
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         self.retry_after = Some(left);
         self.denied(reason, now, actions)
@@ -254,7 +254,7 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> FinalAnswer {
         let stage = self.step_runs.iter().find(|step_run| step_run.output.is_none());
         let stage = stage.map(|step_run| step_run.stage.clone());
@@ -292,7 +292,7 @@
     }
 
     /// Starts every step that has not started and whose inputs are available.
-    pub(super) fn start_ready_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub(super) fn start_ready_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         for position in 0..self.plan.pipeline.plan.steps().len() {
             let step = &self.plan.pipeline.plan.steps()[position];
             let is_started = self.step_runs.iter().any(|step_run| step_run.step == position);
@@ -318,7 +318,7 @@
             if is_batched {
                 self.submit_pieces(index, now, actions);
             } else {
-                actions.push(ShardStep::Acquire(self.slot_request(index)));
+                actions.push(ShardAction::AcquireSlot(self.slot_request(index)));
             }
         }
     }
@@ -375,7 +375,7 @@
         index: usize,
         output: StepOutput,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let in_flight = self.step_runs[index].in_flight.take()?;
         let upstream_time = now.since(in_flight.sent_at);
@@ -392,7 +392,7 @@
         });
         if in_flight.has_slot() {
             let (call, report) = (self.call, AttemptReport::Answered(upstream_time));
-            actions.push(ShardStep::Release { upstream: in_flight.upstream, call, report });
+            actions.push(ShardAction::ReleaseSlot { upstream: in_flight.upstream, call, report });
         }
         self.free_unneeded_inputs(self.step_runs[index].step, actions);
         self.start_ready_steps(now, actions);
@@ -413,10 +413,10 @@
     }
 }
 
-pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardStep {
-    ShardStep::Command(Command::SetTimer { timer, at })
+pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardAction {
+    ShardAction::Command(Command::SetTimer { timer, at })
 }
 
-pub(super) fn count(counter: CounterName) -> ShardStep {
-    ShardStep::Command(Command::Count(counter))
+pub(super) fn count(counter: CounterName) -> ShardAction {
+    ShardAction::Command(Command::Count(counter))
 }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -4,7 +4,7 @@
 use super::key_table::{KeyState, KeyTable};
 use super::{
     AttemptEvent, FinalAnswer, HolderReply, OutcomeLookup, RefusalReason, RequestPlan, RequestRun,
-    ShardStep,
+    ShardAction,
 };
 use crate::claims::WitnessPoll;
 use crate::daemon::{Command, CounterName, TimerKey};
@@ -73,7 +73,7 @@
         call: CallId,
         key: &RequestKey,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> bool {
         self.key_table.remove_expired(now);
         match self.key_table.get(key) {
@@ -110,7 +110,7 @@
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         debug_assert!(!plan.claimed);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
@@ -121,7 +121,12 @@
     }
 
     /// Handles the upstream that the router assigned to a step.
-    pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub fn granted(
+        &mut self,
+        grant: SlotGrant,
+        now: MonotonicTime,
+        actions: &mut Vec<ShardAction>,
+    ) {
         let call = grant.request.call;
         match self.runs.get_mut(&call) {
             Some(active_run) => {
@@ -130,7 +135,7 @@
             }
             None => {
                 let report = AttemptReport::Cancelled;
-                actions.push(ShardStep::Release { upstream: grant.upstream, call, report });
+                actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
             }
         }
     }
@@ -141,7 +146,7 @@
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         if let Some(active_run) = self.runs.get_mut(&call) {
             let final_answer = active_run.run.denied(reason, now, actions);
@@ -155,19 +160,19 @@
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         match self.runs.get_mut(&id.call) {
             Some(active_run) => {
                 let final_answer = active_run.run.attempt_event(id, event, now, actions);
                 self.finish_if_ended(id.call, final_answer, now, actions);
             }
-            None => actions.push(ShardStep::Command(Command::Count(CounterName::LateAnswers))),
+            None => actions.push(ShardAction::Command(Command::Count(CounterName::LateAnswers))),
         }
     }
 
     /// Handles an expired timer of this shard.
-    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         match timer {
             TimerKey::Deadline(call) => {
                 if self.runs.contains_key(&call) {
@@ -199,7 +204,7 @@
                     && let Some(holder) = lookup.holder.clone()
                 {
                     let key = lookup.key.clone();
-                    actions.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+                    actions.push(ShardAction::Command(Command::AskHolder { call, key, holder }));
                 }
             }
             _ => debug_assert!(
@@ -213,11 +218,11 @@
     /// Handles the disconnect of a caller. A run that may be repeated is cancelled and its
     /// resources are freed; a run that must happen at most once continues, and its outcome can be
     /// looked up.
-    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardStep>) {
+    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         let is_cancelled =
             self.runs.get(&call).is_some_and(|active_run| !active_run.run.outlives_caller());
         if is_cancelled {
-            actions.push(ShardStep::Command(Command::Count(CounterName::CallersGone)));
+            actions.push(ShardAction::Command(Command::Count(CounterName::CallersGone)));
             self.end_run(call, RefusalReason::Deadline, now, actions);
         }
     }
@@ -229,7 +234,7 @@
         digest: RequestDigest,
         left: Duration,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let matching = self.runs.iter().filter(|(_, active_run)| {
             active_run.run.plan().digest == digest && active_run.run.is_unsent()
@@ -254,7 +259,7 @@
         call: CallId,
         why: (RefusalReason, Duration),
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         self.settle_run(call, now, actions, |run, actions| run.denied_for(why, now, actions));
     }
@@ -264,7 +269,7 @@
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let calls: Vec<CallId> = self.runs.keys().copied().collect();
         for call in calls {
@@ -287,7 +292,7 @@
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         self.settle_run(call, now, actions, |run, actions| {
             Some(run.finish_unanswered(reason, now, actions))
@@ -299,8 +304,8 @@
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
-        settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardStep>) -> Option<FinalAnswer>,
+        actions: &mut Vec<ShardAction>,
+        settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardAction>) -> Option<FinalAnswer>,
     ) {
         let Some(active_run) = self.runs.get_mut(&call) else { return };
         if active_run.poll.is_some() {
@@ -316,7 +321,7 @@
         call: CallId,
         final_answer: Option<FinalAnswer>,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         if let Some(answer) = final_answer {
             self.finish_run(call, answer, now, actions);
@@ -328,17 +333,17 @@
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        actions: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let Some(active_run) = self.runs.remove(&call) else { return };
         let plan = active_run.run.plan();
-        actions.push(ShardStep::GiveBack(plan.permit.clone()));
+        actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
         if plan.claimed {
             let key = plan.request.key.clone();
             for witness in active_run.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
                 let witness = witness.clone();
-                actions.push(ShardStep::Command(Command::RecordOutcome { witness, key, body }));
+                actions.push(ShardAction::Command(Command::RecordOutcome { witness, key, body }));
             }
             let key_life = plan.declarations.deployment().key_life;
             self.key_table.mark_ended(key, Some(answer.clone()), key_life, now);
@@ -350,10 +355,10 @@
     }
 }
 
-pub(super) fn reply(call: CallId, answer: FinalAnswer) -> ShardStep {
-    ShardStep::Command(Command::Reply { call, answer })
+pub(super) fn reply(call: CallId, answer: FinalAnswer) -> ShardAction {
+    ShardAction::Command(Command::Reply { call, answer })
 }
 
-pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardStep {
-    ShardStep::Command(Command::SetTimer { timer, at })
+pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardAction {
+    ShardAction::Command(Command::SetTimer { timer, at })
 }
--- a/crates/crocusdale_core/src/pipeline/shard_step.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -9,22 +9,22 @@
 
 /// Action that a request shard asks the rest of the core to carry out.
 #[derive(Debug)]
-pub enum ShardStep {
+pub enum ShardAction {
     /// Emit a command to the engine.
     Command(Command),
     /// Ask the router for an upstream. The request waits in its queue if none is free.
-    Acquire(SlotRequest),
+    AcquireSlot(SlotRequest),
     /// Ask the router for another upstream, if the retry budget allows it.
-    Retry {
+    AcquireRetrySlot {
         /// Slot request of the new attempt.
         request: SlotRequest,
         /// Why the previous attempt failed.
         reason: RefusalReason,
     },
     /// Remove a request for an upstream from the router's queue.
-    Withdraw(SlotRequest),
+    CancelSlotRequest(SlotRequest),
     /// Release the upstream slot of an attempt that ended.
-    Release {
+    ReleaseSlot {
         /// Name of the attempt's upstream.
         upstream: String,
         /// Call that the attempt served.
@@ -33,7 +33,7 @@
         report: AttemptReport,
     },
     /// Submit the work items of a batched step to a dispatcher that has not failed them before.
-    OfferPieces {
+    SubmitPieces {
         /// Work items to submit.
         order: Box<PieceOrder>,
         /// VM names of the dispatchers that already failed the work items.
@@ -42,7 +42,7 @@
         target: Option<Box<SlotRequest>>,
     },
     /// Cancel work items that are no longer needed.
-    WithdrawPieces {
+    CancelPieces {
         /// Attempt that the work items belong to.
         attempt: AttemptId,
         /// Configuration section of the pool that runs the work items.
@@ -56,14 +56,14 @@
         results: Vec<ResultHandle>,
     },
     /// Report that the first event of a forwarded stream arrived.
-    Flowing {
+    RecordStreamStart {
         /// Name of the upstream that answers.
         upstream: String,
         /// Call that the stream belongs to.
         call: CallId,
     },
     /// Check whether an upstream crashed, because the connection of an attempt was cut.
-    Suspect {
+    CheckCrash {
         /// Digest of the request that the upstream was running.
         digest: RequestDigest,
         /// Name of the upstream.
@@ -72,13 +72,13 @@
         address: SocketAddr,
     },
     /// Record that a request with this digest was answered in full.
-    Succeeded(RequestDigest),
+    RecordSuccess(RequestDigest),
     /// Release the admission permit of a request that ended.
-    GiveBack(AdmissionPermit),
+    ReleasePermit(AdmissionPermit),
     /// Write to the register of one witness.
-    Register(RegisterCall),
+    WriteRegister(RegisterCall),
     /// Record that the process `life` behind an upstream answers.
-    Greet {
+    RecordProcess {
         /// Name of the upstream.
         upstream: String,
         /// Identity of the upstream's process.
