--- a/crates/crocusdale_core/src/claims/witness_poll.rs
+++ b/crates/crocusdale_core/src/claims/witness_poll.rs
@@ -7,149 +7,162 @@
 /// Whether a daemon may run a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Two registers hold its claim.
+    /// A quorum of two registers holds the daemon's claim.
     Granted,
-    /// Two registers can no longer be had.
+    /// The daemon can no longer get a quorum of two registers.
     Impossible,
-    /// Replies are still missing.
+    /// Replies of witnesses are missing that could still decide the claim.
     Pending,
 }
 
-/// What the witnesses prove about a key.
+/// What the replies of the witnesses prove about a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
-    /// Nobody has run it and nobody will.
+    /// The key never ran and never will.
     NotRun,
-    /// It ended so.
-    Known(Vec<u8>),
-    /// Its holder must be asked.
+    /// The request ended. Holds the JSON of its outcome.
+    Finished(Vec<u8>),
+    /// The claim holder has to be asked for the outcome.
     AskHolder(InstanceId),
-    /// Nothing can be proved.
+    /// The replies prove nothing about the key.
     Unknown,
-    /// Replies are still missing.
+    /// Replies of witnesses are missing that could still prove something.
     Pending,
 }
 
-/// Replies of a key's witnesses to one asker.
+/// Replies of a key's witnesses to one daemon.
 #[derive(Clone, Debug)]
 pub struct WitnessPoll {
-    own: InstanceId,
+    own_instance: InstanceId,
     witnesses: WitnessSet,
-    ballots: Vec<Ballot>,
+    reply_states: Vec<ReplyState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Ballot {
+enum ReplyState {
     Pending,
-    Lost,
+    Missing,
     Abstained(Duration),
     Held(RegisterState),
 }
 
 impl WitnessPoll {
-    /// Asks `witnesses` on behalf of `own`.
+    /// Starts a poll of `witnesses` by the process incarnation `own_instance`, without any replies.
     #[must_use]
-    pub fn new(own: InstanceId, witnesses: WitnessSet) -> Self {
-        let ballots = vec![Ballot::Pending; witnesses.vms().len()];
-        Self { own, witnesses, ballots }
+    pub fn new(own_instance: InstanceId, witnesses: WitnessSet) -> Self {
+        let reply_states = vec![ReplyState::Pending; witnesses.vms().len()];
+        Self { own_instance, witnesses, reply_states }
     }
 
-    /// The witnesses that are asked.
+    /// The witnesses that are polled.
     #[must_use]
     pub fn witnesses(&self) -> &WitnessSet {
         &self.witnesses
     }
 
-    /// Takes the reply of `vm`, `None` if none came. What a register was once seen to hold stays.
-    pub fn take(&mut self, vm: &str, reply: Option<RegisterReply>) {
-        let Some(index) = self.witnesses.vms().iter().position(|each| each == vm) else { return };
-        let ballot = match reply {
-            Some(RegisterReply::Holds(state)) => Ballot::Held(state),
-            Some(RegisterReply::Abstains(wait)) => Ballot::Abstained(wait),
-            None => Ballot::Lost,
+    /// Records the reply of the witness `vm`; `None` if no reply came. Register content that was
+    /// seen once is never overwritten by a missing reply or an abstention.
+    pub fn record_reply(&mut self, vm: &str, reply: Option<RegisterReply>) {
+        let Some(index) = self.witnesses.vms().iter().position(|witness| witness == vm) else {
+            return;
         };
-        if matches!(ballot, Ballot::Held(_)) || !matches!(self.ballots[index], Ballot::Held(_)) {
-            self.ballots[index] = ballot;
+        let reply_state = match reply {
+            Some(RegisterReply::Holds(state)) => ReplyState::Held(state),
+            Some(RegisterReply::Abstains(wait)) => ReplyState::Abstained(wait),
+            None => ReplyState::Missing,
+        };
+        if matches!(reply_state, ReplyState::Held(_))
+            || !matches!(self.reply_states[index], ReplyState::Held(_))
+        {
+            self.reply_states[index] = reply_state;
         }
     }
 
-    /// Asks again those whose register is not known; returns them.
-    pub fn ask_again(&mut self) -> Vec<String> {
-        let mut asked = Vec::new();
-        for (ballot, vm) in self.ballots.iter_mut().zip(self.witnesses.vms()) {
-            if !matches!(ballot, Ballot::Held(_)) {
-                *ballot = Ballot::Pending;
-                asked.push(vm.clone());
+    /// Marks the witnesses whose register content is not known as pending again and returns their
+    /// VM names.
+    pub fn reopen_unknown(&mut self) -> Vec<String> {
+        let mut unknown_witnesses = Vec::new();
+        for (reply_state, vm) in self.reply_states.iter_mut().zip(self.witnesses.vms()) {
+            if !matches!(reply_state, ReplyState::Held(_)) {
+                *reply_state = ReplyState::Pending;
+                unknown_witnesses.push(vm.clone());
             }
         }
-        asked
+        unknown_witnesses
     }
 
-    /// Gives up on replies that are still missing.
-    pub fn close(&mut self) {
-        for ballot in &mut self.ballots {
-            if *ballot == Ballot::Pending {
-                *ballot = Ballot::Lost;
+    /// Marks witnesses that have not replied as missing, so that no verdict waits for them.
+    pub fn stop_waiting(&mut self) {
+        for reply_state in &mut self.reply_states {
+            if *reply_state == ReplyState::Pending {
+                *reply_state = ReplyState::Missing;
             }
         }
     }
 
-    /// Whether the asker may run the key.
+    /// Whether the polling daemon may run the key.
     #[must_use]
     pub fn claim_verdict(&self) -> ClaimVerdict {
-        let own = self.count(|ballot| self.is_own(ballot));
-        let pending = self.count(|ballot| *ballot == Ballot::Pending);
-        if own >= WITNESS_QUORUM {
+        let own_claims = self.count_replies(|reply_state| self.is_own_claim(reply_state));
+        let pending = self.count_replies(|reply_state| *reply_state == ReplyState::Pending);
+        if own_claims >= WITNESS_QUORUM {
             ClaimVerdict::Granted
-        } else if own + pending < WITNESS_QUORUM {
+        } else if own_claims + pending < WITNESS_QUORUM {
             ClaimVerdict::Impossible
         } else {
             ClaimVerdict::Pending
         }
     }
 
-    /// What is proved about the key, by an asker that has not run it and never will.
+    /// What is proved about the key, if the polling daemon has not run it and never will.
     ///
-    /// Two registers that hold a tombstone or the claim of one who never runs leave one register
-    /// at most to anybody else, and nobody runs with one.
+    /// Two registers that hold a tombstone or this daemon's own unused claim leave at most one
+    /// register to any other daemon, and one register is not enough to run the key.
     #[must_use]
     pub fn key_verdict(&self) -> KeyVerdict {
-        let dead = self
-            .count(|ballot| *ballot == Ballot::Held(RegisterState::Buried) || self.is_own(ballot));
-        if dead >= WITNESS_QUORUM {
+        let not_running = self.count_replies(|reply_state| {
+            *reply_state == ReplyState::Held(RegisterState::Buried)
+                || self.is_own_claim(reply_state)
+        });
+        if not_running >= WITNESS_QUORUM {
             return KeyVerdict::NotRun;
         }
         let mut holder = None;
-        for ballot in &self.ballots {
-            if let Ballot::Held(RegisterState::Claimed { holder: other, outcome }) = ballot {
+        for reply_state in &self.reply_states {
+            if let ReplyState::Held(RegisterState::Claimed { holder: claimant, outcome }) =
+                reply_state
+            {
                 match outcome {
-                    Some(body) => return KeyVerdict::Known(body.clone()),
-                    None if *other != self.own => holder = Some(other.clone()),
+                    Some(body) => return KeyVerdict::Finished(body.clone()),
+                    None if *claimant != self.own_instance => holder = Some(claimant.clone()),
                     None => {}
                 }
             }
         }
-        if self.ballots.contains(&Ballot::Pending) {
+        if self.reply_states.contains(&ReplyState::Pending) {
             return KeyVerdict::Pending;
         }
         holder.map_or(KeyVerdict::Unknown, KeyVerdict::AskHolder)
     }
 
-    /// Longest time that a witness said it abstains.
+    /// Longest time for which a witness said that it abstains; `None` if no witness abstained.
     #[must_use]
-    pub fn abstention(&self) -> Option<Duration> {
-        let waits = self.ballots.iter().filter_map(|ballot| match ballot {
-            Ballot::Abstained(wait) => Some(*wait),
+    pub fn longest_abstention(&self) -> Option<Duration> {
+        let waits = self.reply_states.iter().filter_map(|reply_state| match reply_state {
+            ReplyState::Abstained(wait) => Some(*wait),
             _ => None,
         });
         waits.max()
     }
 
-    fn is_own(&self, ballot: &Ballot) -> bool {
-        matches!(ballot, Ballot::Held(RegisterState::Claimed { holder, .. }) if *holder == self.own)
+    fn is_own_claim(&self, reply_state: &ReplyState) -> bool {
+        matches!(
+            reply_state,
+            ReplyState::Held(RegisterState::Claimed { holder, .. }) if *holder == self.own_instance
+        )
     }
 
-    fn count(&self, accept: impl Fn(&Ballot) -> bool) -> usize {
-        self.ballots.iter().filter(|ballot| accept(ballot)).count()
+    fn count_replies(&self, is_counted: impl Fn(&ReplyState) -> bool) -> usize {
+        self.reply_states.iter().filter(|reply_state| is_counted(reply_state)).count()
     }
 }
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -7,7 +7,7 @@
 use crate::configuration::{PlanStep, StepWork};
 use crate::identity::{CallId, MonotonicTime};
 use crate::pipeline::{
-    FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan, ShardStep,
+    FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan, ShardAction,
 };
 use crate::sync::lock;
 
@@ -25,7 +25,7 @@
         call: CallId,
         mut plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
@@ -37,7 +37,7 @@
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
             verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
-                steps.push(ShardStep::Command(Command::LogStateChange(
+                steps.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
                         verdict: verdict.to_string(),
@@ -53,7 +53,7 @@
 
     /// Starts queued requests that the pools have room for, and refuses those that can no longer be
     /// answered before their deadline.
-    pub(super) fn start_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn start_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
         let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
@@ -67,15 +67,15 @@
     }
 
     /// Removes the queued request of `call`, whose caller has disconnected.
-    pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardStep>) {
+    pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardAction>) {
         lock(&self.held).abandon(call);
         if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
 
     /// Refuses every queued request.
-    pub(super) fn refuse_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn refuse_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         for (call, plan) in lock(&self.entry_backlog).take_all() {
             self.refuse_overloaded(call, &plan, now, steps);
         }
@@ -127,7 +127,7 @@
         call: CallId,
         plan: &RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         let waits = self.needed_pool_waits(plan, now);
         let retry_after = waits.iter().map(PoolWait::retry_after).max().unwrap_or_default();
@@ -140,7 +140,7 @@
         call: CallId,
         plan: &RequestPlan,
         left: Duration,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), steps);
     }
@@ -192,12 +192,12 @@
     call: CallId,
     plan: &RequestPlan,
     (reason, retry_after): (RefusalReason, Duration),
-    steps: &mut Vec<ShardStep>,
+    steps: &mut Vec<ShardAction>,
 ) {
-    steps.push(ShardStep::GiveBack(plan.permit.clone()));
+    steps.push(ShardAction::ReleasePermit(plan.permit.clone()));
     let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).reason(reason);
     let answer = FinalAnswer::from(outcome.retry(retry_after, true));
-    steps.push(ShardStep::Command(Command::Reply { call, answer }));
+    steps.push(ShardAction::Command(Command::Reply { call, answer }));
 }
 
 /// Whole milliseconds of `duration`.
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -5,7 +5,7 @@
 use super::crash_flow::NEWS_DELAY;
 use super::{Command, StateChange, TimerKey};
 use crate::identity::MonotonicTime;
-use crate::pipeline::{RefusalReason, ShardStep};
+use crate::pipeline::{RefusalReason, ShardAction};
 use crate::rate_limiting::{LimitChange, LimitRecord, RateNotice};
 use crate::sync::lock;
 
@@ -52,7 +52,7 @@
 
     /// Refuses queued attempts that can't get a request slot before their deadline at the current
     /// rate limits of their upstreams.
-    pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         for (request, retry_after) in self.router().take_unservable(now) {
             let refusal = (RefusalReason::Overload, retry_after);
             self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -4,7 +4,7 @@
 use super::held_work::HeldRequest;
 use super::{Command, CounterName};
 use crate::identity::MonotonicTime;
-use crate::pipeline::{RefusalReason, ShardStep};
+use crate::pipeline::{RefusalReason, ShardAction};
 use crate::routing::SlotRequest;
 use crate::sync::lock;
 
@@ -49,7 +49,7 @@
         request: SlotRequest,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         // Checked when an upstream is chosen, so that attempts of requests that started before the
         // quarantine are denied too.
@@ -59,7 +59,7 @@
             return;
         }
         let Some(request) = lock(&self.held).hold_attempt(request, reason) else {
-            steps.push(ShardStep::Command(Command::Count(CounterName::AttemptsHeld)));
+            steps.push(ShardAction::Command(Command::Count(CounterName::AttemptsHeld)));
             return;
         };
         match self.router().acquire(request, now) {
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -3,7 +3,7 @@
 use crate::batching::{BatchId, BatchOutcome, DispatchAction, DispatcherChoice, PoolSection};
 use crate::identity::{AttemptId, MonotonicTime, stable_hash};
 use crate::pipeline::{
-    AttemptEvent, PieceFault, PieceOrder, PlacedResult, ResultHandle, ShardStep,
+    AttemptEvent, PieceFault, PieceOrder, PlacedResult, ResultHandle, ShardAction,
 };
 use crate::sync::lock;
 
@@ -15,7 +15,7 @@
         mut order: PieceOrder,
         tried: &[String],
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
@@ -59,7 +59,7 @@
         &self,
         order: PieceOrder,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -98,7 +98,7 @@
     pub(super) fn release_unneeded_results(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -112,7 +112,7 @@
         batch: BatchId,
         outcome: BatchOutcome,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -126,7 +126,7 @@
         upstream: &str,
         free: Option<u64>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -138,7 +138,7 @@
     pub(super) fn hand_over_pools(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let waiting_pieces =
@@ -179,7 +179,7 @@
     pub(super) fn turn_dispatcher(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
@@ -192,7 +192,7 @@
         &self,
         dispatch_steps: Vec<DispatchAction>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         // New batches go out before the results of the previous one are processed, because their
@@ -233,7 +233,7 @@
         pool: &str,
         outcome: Result<Vec<PlacedResult>, PieceFault>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -11,7 +11,7 @@
 use crate::membership::{LeavingUpstream, WitnessSet};
 use crate::pipeline::{
     CallerRequest, FinalAnswer, FinalOutcome, InquiryBasis, OutcomeKind, RefusalReason,
-    RegisterCall, RequestPlan, RequestShard, ShardStep,
+    RegisterCall, RequestPlan, RequestShard, ShardAction,
 };
 use crate::routing::{AttemptReport, SlotGrant};
 use crate::sync::lock;
@@ -83,7 +83,7 @@
     /// Runs `steps`, and all steps that result from them, until only commands are left.
     pub(super) fn run_steps(
         &self,
-        steps: Vec<ShardStep>,
+        steps: Vec<ShardAction>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
@@ -94,7 +94,11 @@
     }
 
     /// Assigns the granted upstream slots to the requests that were queued for them.
-    pub(super) fn run_grants(&self, grants: Vec<SlotGrant>, now: MonotonicTime) -> Vec<ShardStep> {
+    pub(super) fn run_grants(
+        &self,
+        grants: Vec<SlotGrant>,
+        now: MonotonicTime,
+    ) -> Vec<ShardAction> {
         let mut steps = Vec::new();
         for grant in grants {
             self.shard(grant.request.call.0).granted(grant, now, &mut steps);
@@ -177,18 +181,18 @@
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
     ) {
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller marks as repeatable may match a pipeline that is not.
         if plan.request.repeatable && shard.join(call, &key, now, steps) {
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
         if let Some(reason) = self.claim_rejection(&plan, &shard, now) {
             drop(shard);
-            steps.push(ShardStep::GiveBack(plan.permit));
+            steps.push(ShardAction::ReleasePermit(plan.permit));
             let refusal = refusal(&key, reason, Duration::ZERO);
             let is_age_proven =
                 matches!(reason, RefusalReason::NeverRun | RefusalReason::RequestLimit);
@@ -264,7 +268,7 @@
         refusal: Option<Box<FinalOutcome>>,
         age: Option<Duration>,
         now: MonotonicTime,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let basis = self.basis();
         let witnesses = WitnessSet::choose(&key, basis.history.current());
         // A daemon without a configuration does not know the retention time of keys at its peers.
@@ -280,17 +284,17 @@
     /// Runs one step of a request shard and returns the steps that result from it.
     fn run_step(
         &self,
-        step: ShardStep,
+        step: ShardAction,
         now: MonotonicTime,
         out: &mut Vec<Command>,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let mut steps = Vec::new();
         match step {
-            ShardStep::Command(command) => out.push(command),
-            ShardStep::Acquire(request) => {
+            ShardAction::Command(command) => out.push(command),
+            ShardAction::AcquireSlot(request) => {
                 self.acquire(request, RefusalReason::NoUpstream, now, &mut steps);
             }
-            ShardStep::Retry { request, reason } => {
+            ShardAction::AcquireRetrySlot { request, reason } => {
                 if self.router().allow_retry(&request, now) {
                     out.push(Command::Count(CounterName::Retries));
                     self.acquire(request, reason, now, &mut steps);
@@ -299,19 +303,19 @@
                     self.shard(request.call.0).denied(request.call, reason, now, &mut steps);
                 }
             }
-            ShardStep::Withdraw(request) => {
+            ShardAction::CancelSlotRequest(request) => {
                 lock(&self.held).withdraw(&request);
                 self.router().withdraw(&request);
             }
-            ShardStep::Release { upstream, call, report } => {
+            ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.exclude_paused_time(report, now);
                 steps = self.run_grants(self.router().release(&upstream, call, report, now), now);
             }
-            ShardStep::Flowing { upstream, call } => {
+            ShardAction::RecordStreamStart { upstream, call } => {
                 self.router().record_first_event(&upstream, call)
             }
-            ShardStep::FreeResults { pool, results } => self.free_results(&pool, results, out),
-            ShardStep::OfferPieces { mut order, tried, target } => {
+            ShardAction::FreeResults { pool, results } => self.free_results(&pool, results, out),
+            ShardAction::SubmitPieces { mut order, tried, target } => {
                 if let Some(target) = target.filter(|_| order.zone.is_none()) {
                     // Data locality: the batched step prefers the availability zone of the engine
                     // that will consume its results.
@@ -319,20 +323,22 @@
                 }
                 self.offer_pieces(*order, &tried, now, &mut steps, out);
             }
-            ShardStep::WithdrawPieces { attempt, pool } => {
+            ShardAction::CancelPieces { attempt, pool } => {
                 lock(&self.dispatcher).withdraw(attempt, &pool);
                 out.push(Command::CancelPieces(attempt));
             }
-            ShardStep::Suspect { digest, upstream, address } => {
+            ShardAction::CheckCrash { digest, upstream, address } => {
                 self.probe_suspected_upstream(digest, upstream, address, out);
             }
-            ShardStep::Succeeded(digest) => self.clear_crash_suspicion(digest, now, out),
-            ShardStep::GiveBack(permit) => lock(&self.admission_gate).release(&permit),
-            ShardStep::Register(register) => self.ask_witness(register, now, &mut steps, out),
-            ShardStep::Greet { upstream, life, leaving: false } => {
+            ShardAction::RecordSuccess(digest) => self.clear_crash_suspicion(digest, now, out),
+            ShardAction::ReleasePermit(permit) => lock(&self.admission_gate).release(&permit),
+            ShardAction::WriteRegister(register) => {
+                self.ask_witness(register, now, &mut steps, out)
+            }
+            ShardAction::RecordProcess { upstream, life, leaving: false } => {
                 self.router().greet(&upstream, &life)
             }
-            ShardStep::Greet { upstream, life, leaving: true } => {
+            ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
                 lock(&self.fleet).view.take_leaving_upstream(&news, now);
                 self.take_leaving(&[news], now, out);
@@ -354,7 +360,7 @@
         &self,
         register: RegisterCall,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let RegisterCall { call, witness, key, witnesses, bury } = register;
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -1,47 +1,49 @@
-//! Requests that must not repeat: their keys are claimed at witnesses, and asked for afterwards.
+//! Requests that must run at most once: their keys are claimed at witnesses, and their outcomes can
+//! be looked up later.
 
 use std::time::Duration;
 
 use super::request_shard::{ActiveRun, InquiryBasis, reply, set_timer};
 use super::{
-    FinalAnswer, FinalOutcome, HolderReply, InquiryStep, KeyInquiry, OutcomeKind, RefusalReason,
-    RegisterCall, RequestPlan, RequestRun, RequestShard, ShardStep,
+    FinalAnswer, FinalOutcome, HolderReply, LookupStep, OutcomeKind, OutcomeLookup, RefusalReason,
+    RegisterCall, RequestPlan, RequestRun, RequestShard, ShardAction,
 };
 use crate::claims::{ClaimVerdict, RegisterReply, WitnessPoll};
 use crate::daemon::{Command, CounterName, TimerKey};
 use crate::identity::{CallId, MonotonicTime, RequestKey};
 use crate::membership::WitnessSet;
 
-/// Time that the witnesses have to answer a claim before the key is given up.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(400);
-/// Time that an inquiry may take, once nobody waits for a run any more.
-const INQUIRY_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Pause before the holder of a key is asked again.
-const HOLDER_PACE: Duration = Duration::from_millis(50);
+/// How long witnesses may take to answer a claim before the key is abandoned.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long an outcome lookup may take before it answers with what is known.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which a lookup asks the claim holder of a running request for the outcome.
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl RequestShard {
-    /// Begins a not repeatable request: nothing is dispatched before its key is claimed.
+    /// Starts a request that must run at most once. Nothing is dispatched before its key is
+    /// claimed.
     pub fn start_claimed(
         &mut self,
         call: CallId,
         plan: RequestPlan,
         witnesses: WitnessSet,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let key = plan.request.key.clone();
-        steps.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        steps.push(set_timer(TimerKey::Claim(call), now + CLAIM_PATIENCE));
-        steps.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
-        let poll = Some(WitnessPoll::new(self.own.clone(), witnesses));
-        let run = RequestRun::new(call, self.own.mark(), plan);
-        let followers = self.take_inquiries(&key);
-        self.keys.begin(key, call);
-        self.runs.insert(call, ActiveRun { run, poll, witnesses: None, followers });
+        actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
+        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_TIMEOUT));
+        actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
+        let poll = Some(WitnessPoll::new(self.own_instance.clone(), witnesses));
+        let run = RequestRun::new(call, self.own_instance.mark(), plan);
+        let waiting_calls = self.take_lookups(&key);
+        self.key_table.mark_running(key, call);
+        self.runs.insert(call, ActiveRun { run, poll, witnesses: None, waiting_calls });
     }
 
-    /// Finds out what became of `key`, which this daemon will not run; with `refusal`, the caller
-    /// wanted it run and is told so if it never ran anywhere.
+    /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
+    /// the key never ran anywhere; `None` if the caller asked only for the outcome.
     pub fn inquire(
         &mut self,
         call: CallId,
@@ -50,159 +52,167 @@
         refusal: Option<Box<FinalOutcome>>,
         basis: InquiryBasis,
         now: MonotonicTime,
-    ) -> Vec<ShardStep> {
+    ) -> Vec<ShardAction> {
         let InquiryBasis { key_life, provable_until } = basis;
-        let mut steps = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
-        let poll = WitnessPoll::new(self.own.clone(), witnesses);
-        let until = now + INQUIRY_PATIENCE;
-        steps.push(set_timer(TimerKey::Inquiry(call), until));
-        let inquiry =
-            KeyInquiry { key, poll, until, key_life, provable_until, refusal, holder: None };
-        self.inquiries.insert(call, inquiry);
-        self.inquiry_step(call, now, &mut steps);
-        steps
+        let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
+        let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
+        let answer_by = now + LOOKUP_TIMEOUT;
+        actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+        let lookup =
+            OutcomeLookup { key, poll, answer_by, key_life, provable_until, refusal, holder: None };
+        self.lookups.insert(call, lookup);
+        self.advance_lookup(call, now, &mut actions);
+        actions
     }
 
-    /// Takes the reply of a witness, `None` if none came.
+    /// Handles the reply of a witness; `None` if no reply came.
     pub fn register_replied(
         &mut self,
         call: CallId,
         witness: &str,
         reply: Option<RegisterReply>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        if let Some(inquiry) = self.inquiries.get_mut(&call) {
-            inquiry.poll.take(witness, reply);
-            self.inquiry_step(call, now, steps);
+        if let Some(lookup) = self.lookups.get_mut(&call) {
+            lookup.poll.record_reply(witness, reply);
+            self.advance_lookup(call, now, actions);
             return;
         }
-        let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut()) else {
+        let Some(poll) = self.runs.get_mut(&call).and_then(|active_run| active_run.poll.as_mut())
+        else {
             return;
         };
-        poll.take(witness, reply);
-        self.claim_step(call, now, steps);
+        poll.record_reply(witness, reply);
+        self.advance_claim(call, now, actions);
     }
 
-    /// Takes the reply of the holder of a key, `None` if it can't be reached.
+    /// Handles the reply of the daemon that holds the claim of a key; `None` if it can't be
+    /// reached.
     pub fn holder_replied(
         &mut self,
         call: CallId,
         reply: Option<HolderReply>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
-        match inquiry.take_holder(reply) {
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, steps),
-            InquiryStep::Wait | InquiryStep::AskHolder(_) => {
-                steps.push(set_timer(TimerKey::Holder(call), now + HOLDER_PACE));
+        let Some(lookup) = self.lookups.get_mut(&call) else { return };
+        match lookup.handle_holder_reply(reply) {
+            LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
+            LookupStep::Wait | LookupStep::AskHolder(_) => {
+                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_POLL_INTERVAL));
             }
         }
     }
 
-    pub(super) fn claim_step(
+    pub(super) fn advance_claim(
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let Some(active) = self.runs.get_mut(&call) else { return };
-        let Some(poll) = &active.poll else { return };
+        let Some(active_run) = self.runs.get_mut(&call) else { return };
+        let Some(poll) = &active_run.poll else { return };
         match poll.claim_verdict() {
             ClaimVerdict::Pending => {}
             ClaimVerdict::Granted => {
-                active.witnesses = Some(poll.witnesses().clone());
-                active.poll = None;
-                active.run.begin(now, steps);
+                active_run.witnesses = Some(poll.witnesses().clone());
+                active_run.poll = None;
+                active_run.run.begin(now, actions);
             }
-            ClaimVerdict::Impossible => self.give_up_claim(call, now, steps),
+            ClaimVerdict::Impossible => self.abandon_claim(call, now, actions),
         }
     }
 
-    /// The key can't be claimed: from here on this process life never runs it, so its own claims
-    /// count as tombstones, and the other registers are buried to prove that nobody will.
-    pub(super) fn give_up_claim(
+    /// Abandons a key that can't be claimed.
+    ///
+    /// This process incarnation never runs the key from here on, so its own claims count as
+    /// tombstones. It writes tombstones to the other registers to prove that no daemon will run the
+    /// key.
+    pub(super) fn abandon_claim(
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let Some(active) = self.runs.remove(&call) else { return };
-        let Some(mut poll) = active.poll else { return };
-        let key = active.run.plan().request.key.clone();
-        let key_life = active.run.plan().declarations.deployment().key_life;
-        let provable_until = active.run.plan().provable_until;
-        self.keys.end(key.clone(), None, key_life, now);
-        steps.push(ShardStep::GiveBack(active.run.plan().permit.clone()));
-        steps.push(ShardStep::Command(Command::Count(CounterName::ClaimsRefused)));
-        let asked = poll.ask_again();
+        let Some(active_run) = self.runs.remove(&call) else { return };
+        let Some(mut poll) = active_run.poll else { return };
+        let key = active_run.run.plan().request.key.clone();
+        let key_life = active_run.run.plan().declarations.deployment().key_life;
+        let provable_until = active_run.run.plan().provable_until;
+        self.key_table.mark_ended(key.clone(), None, key_life, now);
+        actions.push(ShardAction::ReleasePermit(active_run.run.plan().permit.clone()));
+        actions.push(ShardAction::Command(Command::Count(CounterName::ClaimsRefused)));
+        let unknown_witnesses = poll.reopen_unknown();
         let witnesses = poll.witnesses().clone();
         let refusal =
             FinalOutcome::new(OutcomeKind::Refused, &key).reason(RefusalReason::NotClaimed);
         let refusal =
             Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
-        let until = now + INQUIRY_PATIENCE;
-        for call in active.followers.into_iter().chain([call]) {
-            steps.push(set_timer(TimerKey::Inquiry(call), until));
-            steps.extend(register_calls(call, &key, &witnesses, asked.clone(), true));
+        let answer_by = now + LOOKUP_TIMEOUT;
+        for call in active_run.waiting_calls.into_iter().chain([call]) {
+            actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+            actions.extend(register_calls(call, &key, &witnesses, unknown_witnesses.clone(), true));
             let (poll, refusal) = (poll.clone(), Some(refusal.clone()));
-            let inquiry = KeyInquiry {
+            let lookup = OutcomeLookup {
                 key: key.clone(),
                 poll,
-                until,
+                answer_by,
                 key_life,
                 provable_until,
                 refusal,
                 holder: None,
             };
-            self.inquiries.insert(call, inquiry);
-            self.inquiry_step(call, now, steps);
+            self.lookups.insert(call, lookup);
+            self.advance_lookup(call, now, actions);
         }
     }
 
-    pub(super) fn inquiry_step(
+    pub(super) fn advance_lookup(
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let Some(inquiry) = self.inquiries.get_mut(&call) else { return };
-        match inquiry.next_step(now) {
-            InquiryStep::Wait => {}
-            InquiryStep::AskHolder(holder) => {
-                let key = inquiry.key.clone();
-                steps.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+        let Some(lookup) = self.lookups.get_mut(&call) else { return };
+        match lookup.next_step(now) {
+            LookupStep::Wait => {}
+            LookupStep::AskHolder(holder) => {
+                let key = lookup.key.clone();
+                actions.push(ShardAction::Command(Command::AskHolder { call, key, holder }));
             }
-            InquiryStep::Answer(answer) => self.finish_inquiry(call, answer, now, steps),
+            LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
         }
     }
 
-    pub(super) fn finish_inquiry(
+    pub(super) fn finish_lookup(
         &mut self,
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        if let Some(inquiry) = self.inquiries.remove(&call) {
-            // "Not run" may rest on claims of this process life: they must never be used again.
+        if let Some(lookup) = self.lookups.remove(&call) {
+            // The refusal may count claims of this process incarnation as proof that the key never
+            // ran, so the key must never be claimed here again.
             if answer.kind == OutcomeKind::Refused {
-                self.keys.end(inquiry.key, None, inquiry.key_life, now);
+                self.key_table.mark_ended(lookup.key, None, lookup.key_life, now);
             }
-            steps.push(reply(call, answer));
+            actions.push(reply(call, answer));
         }
     }
 
-    /// Takes out the inquiries about `key`; their callers will get the outcome of its run.
+    /// Removes the lookups of `key` and returns their calls, which then receive the outcome of the
+    /// new run.
     ///
-    /// Guards against an inquiry that meets the claims of a run of this same life. It would count
-    /// them as claims of one who never runs, and say "not run" of what is running.
-    pub(super) fn take_inquiries(&mut self, key: &RequestKey) -> Vec<CallId> {
-        let about = self.inquiries.iter().filter(|(_, inquiry)| inquiry.key == *key);
-        let calls: Vec<CallId> = about.map(|(call, _)| *call).collect();
+    /// Guards against a lookup that reads the claims of a run of this same process incarnation. The
+    /// lookup would count them as claims that never run, and answer "not run" while the request is
+    /// running.
+    pub(super) fn take_lookups(&mut self, key: &RequestKey) -> Vec<CallId> {
+        let matching = self.lookups.iter().filter(|(_, lookup)| lookup.key == *key);
+        let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in &calls {
-            self.inquiries.remove(call);
+            self.lookups.remove(call);
         }
         calls
     }
@@ -212,12 +222,12 @@
     call: CallId,
     key: &RequestKey,
     witnesses: &WitnessSet,
-    asked: Vec<String>,
+    recipients: Vec<String>,
     bury: bool,
-) -> Vec<ShardStep> {
-    let to_step = |witness| {
+) -> Vec<ShardAction> {
+    let to_action = |witness| {
         let (key, witnesses) = (key.clone(), witnesses.clone());
-        ShardStep::Register(RegisterCall { call, witness, key, witnesses, bury })
+        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, bury })
     };
-    asked.into_iter().map(to_step).collect()
+    recipients.into_iter().map(to_action).collect()
 }
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -1,10 +1,10 @@
-//! Steps in which the caller's own request is passed to an upstream.
+//! Steps that forward the caller's own request to an upstream.
 
-use super::branch_run::{BranchAnswer, FailedAttempt};
-use super::request_run::{REMAKES, count};
+use super::request_run::{MAX_REBUILDS, count};
+use super::step_run::{AttemptFailure, StepOutput};
 use super::{
     AnswerHead, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun, RunProof,
-    ShardStep,
+    ShardAction,
 };
 use crate::configuration::{PlanStep, StepWork};
 use crate::daemon::{Command, CounterName};
@@ -12,7 +12,7 @@
 use crate::routing::{AttemptReport, CONNECT_TIMEOUT, SlotGrant, SlotRequest};
 
 impl RequestRun {
-    pub(super) fn relay_order(
+    pub(super) fn forward_order(
         &self,
         attempt: AttemptId,
         grant: &SlotGrant,
@@ -25,7 +25,7 @@
             process: grant.process.clone(),
             address: grant.address,
             workspace: (!workspace.is_empty()).then(|| workspace.clone()),
-            inputs: self.results().iter().map(|result| result.handle.clone()).collect(),
+            inputs: self.forward_inputs().iter().map(|result| result.handle.clone()).collect(),
             level: self.plan.level,
             fresh: !self.plan.repeatable,
             kept_connections: grant.max_idle_connections,
@@ -34,23 +34,26 @@
         }
     }
 
-    /// Results of the batched steps that no other batched step needs.
-    fn results(&self) -> Vec<&PlacedResult> {
+    /// Results that the forwarded request reads: those of the batched steps that no other batched
+    /// step reads.
+    fn forward_inputs(&self) -> Vec<&PlacedResult> {
         let plan = &self.plan.pipeline.plan;
-        let ends = plan.ends(|step: &PlanStep| matches!(step.work, StepWork::Batched { .. }));
+        let last_steps = plan.ends(|step: &PlanStep| matches!(step.work, StepWork::Batched { .. }));
         let mut results = Vec::new();
-        for position in ends {
-            let branch = self.branches.iter().find(|branch| branch.step == position);
-            if let Some(BranchAnswer::Results(made)) = branch.and_then(|each| each.answer.as_ref())
+        for position in last_steps {
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+            if let Some(StepOutput::Results(placed_results)) =
+                step_run.and_then(|run| run.output.as_ref())
             {
-                results.extend(made);
+                results.extend(placed_results);
             }
         }
         results
     }
 
-    /// The forwarded step as it would ask for an upstream now.
-    pub(super) fn target_request(&self) -> Option<SlotRequest> {
+    /// The slot request that the forwarded step would make now; `None` if the pipeline has no such
+    /// step.
+    pub(super) fn forward_slot_request(&self) -> Option<SlotRequest> {
         let mut steps = self.plan.pipeline.plan.steps().iter().enumerate();
         let (position, step) = steps.find(|(_, step)| step.work == StepWork::Forward)?;
         let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
@@ -67,76 +70,79 @@
         })
     }
 
-    pub(super) fn headed(
+    pub(super) fn handle_response_head(
         &mut self,
         index: usize,
         id: AttemptId,
         head: AnswerHead,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         match head.proof {
             RunProof::Ran => {}
             RunProof::Declined | RunProof::WrongProcess | RunProof::Malformed => {
-                self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                return self.attempt_failed(index, FailedAttempt::NotRun, now, steps);
+                self.attempt_counts.possibly_sent -= 1;
+                self.step_runs[index].attempts -= 1;
+                return self.handle_attempt_failure(index, AttemptFailure::NotRun, now, actions);
             }
             RunProof::InputGone => {
-                self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                self.release(index, AttemptReport::Cancelled, steps);
-                self.branches[index].open = None;
-                if self.remakes < REMAKES && now < self.plan.deadline {
-                    self.remake(now, steps);
+                self.attempt_counts.possibly_sent -= 1;
+                self.step_runs[index].attempts -= 1;
+                self.release_slot(index, AttemptReport::Cancelled, actions);
+                self.step_runs[index].in_flight = None;
+                if self.rebuilds < MAX_REBUILDS && now < self.plan.deadline {
+                    self.rebuild_inputs(now, actions);
                     return None;
                 }
-                return Some(self.end(RefusalReason::UpstreamBroken, now, steps));
+                return Some(self.finish_unanswered(RefusalReason::UpstreamBroken, now, actions));
             }
         }
-        self.progress(index, now);
+        self.record_progress(index, now);
         if head.is_success() {
-            self.succeeded = true;
-            self.pass_on(id, steps);
+            self.has_upstream_success = true;
+            self.forward_response(id, actions);
             return None;
         }
-        if self.forwarded {
-            // The caller has the head of an earlier answer: a failure can't follow it.
-            self.evidence.ran += 1;
-            steps.push(ShardStep::Command(Command::Cancel(id)));
-            return self.attempt_failed(index, FailedAttempt::Declined, now, steps);
+        if self.has_sent_response {
+            // The caller already has the head of an earlier response, so this error can't be passed
+            // on.
+            self.attempt_counts.executed += 1;
+            actions.push(ShardAction::Command(Command::Cancel(id)));
+            return self.handle_attempt_failure(index, AttemptFailure::Declined, now, actions);
         }
-        self.forward_failed(index, id, now, steps)
+        self.handle_error_response(index, id, now, actions)
     }
 
-    /// The upstream ran the forwarded request and failed it. What may be repeated is given to
-    /// another one; the failure is kept until that is certain.
-    fn forward_failed(
+    /// Handles an error response from an upstream that ran the forwarded request. A repeatable
+    /// request is retried on another upstream, and the error response is held until another attempt
+    /// starts.
+    fn handle_error_response(
         &mut self,
         index: usize,
         id: AttemptId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        if !self.may_repeat(index) || self.forwarded || now >= self.plan.deadline {
-            self.pass_on(id, steps);
+        if !self.can_repeat(index) || self.has_sent_response || now >= self.plan.deadline {
+            self.forward_response(id, actions);
             return None;
         }
-        self.evidence.ran += 1;
-        steps.push(count(CounterName::AttemptsDeclined));
-        self.release(index, AttemptReport::Failed, steps);
-        let branch = &mut self.branches[index];
-        if let Some(open) = branch.open.take() {
-            branch.tried.push(open.upstream);
+        self.attempt_counts.executed += 1;
+        actions.push(count(CounterName::AttemptsDeclined));
+        self.release_slot(index, AttemptReport::Failed, actions);
+        let step_run = &mut self.step_runs[index];
+        if let Some(in_flight) = step_run.in_flight.take() {
+            step_run.tried.push(in_flight.upstream);
         }
-        branch.held = Some(id);
+        step_run.held_attempt = Some(id);
         let request = self.slot_request(index);
-        steps.push(ShardStep::Retry { request, reason: RefusalReason::UpstreamError });
+        actions
+            .push(ShardAction::AcquireRetrySlot { request, reason: RefusalReason::UpstreamError });
         None
     }
 
-    pub(super) fn pass_on(&mut self, attempt: AttemptId, steps: &mut Vec<ShardStep>) {
-        self.forwarded = true;
-        steps.push(ShardStep::Command(Command::ReleaseAnswer { call: self.call, attempt }));
+    pub(super) fn forward_response(&mut self, attempt: AttemptId, actions: &mut Vec<ShardAction>) {
+        self.has_sent_response = true;
+        actions.push(ShardAction::Command(Command::ReleaseAnswer { call: self.call, attempt }));
     }
 }
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -1,25 +1,25 @@
-//! Steps that call their stage in JSON, with the earlier answers as its inputs.
+//! Steps that call a stage with a JSON body, which contains the answers of earlier steps as inputs.
 
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use super::branch_run::{AttemptRole, BranchAnswer, FailedAttempt};
+use super::step_run::{AttemptFailure, AttemptKind, StepOutput};
 use super::{
-    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardStep, StreamFault,
+    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardAction, StreamFault,
     StreamLine,
 };
 use crate::daemon::Command;
 use crate::identity::{AttemptId, MonotonicTime};
 use crate::routing::SlotGrant;
 
-/// Answer of one stage.
+/// Name and answer of one stage.
 #[derive(Clone, Debug, Serialize)]
 struct StageAnswer<'a> {
     stage: &'a str,
     answer: &'a RawValue,
 }
 
-/// Body of a call of an upstream.
+/// JSON body of a call to an upstream.
 #[derive(Serialize)]
 struct StageInput<'a> {
     attempt: String,
@@ -31,11 +31,11 @@
 }
 
 impl RequestRun {
-    pub(super) fn order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
+    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
         let stage = self.plan.stage(&grant.request.stage);
         let inputs = self.json_inputs(grant.request.branch);
         let RequestContent::Json(payload) = &self.plan.request.content else {
-            unreachable!("a pipeline of JSON stages serves JSON requests")
+            unreachable!("JSON stage reached by a forwarded request; accepted: JSON requests")
         };
         let input = StageInput {
             attempt: attempt.to_string(),
@@ -50,7 +50,8 @@
             upstream: grant.upstream.clone(),
             address: grant.address,
             path: stage.path.clone(),
-            body: serde_json::to_vec(&input).expect("an input has no maps with odd keys"),
+            body: serde_json::to_vec(&input)
+                .expect("a stage input has no maps, so it always serializes to JSON"),
             stream: stage.stream,
             fresh: !self.plan.repeatable,
             level: self.plan.level,
@@ -58,45 +59,46 @@
         }
     }
 
-    /// Answers that the JSON step at `position` needs, in declared order, whichever order they
-    /// came in.
+    /// Answers that the JSON step at `position` reads. They are in declared order, whatever order
+    /// they arrived in.
     fn json_inputs(&self, position: usize) -> Vec<StageAnswer<'_>> {
-        let after = &self.plan.pipeline.plan.steps()[position].after;
-        let answer = |earlier: &usize| {
-            let branch = self.branches.iter().find(|branch| branch.step == *earlier)?;
-            match &branch.answer {
-                Some(BranchAnswer::Json(answer)) => {
-                    Some(StageAnswer { stage: &branch.stage, answer })
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
+        let answer_of = |input_step: &usize| {
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == *input_step)?;
+            match &step_run.output {
+                Some(StepOutput::Json(answer)) => {
+                    Some(StageAnswer { stage: &step_run.stage, answer })
                 }
                 _ => None,
             }
         };
-        after.iter().filter_map(answer).collect()
+        input_steps.iter().filter_map(answer_of).collect()
     }
 
-    pub(super) fn line(
+    pub(super) fn handle_stream_line(
         &mut self,
         index: usize,
         line: &StreamLine,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        self.progress(index, now);
-        let open = self.branches[index].open.as_mut()?;
-        let AttemptRole::Json(assembler) = &mut open.role else { return None };
+        self.record_progress(index, now);
+        let in_flight = self.step_runs[index].in_flight.as_mut()?;
+        let AttemptKind::Json(assembler) = &mut in_flight.kind else { return None };
         match assembler.take(line) {
             Ok(None) => {
-                if self.passes_on(index) {
-                    self.forwarded = true;
+                if self.is_streamed_to_caller(index) {
+                    self.has_sent_response = true;
                     let text = line.text.clone();
-                    steps.push(ShardStep::Command(Command::Forward { call: self.call, text }));
+                    actions.push(ShardAction::Command(Command::Forward { call: self.call, text }));
                 }
                 None
             }
             Ok(Some(text)) => {
-                let answer = serde_json::value::to_raw_value(text).expect("text is JSON");
-                self.evidence.ran += 1;
-                self.branch_answered(index, BranchAnswer::Json(answer), now, steps)
+                let answer = serde_json::value::to_raw_value(text)
+                    .expect("a string always serializes to JSON");
+                self.attempt_counts.executed += 1;
+                self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             Err(fault) => {
                 let reason = match fault {
@@ -104,33 +106,35 @@
                     StreamFault::OutOfOrder => BreakReason::Malformed,
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
-                steps.push(ShardStep::Command(Command::Cancel(open.id)));
-                self.attempt_failed(index, FailedAttempt::Broken(reason), now, steps)
+                actions.push(ShardAction::Command(Command::Cancel(in_flight.id)));
+                self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
         }
     }
 
-    /// Whether the caller gets the stream of the branch at `index` as it comes: it must be the
-    /// only one that ends the plan.
-    fn passes_on(&self, index: usize) -> bool {
-        let mut ends = self.plan.pipeline.plan.ends(|_| true);
-        let only = ends.next() == Some(self.branches[index].step) && ends.next().is_none();
-        self.plan.request.stream && only
+    /// Whether the stream of the step run at `index` goes to the caller as it arrives. The step
+    /// must be the only last step of the plan.
+    fn is_streamed_to_caller(&self, index: usize) -> bool {
+        let mut last_steps = self.plan.pipeline.plan.ends(|_| true);
+        let is_only_last_step =
+            last_steps.next() == Some(self.step_runs[index].step) && last_steps.next().is_none();
+        self.plan.request.stream && is_only_last_step
     }
 
-    pub(super) fn json_answer(&self) -> Box<RawValue> {
-        let mut last = Vec::new();
+    pub(super) fn combined_answer(&self) -> Box<RawValue> {
+        let mut last_answers = Vec::new();
         for position in self.plan.pipeline.plan.ends(|_| true) {
-            let branch = self.branches.iter().find(|branch| branch.step == position);
-            if let Some(branch) = branch
-                && let Some(BranchAnswer::Json(answer)) = &branch.answer
+            let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+            if let Some(step_run) = step_run
+                && let Some(StepOutput::Json(answer)) = &step_run.output
             {
-                last.push(StageAnswer { stage: &branch.stage, answer });
+                last_answers.push(StageAnswer { stage: &step_run.stage, answer });
             }
         }
-        match last.as_slice() {
+        match last_answers.as_slice() {
             [single] => single.answer.to_owned(),
-            several => serde_json::value::to_raw_value(several).expect("answers are JSON"),
+            answers => serde_json::value::to_raw_value(answers)
+                .expect("a list of JSON answers always serializes to JSON"),
         }
     }
 }
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -1,8 +1,9 @@
-//! The life of one request through its stages.
+//! Execution of a single request through the stages of its pipeline: planning, dispatch of
+//! attempts, retries, and the final answer.
 
 mod attempt;
-mod attempt_ends;
-mod branch_run;
+mod attempt_counts;
+mod attempt_failures;
 mod caller_request;
 mod claim_steps;
 mod event_sequence;
@@ -10,29 +11,29 @@
 mod forward_head;
 mod forward_steps;
 mod json_steps;
-mod key_inquiry;
-mod key_memory;
+mod key_table;
+mod outcome_lookup;
 mod piece_order;
 mod piece_steps;
 mod request_plan;
 mod request_run;
 mod request_shard;
-mod run_evidence;
-mod shard_step;
+mod shard_action;
+mod step_run;
 mod stream_assembler;
 
 pub use attempt::{
     AnswerHead, AttemptEvent, AttemptOrder, BreakReason, PieceFault, RelayOrder, RunProof,
 };
+pub use attempt_counts::AttemptCounts;
 pub use caller_request::{CallerRequest, KEY_LIMIT, RequestContent, SubmittedRequest};
 pub use event_sequence::{EventSequence, EventVerdict};
 pub use final_answer::{FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, StageCost};
 pub use forward_head::{EngineDemand, ForwardHead, PromptPart, ResultHandle};
-pub use key_inquiry::{HolderReply, InquiryStep, KeyInquiry};
+pub use outcome_lookup::{HolderReply, LookupStep, OutcomeLookup};
 pub use piece_order::{PieceOrder, PieceSource, PlacedResult};
 pub use request_plan::RequestPlan;
 pub use request_run::RequestRun;
 pub use request_shard::{InquiryBasis, RequestShard};
-pub use run_evidence::RunEvidence;
-pub use shard_step::{RegisterCall, ShardStep};
+pub use shard_action::{RegisterCall, ShardAction};
 pub use stream_assembler::{StreamAssembler, StreamFault, StreamLine};
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -1,118 +1,129 @@
-//! Batched steps, whose pieces share calls with those of other requests.
+//! Batched steps, whose work items share upstream calls with those of other requests.
 
 use std::collections::BTreeMap;
 
-use super::branch_run::{AttemptRole, BranchAnswer, FailedAttempt, OpenAttempt};
-use super::request_run::{REMAKES, count};
+use super::request_run::{MAX_REBUILDS, count};
+use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput};
 use super::{
     FinalAnswer, PieceFault, PieceOrder, PieceSource, PlacedResult, RefusalReason, RequestRun,
-    ResultHandle, ShardStep,
+    ResultHandle, ShardAction,
 };
 use crate::configuration::{PoolKind, StepWork};
 use crate::daemon::CounterName;
 use crate::identity::{AttemptId, MonotonicTime};
 
-/// Dispatchers that a batched step is given to, one after another, before it is given up.
-const DISPATCHERS: usize = 3;
-/// Times that pieces which were in no call are handed on. A pool changes hands once for each daemon
-/// that comes or goes; more than this a second would be a fleet that does not agree on anything.
-const MOVES: u32 = 5;
-/// Part of an upstream's memory for results, as one in so many, below which the inputs of a step stay
-/// there until it has ended. Given up once they are fetched, they make no room to speak of, and a
-/// piece that fails by chance then has its request begun anew.
-const LIGHT_SHARE: u64 = 50;
-/// Bytes that a step fetches from which on it goes where they lie rather than where its own results
-/// will be needed. Below it, a fetch from another zone costs next to nothing.
-const HEAVY_BYTES: u64 = 200_000;
+/// Maximum number of dispatchers that are tried for one batched step.
+const MAX_DISPATCHERS: usize = 3;
+/// Maximum number of times that work items which were in no call are handed to another dispatcher.
+/// A pool changes its dispatcher once for each daemon that joins or leaves. More changes than this
+/// within a second mean that the daemons do not agree on their membership.
+const MAX_DISPATCHER_CHANGES: u32 = 5;
+/// Fraction (one part in this many) of an upstream's result memory below which the inputs of a step
+/// are kept until the step has ended. Freeing such small inputs as soon as they are fetched gains
+/// almost no memory, and a work item that then fails at random would make its request compute them
+/// again.
+const EARLY_FREE_DIVISOR: u64 = 50;
+/// Fetched bytes from which on a step runs in the availability zone of its inputs, instead of the
+/// zone that will read its results. A smaller fetch from another zone costs almost nothing.
+const LARGE_TRANSFER_BYTES: u64 = 200_000;
 
 impl RequestRun {
-    pub(super) fn offer_pieces(
+    pub(super) fn submit_pieces(
         &mut self,
         index: usize,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let id = self.next_attempt();
-        let position = self.branches[index].step;
-        let after = &self.plan.pipeline.plan.steps()[position].after;
+        let id = self.next_attempt_id();
+        let position = self.step_runs[index].step;
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
         let head = self.plan.request.forward();
-        let source = if after.is_empty() {
+        let source = if input_steps.is_empty() {
             PieceSource::Caller(head.map(|head| head.piece_source.clone()).unwrap_or_default())
         } else {
-            PieceSource::Results(self.results_of(after))
+            PieceSource::Results(self.result_handles(input_steps))
         };
         let order = PieceOrder {
             attempt: id,
             request: self.plan.request.key.key.clone(),
             digest: Some(self.plan.digest),
-            pool: self.branches[index].stage.clone(),
+            pool: self.step_runs[index].stage.clone(),
             step: u32::try_from(position).unwrap_or(u32::MAX),
             pieces: self.plan.pieces(position),
             result_bytes: self.result_bytes(position),
             source,
-            inputs_pool: self.sole_input(position),
-            zone: self.heavy_zone(position),
+            inputs_pool: self.early_free_pool(position),
+            zone: self.input_zone(position),
             level: self.plan.level,
             is_flood: self.plan.is_flood,
-            due: self.plan.due(position),
-            expires: self.plan.latest(position),
-            repeated: !self.branches[index].tried.is_empty() || self.remakes > 0,
+            due: self.plan.target_end(position),
+            expires: self.plan.latest_end(position),
+            repeated: !self.step_runs[index].tried.is_empty() || self.rebuilds > 0,
         };
-        let branch = &mut self.branches[index];
-        branch.attempts += 1;
-        let (upstream, role) = (String::new(), AttemptRole::Pieces);
-        branch.open =
-            Some(OpenAttempt { id, upstream, address: None, sent: now, progress: now, role });
-        let tried = branch.tried.clone();
-        let target = self.target_request().filter(|_| self.makes_heavy(position)).map(Box::new);
-        steps.push(ShardStep::OfferPieces { order: Box::new(order), tried, target });
+        let step_run = &mut self.step_runs[index];
+        step_run.attempts += 1;
+        let (upstream, kind) = (String::new(), AttemptKind::Pieces);
+        step_run.in_flight = Some(InFlightAttempt {
+            id,
+            upstream,
+            address: None,
+            sent_at: now,
+            last_progress: now,
+            kind,
+        });
+        let tried = step_run.tried.clone();
+        let target =
+            self.forward_slot_request().filter(|_| self.has_large_results(position)).map(Box::new);
+        actions.push(ShardAction::SubmitPieces { order: Box::new(order), tried, target });
     }
 
-    /// Section of the pool that made the inputs of the step at `position`, if no other step needs them and they take
-    /// up enough of an upstream's memory to be given up before the step has ended.
-    fn sole_input(&self, position: usize) -> Option<String> {
+    /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
+    /// before the step has ended. They must come from one step, be read by no other step, and take
+    /// up enough of an upstream's result memory.
+    fn early_free_pool(&self, position: usize) -> Option<String> {
         let steps = self.plan.pipeline.plan.steps();
-        let [earlier] = steps[position].after[..] else { return None };
-        let users = steps.iter().filter(|step| step.after.contains(&earlier)).count();
-        let bytes = self.result_bytes(earlier) * u64::from(self.plan.pieces(earlier));
-        let PoolKind::Batch(rules) = self.plan.stage(&steps[earlier].stage).kind else {
+        let [input_step] = steps[position].after[..] else { return None };
+        let reader_count = steps.iter().filter(|step| step.after.contains(&input_step)).count();
+        let bytes = self.result_bytes(input_step) * u64::from(self.plan.pieces(input_step));
+        let PoolKind::Batch(rules) = self.plan.stage(&steps[input_step].stage).kind else {
             return None;
         };
-        let is_heavy = bytes.saturating_mul(LIGHT_SHARE) >= rules.result_bytes;
-        let made_by = self.branches.iter().find(|branch| branch.step == earlier)?;
-        (users == 1 && is_heavy).then(|| made_by.section.clone())
+        let is_large = bytes.saturating_mul(EARLY_FREE_DIVISOR) >= rules.result_bytes;
+        let producer = self.step_runs.iter().find(|step_run| step_run.step == input_step)?;
+        (reader_count == 1 && is_large).then(|| producer.pool_section.clone())
     }
 
-    /// The pieces of the attempt `id` are made by `section` of their pool.
+    /// Records that `section` of the pool runs the work items of the attempt `id`.
     pub fn note_section(&mut self, id: AttemptId, section: &str) {
-        if let Some(branch) = self.branches.iter_mut().find(|branch| branch.is_attempt(id)) {
-            section.clone_into(&mut branch.section);
+        if let Some(step_run) = self.step_runs.iter_mut().find(|step_run| step_run.is_attempt(id)) {
+            section.clone_into(&mut step_run.pool_section);
         }
     }
 
-    /// Zone in which the inputs of the step at `position` lie, if they are large: each of its
-    /// pieces fetches all of them.
-    fn heavy_zone(&self, position: usize) -> Option<String> {
-        let after = &self.plan.pipeline.plan.steps()[position].after;
+    /// Availability zone that holds most input bytes of the step at `position`, if they are large.
+    /// Each work item of the step fetches all inputs.
+    fn input_zone(&self, position: usize) -> Option<String> {
+        let input_steps = &self.plan.pipeline.plan.steps()[position].after;
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for branch in self.branches.iter().filter(|branch| after.contains(&branch.step)) {
-            let Some(BranchAnswer::Results(made)) = &branch.answer else { continue };
-            for result in made {
-                *zones.entry(&result.zone).or_default() += self.result_bytes(branch.step);
+        for step_run in
+            self.step_runs.iter().filter(|step_run| input_steps.contains(&step_run.step))
+        {
+            let Some(StepOutput::Results(placed_results)) = &step_run.output else { continue };
+            for result in placed_results {
+                *zones.entry(&result.zone).or_default() += self.result_bytes(step_run.step);
             }
         }
         let (zone, bytes) = zones.into_iter().max_by_key(|(_, bytes)| *bytes)?;
-        let fetched = bytes * u64::from(self.plan.pieces(position));
-        (fetched >= HEAVY_BYTES).then(|| zone.to_owned())
+        let fetched_bytes = bytes * u64::from(self.plan.pieces(position));
+        (fetched_bytes >= LARGE_TRANSFER_BYTES).then(|| zone.to_owned())
     }
 
-    /// Whether the results of the step at `position` are large, and fetched by the upstream of the
-    /// forwarded step.
-    fn makes_heavy(&self, position: usize) -> bool {
+    /// Whether the results of the step at `position` are large and read only by forwarded steps.
+    fn has_large_results(&self, position: usize) -> bool {
         let plan = self.plan.pipeline.plan.steps();
-        let mut later = plan.iter().filter(|step| step.after.contains(&position));
+        let mut reader_steps = plan.iter().filter(|step| step.after.contains(&position));
         let bytes = self.result_bytes(position) * u64::from(self.plan.pieces(position));
-        later.all(|step| step.work == StepWork::Forward) && bytes >= HEAVY_BYTES
+        reader_steps.all(|step| step.work == StepWork::Forward) && bytes >= LARGE_TRANSFER_BYTES
     }
 
     fn result_bytes(&self, position: usize) -> u64 {
@@ -122,110 +133,122 @@
         }
     }
 
-    fn results_of(&self, steps: &[usize]) -> Vec<ResultHandle> {
+    fn result_handles(&self, input_steps: &[usize]) -> Vec<ResultHandle> {
         let mut handles = Vec::new();
-        for branch in self.branches.iter().filter(|branch| steps.contains(&branch.step)) {
-            if let Some(BranchAnswer::Results(made)) = &branch.answer {
-                handles.extend(made.iter().map(|result| result.handle.clone()));
+        for step_run in
+            self.step_runs.iter().filter(|step_run| input_steps.contains(&step_run.step))
+        {
+            if let Some(StepOutput::Results(placed_results)) = &step_run.output {
+                handles.extend(placed_results.iter().map(|result| result.handle.clone()));
             }
         }
         handles
     }
 
-    pub(super) fn pieces_failed(
+    pub(super) fn handle_piece_failure(
         &mut self,
         index: usize,
         fault: PieceFault,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         let counter = match fault {
             PieceFault::Moved => CounterName::PiecesMoved,
             _ => CounterName::PiecesFailed,
         };
-        steps.push(count(counter));
-        self.branches[index].open = None;
-        let in_time = now < self.plan.deadline;
+        actions.push(count(counter));
+        self.step_runs[index].in_flight = None;
+        let is_in_time = now < self.plan.deadline;
         match fault {
-            PieceFault::Moved if in_time && self.branches[index].moves < MOVES => {
-                self.branches[index].moves += 1;
-                self.offer_pieces(index, now, steps);
+            PieceFault::Moved
+                if is_in_time
+                    && self.step_runs[index].dispatcher_changes < MAX_DISPATCHER_CHANGES =>
+            {
+                self.step_runs[index].dispatcher_changes += 1;
+                self.submit_pieces(index, now, actions);
                 None
             }
-            PieceFault::InputGone if in_time && self.remakes < REMAKES => {
-                self.remake(now, steps);
+            PieceFault::InputGone if is_in_time && self.rebuilds < MAX_REBUILDS => {
+                self.rebuild_inputs(now, actions);
                 None
             }
-            _ => Some(self.end(FailedAttempt::Pieces(fault).reason(), now, steps)),
+            _ => Some(self.finish_unanswered(
+                AttemptFailure::Pieces(fault).refusal_reason(),
+                now,
+                actions,
+            )),
         }
     }
 
-    /// The next dispatcher in rank takes the pieces of one that is lost.
-    pub(super) fn dispatcher_lost(
+    /// Submits the work items of a lost dispatcher to the dispatcher that ranks next.
+    pub(super) fn handle_lost_dispatcher(
         &mut self,
         index: usize,
         vm: String,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        let branch = &mut self.branches[index];
-        branch.open = None;
-        branch.tried.push(vm);
-        if branch.tried.len() >= DISPATCHERS || now >= self.plan.deadline {
-            return Some(self.end(RefusalReason::NoUpstream, now, steps));
+        let step_run = &mut self.step_runs[index];
+        step_run.in_flight = None;
+        step_run.tried.push(vm);
+        if step_run.tried.len() >= MAX_DISPATCHERS || now >= self.plan.deadline {
+            return Some(self.finish_unanswered(RefusalReason::NoUpstream, now, actions));
         }
-        steps.push(count(CounterName::DispatchersLost));
-        self.offer_pieces(index, now, steps);
+        actions.push(count(CounterName::DispatchersLost));
+        self.submit_pieces(index, now, actions);
         None
     }
 
-    /// Begins all batched steps anew: a result that a later step needs is gone with the upstream
-    /// that made it.
-    pub(super) fn remake(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        self.remakes += 1;
-        self.close_branches(steps);
-        self.free_inputs(steps);
-        self.freed = false;
-        let forward = self.branches.drain(..).find(|branch| branch.work == StepWork::Forward);
-        self.carried = forward.map(|branch| (branch.attempts, branch.tried));
-        steps.push(count(CounterName::StepsRemade));
-        self.begin_steps(now, steps);
+    /// Starts all batched steps again, because a result that a later step needs was lost with the
+    /// upstream that stored it.
+    pub(super) fn rebuild_inputs(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+        self.rebuilds += 1;
+        self.close_step_runs(actions);
+        self.free_all_results(actions);
+        self.has_freed_results = false;
+        let forward = self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
+        self.forward_history = forward.map(|step_run| (step_run.attempts, step_run.tried));
+        actions.push(count(CounterName::StepsRemade));
+        self.start_ready_steps(now, actions);
     }
 
-    /// Gives up every result: those that were needed have been fetched, or never will be.
-    pub(super) fn free_inputs(&mut self, steps: &mut Vec<ShardStep>) {
-        for index in 0..self.branches.len() {
-            self.freed |= self.free_results(index, steps);
+    /// Frees every result. Either the results that were needed have been fetched, or no step will
+    /// fetch them any more.
+    pub(super) fn free_all_results(&mut self, actions: &mut Vec<ShardAction>) {
+        for index in 0..self.step_runs.len() {
+            self.has_freed_results |= self.free_results(index, actions);
         }
     }
 
-    /// Gives up results that no step needs any more: an upstream's memory for results holds those
-    /// of a few seconds only, and each that stays keeps the pieces of another request out.
-    pub(super) fn free_used(&mut self, position: usize, steps: &mut Vec<ShardStep>) {
-        for earlier in self.plan.pipeline.plan.steps()[position].after.clone() {
+    /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
+    /// result memory holds only the results of a few seconds, and each result that stays keeps out
+    /// work items of another request.
+    pub(super) fn free_unneeded_inputs(&mut self, position: usize, actions: &mut Vec<ShardAction>) {
+        for input_step in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
-            let mut later =
-                plan.iter().enumerate().filter(|(_, step)| step.after.contains(&earlier));
-            if later.all(|(step, _)| self.is_done(step))
-                && let Some(index) = self.branches.iter().position(|each| each.step == earlier)
+            let mut reader_steps =
+                plan.iter().enumerate().filter(|(_, step)| step.after.contains(&input_step));
+            if reader_steps.all(|(step, _)| self.is_done(step))
+                && let Some(index) =
+                    self.step_runs.iter().position(|step_run| step_run.step == input_step)
             {
-                self.free_results(index, steps);
+                self.free_results(index, actions);
             }
         }
     }
 
-    fn free_results(&mut self, index: usize, steps: &mut Vec<ShardStep>) -> bool {
-        let branch = &mut self.branches[index];
-        let Some(BranchAnswer::Results(made)) = &mut branch.answer else { return false };
-        if made.is_empty() {
+    fn free_results(&mut self, index: usize, actions: &mut Vec<ShardAction>) -> bool {
+        let step_run = &mut self.step_runs[index];
+        let Some(StepOutput::Results(placed_results)) = &mut step_run.output else { return false };
+        if placed_results.is_empty() {
             return false;
         }
-        steps.push(free_results(&branch.section, std::mem::take(made)));
+        actions.push(free_results(&step_run.pool_section, std::mem::take(placed_results)));
         true
     }
 }
 
-fn free_results(pool: &str, results: Vec<PlacedResult>) -> ShardStep {
+fn free_results(pool: &str, results: Vec<PlacedResult>) -> ShardAction {
     let results = results.into_iter().map(|result| result.handle).collect();
-    ShardStep::FreeResults { pool: pool.to_owned(), results }
+    ShardAction::FreeResults { pool: pool.to_owned(), results }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -1,277 +1,289 @@
 use std::time::Duration;
 
-use super::branch_run::{AttemptRole, BranchAnswer, BranchRun, FailedAttempt, OpenAttempt};
+use super::step_run::{AttemptFailure, AttemptKind, InFlightAttempt, StepOutput, StepRun};
 use super::{
-    AttemptEvent, BreakReason, FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, RequestPlan,
-    RunEvidence, ShardStep, StageCost,
+    AttemptCounts, AttemptEvent, BreakReason, FinalAnswer, FinalOutcome, OutcomeKind,
+    RefusalReason, RequestPlan, ShardAction, StageCost,
 };
 use crate::configuration::{RepeatRule, StepWork};
 use crate::daemon::{Command, CounterName, TimerKey};
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// When a caller that was refused for want of room may come back. A batched call takes a few tenths
-/// of a second, so that queues have moved on by then.
-const COME_BACK: Duration = Duration::from_millis(400);
-/// Times that batched steps are made anew because a result was gone when it was needed.
-pub(super) const REMAKES: u32 = 1;
+/// Minimum retry delay for a caller whose request was shed. A batched call takes a few tenths of a
+/// second, so the queues have moved on by then.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Maximum number of times that the batched steps of a request are run again because a result was
+/// gone when it was needed.
+pub(super) const MAX_REBUILDS: u32 = 1;
 
-/// One request on its way through the steps of its pipeline.
+/// Execution state of one request on its way through the steps of its pipeline.
 #[derive(Debug)]
 pub struct RequestRun {
     pub(super) call: CallId,
     pub(super) incarnation: u64,
     pub(super) plan: RequestPlan,
-    /// Steps that have begun.
-    pub(super) branches: Vec<BranchRun>,
-    pub(super) costs: Vec<StageCost>,
-    pub(super) evidence: RunEvidence,
-    pub(super) sequence: u32,
-    /// Whether the caller has got a part of the answer.
-    pub(super) forwarded: bool,
-    /// Whether an upstream began to answer with a success.
-    pub(super) succeeded: bool,
-    /// Times that results were gone and their steps were begun anew.
-    pub(super) remakes: u32,
-    /// Whether results were given up because an upstream had fetched them.
-    pub(super) freed: bool,
-    /// What the forwarded step had tried before its inputs were made anew.
-    pub(super) carried: Option<(u32, Vec<String>)>,
-    /// Time after which the pool that gave up its pieces should have room again.
+    /// Runs of the steps that have started.
+    pub(super) step_runs: Vec<StepRun>,
+    pub(super) stage_costs: Vec<StageCost>,
+    pub(super) attempt_counts: AttemptCounts,
+    pub(super) last_sequence: u32,
+    /// Whether a part of the response was passed on to the caller.
+    pub(super) has_sent_response: bool,
+    /// Whether an upstream answered the forwarded request with a success status.
+    pub(super) has_upstream_success: bool,
+    /// Number of times that the batched steps were run again because results were gone.
+    pub(super) rebuilds: u32,
+    /// Whether results were freed after an upstream had fetched them.
+    pub(super) has_freed_results: bool,
+    /// Attempt count and tried upstreams of the forwarded step, kept while its inputs are computed
+    /// again.
+    pub(super) forward_history: Option<(u32, Vec<String>)>,
+    /// Time after which the pool that refused the request is expected to have capacity again.
     pub(super) retry_after: Option<Duration>,
 }
 
 impl RequestRun {
-    /// Prepares the run of `plan` for `call` in the process life `incarnation`.
+    /// Prepares the run of `plan` for `call` in the process incarnation `incarnation`.
     #[must_use]
     pub fn new(call: CallId, incarnation: u64, plan: RequestPlan) -> Self {
         Self {
             call,
             incarnation,
             plan,
-            branches: Vec::new(),
-            costs: Vec::new(),
-            evidence: RunEvidence::default(),
-            sequence: 0,
-            forwarded: false,
-            succeeded: false,
-            remakes: 0,
-            freed: false,
-            carried: None,
+            step_runs: Vec::new(),
+            stage_costs: Vec::new(),
+            attempt_counts: AttemptCounts::default(),
+            last_sequence: 0,
+            has_sent_response: false,
+            has_upstream_success: false,
+            rebuilds: 0,
+            has_freed_results: false,
+            forward_history: None,
             retry_after: None,
         }
     }
 
-    /// What the run follows.
+    /// The plan that the run follows.
     #[must_use]
     pub fn plan(&self) -> &RequestPlan {
         &self.plan
     }
 
-    /// Whether no attempt was written that may have run the request.
+    /// Whether no attempt that may have run the request was written to an upstream.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
-        self.evidence.sent == 0
+        self.attempt_counts.possibly_sent == 0
     }
 
-    /// Begins the steps that need no others.
-    pub fn begin(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        self.begin_steps(now, steps);
+    /// Starts the steps that need no results of other steps.
+    pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+        self.start_ready_steps(now, actions);
     }
 
-    /// Dispatches an attempt to the upstream that was found for it.
+    /// Sends an attempt to the upstream that the router assigned.
     ///
-    /// The deadline is checked again here and, through `expires`, right before the call is
-    /// written: a process that was paused in between still believes that there is time.
+    /// The deadline is checked here and, through `expires`, again right before the call is written.
+    /// This guards against a process that was paused in between and still believes that there is
+    /// time.
     pub fn dispatch(
         &mut self,
         grant: SlotGrant,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        let branch = self.branches.iter().position(|branch| branch.step == grant.request.branch);
-        let wanted = branch.filter(|index| {
-            let branch = &self.branches[*index];
-            branch.stage == grant.request.stage && branch.is_waiting()
+        let step_index =
+            self.step_runs.iter().position(|step_run| step_run.step == grant.request.branch);
+        let waiting_index = step_index.filter(|index| {
+            let step_run = &self.step_runs[*index];
+            step_run.stage == grant.request.stage && step_run.is_waiting()
         });
-        // What can't be answered in time any more would only take the place of what can.
-        let unservable = now + grant.min_answer_time >= self.plan.deadline;
-        let Some(index) = wanted.filter(|_| !unservable) else {
+        // A request that can't be answered in time would only take up a slot that another request
+        // could use.
+        let is_too_late = now + grant.min_answer_time >= self.plan.deadline;
+        let Some(index) = waiting_index.filter(|_| !is_too_late) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
-            steps.push(ShardStep::Release { upstream: grant.upstream, call, report });
-            return wanted.and_then(|_| self.denied(RefusalReason::Overload, now, steps));
+            actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
+            return waiting_index.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
         };
-        let id = self.next_attempt();
-        let role = match self.branches[index].work {
+        let id = self.next_attempt_id();
+        let kind = match self.step_runs[index].work {
             StepWork::Forward => {
-                let order = self.relay_order(id, &grant, now);
-                steps.push(ShardStep::Command(Command::Relay(order)));
-                AttemptRole::Forward
+                let order = self.forward_order(id, &grant, now);
+                actions.push(ShardAction::Command(Command::Relay(order)));
+                AttemptKind::Forward
             }
             StepWork::Json | StepWork::Batched { .. } => {
-                let order = self.order(id, &grant);
-                let silence = self.plan.stage(&grant.request.stage).silence;
-                steps.push(ShardStep::Command(Command::Send(order)));
-                steps.push(set_timer(TimerKey::Silence(id), now + silence));
-                AttemptRole::Json(super::StreamAssembler::new(id))
+                let order = self.json_order(id, &grant);
+                let silence_timeout = self.plan.stage(&grant.request.stage).silence;
+                actions.push(ShardAction::Command(Command::Send(order)));
+                actions.push(set_timer(TimerKey::Silence(id), now + silence_timeout));
+                AttemptKind::Json(super::StreamAssembler::new(id))
             }
         };
-        let branch = &mut self.branches[index];
-        if let Some(held) = branch.held.take() {
-            // Another attempt is made after all: the failure is not passed on.
-            steps.push(ShardStep::Command(Command::Cancel(held)));
+        let step_run = &mut self.step_runs[index];
+        if let Some(held_attempt) = step_run.held_attempt.take() {
+            // Another attempt starts, so the held error response is dropped.
+            actions.push(ShardAction::Command(Command::Cancel(held_attempt)));
         }
-        branch.attempts += 1;
-        branch.open = Some(OpenAttempt {
+        step_run.attempts += 1;
+        step_run.in_flight = Some(InFlightAttempt {
             id,
             upstream: grant.upstream,
             address: Some(grant.address),
-            sent: now,
-            progress: now,
-            role,
+            sent_at: now,
+            last_progress: now,
+            kind,
         });
-        self.evidence.sent += 1;
-        steps.push(count(CounterName::AttemptsSent));
+        self.attempt_counts.possibly_sent += 1;
+        actions.push(count(CounterName::AttemptsSent));
         None
     }
 
-    /// No upstream can be had for a branch.
+    /// Handles the router's refusal to assign an upstream to a step.
     pub fn denied(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        let held = self.branches.iter_mut().find_map(|branch| {
-            let held = branch.held.take()?;
-            Some((held, branch))
+        let held_attempt = self.step_runs.iter_mut().find_map(|step_run| {
+            let held_attempt = step_run.held_attempt.take()?;
+            Some((held_attempt, step_run))
         });
-        if let Some((held, branch)) = held {
-            // The failure of the attempt before is all that the caller can get; it is passed on
-            // as the upstream gave it.
-            branch.open = Some(OpenAttempt {
-                id: held,
+        if let Some((held_attempt, step_run)) = held_attempt {
+            // The error response of the previous attempt is the best available answer, so it is
+            // passed on unchanged.
+            step_run.in_flight = Some(InFlightAttempt {
+                id: held_attempt,
                 upstream: String::new(),
                 address: None,
-                sent: now,
-                progress: now,
-                role: AttemptRole::Forward,
+                sent_at: now,
+                last_progress: now,
+                kind: AttemptKind::Forward,
             });
-            self.pass_on(held, steps);
+            self.forward_response(held_attempt, actions);
             return None;
         }
-        Some(self.end(reason, now, steps))
+        Some(self.finish_unanswered(reason, now, actions))
     }
 
-    /// Takes what an upstream did about an attempt; returns the final answer if this ends the run.
+    /// Handles an event of an attempt. Returns the final answer if the event ends the run.
     pub fn attempt_event(
         &mut self,
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        let Some(index) = self.branches.iter().position(|branch| branch.is_attempt(id)) else {
-            steps.push(count(CounterName::LateAnswers));
+        let Some(index) = self.step_runs.iter().position(|step_run| step_run.is_attempt(id)) else {
+            actions.push(count(CounterName::LateAnswers));
             return None;
         };
         match event {
             AttemptEvent::NotSent => {
-                self.evidence.sent -= 1;
-                self.branches[index].attempts -= 1;
-                self.attempt_failed(index, FailedAttempt::NotSent, now, steps)
+                self.attempt_counts.possibly_sent -= 1;
+                self.step_runs[index].attempts -= 1;
+                self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
             AttemptEvent::Greeted { life, leaving } => {
-                let upstream = self.progress(index, now).to_owned();
-                steps.push(ShardStep::Greet { upstream, life, leaving });
+                let upstream = self.record_progress(index, now).to_owned();
+                actions.push(ShardAction::RecordProcess { upstream, life, leaving });
                 None
             }
-            AttemptEvent::Line(line) => self.line(index, &line, now, steps),
+            AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
             AttemptEvent::Answered { echo, answer } => {
                 if echo != Some(id) {
-                    let failure = FailedAttempt::Broken(BreakReason::Foreign);
-                    return self.attempt_failed(index, failure, now, steps);
+                    let failure = AttemptFailure::Broken(BreakReason::Foreign);
+                    return self.handle_attempt_failure(index, failure, now, actions);
                 }
-                self.evidence.ran += 1;
-                steps.push(ShardStep::Succeeded(self.plan.digest));
-                self.branch_answered(index, BranchAnswer::Json(answer), now, steps)
+                self.attempt_counts.executed += 1;
+                actions.push(ShardAction::RecordSuccess(self.plan.digest));
+                self.complete_step(index, StepOutput::Json(answer), now, actions)
             }
             AttemptEvent::Declined { status: _ } => {
-                self.evidence.ran += 1;
-                self.attempt_failed(index, FailedAttempt::Declined, now, steps)
+                self.attempt_counts.executed += 1;
+                self.handle_attempt_failure(index, AttemptFailure::Declined, now, actions)
             }
             AttemptEvent::Broken(reason) => {
-                self.attempt_failed(index, FailedAttempt::Broken(reason), now, steps)
+                self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
-            AttemptEvent::Headed(head) => self.headed(index, id, head, now, steps),
+            AttemptEvent::Headed(head) => self.handle_response_head(index, id, head, now, actions),
             AttemptEvent::Flowing => {
-                let upstream = self.progress(index, now).to_owned();
-                steps.push(ShardStep::Flowing { upstream, call: self.call });
-                self.free_inputs(steps);
+                let upstream = self.record_progress(index, now).to_owned();
+                actions.push(ShardAction::RecordStreamStart { upstream, call: self.call });
+                self.free_all_results(actions);
                 None
             }
             AttemptEvent::Passed => {
-                if self.succeeded {
-                    steps.push(ShardStep::Succeeded(self.plan.digest));
+                if self.has_upstream_success {
+                    actions.push(ShardAction::RecordSuccess(self.plan.digest));
                 }
-                self.evidence.ran = (self.evidence.ran + 1).min(self.evidence.sent);
-                self.free_inputs(steps);
-                self.branch_answered(index, BranchAnswer::Passed, now, steps)
+                self.attempt_counts.executed =
+                    (self.attempt_counts.executed + 1).min(self.attempt_counts.possibly_sent);
+                self.free_all_results(actions);
+                self.complete_step(index, StepOutput::Forwarded, now, actions)
             }
             AttemptEvent::PiecesMade(results) => {
-                self.branch_answered(index, BranchAnswer::Results(results), now, steps)
+                self.complete_step(index, StepOutput::Results(results), now, actions)
             }
             AttemptEvent::PiecesFailed { fault, retry_after } => {
                 self.retry_after = Some(retry_after);
-                self.pieces_failed(index, fault, now, steps)
+                self.handle_piece_failure(index, fault, now, actions)
+            }
+            AttemptEvent::DispatcherLost(vm) => {
+                self.handle_lost_dispatcher(index, vm, now, actions)
             }
-            AttemptEvent::DispatcherLost(vm) => self.dispatcher_lost(index, vm, now, steps),
         }
     }
 
-    /// No upstream is given the request, for a reason that holds for `left`.
+    /// Handles the router's refusal to assign an upstream, for a reason that holds for the time
+    /// `left`.
     pub fn denied_for(
         &mut self,
         (reason, left): (RefusalReason, Duration),
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         self.retry_after = Some(left);
-        self.denied(reason, now, steps)
+        self.denied(reason, now, actions)
     }
 
-    /// Ends the run without an answer; whatever is open is given up.
-    pub fn end(
+    /// Ends the run without an answer and cancels everything that is still open.
+    pub fn finish_unanswered(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> FinalAnswer {
-        let stage = self.branches.iter().find(|branch| branch.answer.is_none());
-        let stage = stage.map(|branch| branch.stage.clone());
-        self.close_branches(steps);
-        self.free_inputs(steps);
-        let verdict = self.evidence.verdict(self.plan.repeatable);
-        let mut outcome = FinalOutcome::new(verdict, &self.plan.request.key).reason(reason);
-        if verdict == OutcomeKind::Refused && self.plan.forward().is_some() {
-            // Whoever comes back at once meets the queue that it was refused for. If that takes
-            // longer than its deadline, it is told so, and need not come back in vain.
-            let least = self.plan.deadline.since(now).min(COME_BACK);
-            let retry_after = self.retry_after.map_or(least, |told| told.max(least));
+        let stage = self.step_runs.iter().find(|step_run| step_run.output.is_none());
+        let stage = stage.map(|step_run| step_run.stage.clone());
+        self.close_step_runs(actions);
+        self.free_all_results(actions);
+        let outcome_kind = self.attempt_counts.outcome_kind(self.plan.repeatable);
+        let mut outcome = FinalOutcome::new(outcome_kind, &self.plan.request.key).reason(reason);
+        if outcome_kind == OutcomeKind::Refused && self.plan.forward().is_some() {
+            // A caller that retries at once meets the queue for which it was refused. A retry delay
+            // longer than the caller's deadline is told as well, so that the caller does not retry
+            // in vain.
+            let min_retry_after = self.plan.deadline.since(now).min(MIN_RETRY_AFTER);
+            let retry_after = self
+                .retry_after
+                .map_or(min_retry_after, |pool_retry_after| pool_retry_after.max(min_retry_after));
             outcome = outcome.retry(retry_after, true);
         }
         outcome.stage = stage;
-        outcome.stages = std::mem::take(&mut self.costs);
+        outcome.stages = std::mem::take(&mut self.stage_costs);
         outcome.took = Some(now.since(self.plan.arrived));
         FinalAnswer::from(outcome)
     }
 
-    /// Whether the run should go on although its caller is gone.
+    /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
         match self.plan.forward().map(|forward| forward.repeat) {
             None => !self.plan.repeatable,
-            // Its one run is under way, and to break it off would throw its work away.
+            // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
             Some(RepeatRule::Idempotent | RepeatRule::Stream | RepeatRule::ResumableStream) => {
                 false
@@ -279,130 +291,132 @@
         }
     }
 
-    /// Begins every step whose inputs are there and which has not begun.
-    pub(super) fn begin_steps(&mut self, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    /// Starts every step that has not started and whose inputs are available.
+    pub(super) fn start_ready_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         for position in 0..self.plan.pipeline.plan.steps().len() {
             let step = &self.plan.pipeline.plan.steps()[position];
-            let begun = self.branches.iter().any(|branch| branch.step == position);
-            if begun || !step.after.iter().all(|earlier| self.is_done(*earlier)) {
+            let is_started = self.step_runs.iter().any(|step_run| step_run.step == position);
+            if is_started || !step.after.iter().all(|input_step| self.is_done(*input_step)) {
                 continue;
             }
-            let mut branch = BranchRun::new(position, &step.stage, step.work, now);
-            let batched = matches!(step.work, StepWork::Batched { .. });
+            let mut step_run = StepRun::new(position, &step.stage, step.work, now);
+            let is_batched = matches!(step.work, StepWork::Batched { .. });
             if step.work == StepWork::Forward
-                && let Some((attempts, tried)) = self.carried.take()
+                && let Some((attempts, tried)) = self.forward_history.take()
             {
-                (branch.attempts, branch.tried) = (attempts, tried);
+                (step_run.attempts, step_run.tried) = (attempts, tried);
             }
-            if batched && self.plan.pieces(position) == 0 {
-                branch.answer = Some(BranchAnswer::Results(Vec::new()));
+            if is_batched && self.plan.pieces(position) == 0 {
+                step_run.output = Some(StepOutput::Results(Vec::new()));
             }
-            let index = self.branches.len();
-            let is_answered = branch.answer.is_some();
-            self.branches.push(branch);
+            let index = self.step_runs.len();
+            let is_answered = step_run.output.is_some();
+            self.step_runs.push(step_run);
             if is_answered {
                 continue;
             }
-            if batched {
-                self.offer_pieces(index, now, steps);
+            if is_batched {
+                self.submit_pieces(index, now, actions);
             } else {
-                steps.push(ShardStep::Acquire(self.slot_request(index)));
+                actions.push(ShardAction::AcquireSlot(self.slot_request(index)));
             }
         }
     }
 
     pub(super) fn is_done(&self, position: usize) -> bool {
-        let branch = self.branches.iter().find(|branch| branch.step == position);
-        branch.is_some_and(|branch| branch.answer.is_some())
+        let step_run = self.step_runs.iter().find(|step_run| step_run.step == position);
+        step_run.is_some_and(|step_run| step_run.output.is_some())
     }
 
-    pub(super) fn next_attempt(&mut self) -> AttemptId {
-        self.sequence += 1;
-        AttemptId { incarnation: self.incarnation, call: self.call, sequence: self.sequence }
+    pub(super) fn next_attempt_id(&mut self) -> AttemptId {
+        self.last_sequence += 1;
+        AttemptId { incarnation: self.incarnation, call: self.call, sequence: self.last_sequence }
     }
 
     pub(super) fn slot_request(&self, index: usize) -> SlotRequest {
-        let branch = &self.branches[index];
+        let step_run = &self.step_runs[index];
         let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
         SlotRequest {
             call: self.call,
-            branch: branch.step,
-            stage: branch.stage.clone(),
+            branch: step_run.step,
+            stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: branch.tried.clone(),
-            demand: demand.filter(|_| branch.work == StepWork::Forward),
+            tried: step_run.tried.clone(),
+            demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
             homes: self.plan.homes.clone(),
         }
     }
 
-    /// Whether the branch at `index` may go to another upstream although it may have run.
-    pub(super) fn may_repeat(&self, index: usize) -> bool {
+    /// Whether the step run at `index` may be retried on another upstream even if an earlier
+    /// attempt may have run.
+    pub(super) fn can_repeat(&self, index: usize) -> bool {
         match self.plan.forward() {
             None => self.plan.repeatable,
             Some(forward) => {
-                self.plan.repeatable && self.branches[index].attempts < forward.attempts
+                self.plan.repeatable && self.step_runs[index].attempts < forward.attempts
             }
         }
     }
 
-    pub(super) fn progress(&mut self, index: usize, now: MonotonicTime) -> &str {
-        match &mut self.branches[index].open {
-            Some(open) => {
-                open.progress = now;
-                &open.upstream
+    pub(super) fn record_progress(&mut self, index: usize, now: MonotonicTime) -> &str {
+        match &mut self.step_runs[index].in_flight {
+            Some(in_flight) => {
+                in_flight.last_progress = now;
+                &in_flight.upstream
             }
             None => "",
         }
     }
 
-    pub(super) fn branch_answered(
+    pub(super) fn complete_step(
         &mut self,
         index: usize,
-        answer: BranchAnswer,
+        output: StepOutput,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        let open = self.branches[index].open.take()?;
-        let spent = now.since(open.sent);
-        self.branches[index].answer = Some(answer);
-        let branch = &self.branches[index];
-        let rate = self.plan.stage(&branch.stage).cost;
-        self.costs.push(StageCost {
-            stage: branch.stage.clone(),
-            upstream: open.upstream.clone(),
-            time_ms: now.since(branch.since).as_secs_f64() * 1e3,
-            attempts: branch.attempts,
-            tried: branch.tried.clone(),
-            cost: spent.as_secs_f64() * rate,
+        let in_flight = self.step_runs[index].in_flight.take()?;
+        let upstream_time = now.since(in_flight.sent_at);
+        self.step_runs[index].output = Some(output);
+        let step_run = &self.step_runs[index];
+        let cost_factor = self.plan.stage(&step_run.stage).cost;
+        self.stage_costs.push(StageCost {
+            stage: step_run.stage.clone(),
+            upstream: in_flight.upstream.clone(),
+            time_ms: now.since(step_run.started_at).as_secs_f64() * 1e3,
+            attempts: step_run.attempts,
+            tried: step_run.tried.clone(),
+            cost: upstream_time.as_secs_f64() * cost_factor,
         });
-        if open.has_slot() {
-            let (call, report) = (self.call, AttemptReport::Answered(spent));
-            steps.push(ShardStep::Release { upstream: open.upstream, call, report });
+        if in_flight.has_slot() {
+            let (call, report) = (self.call, AttemptReport::Answered(upstream_time));
+            actions.push(ShardAction::ReleaseSlot { upstream: in_flight.upstream, call, report });
         }
-        self.free_used(self.branches[index].step, steps);
-        self.begin_steps(now, steps);
-        let finished = (0..self.plan.pipeline.plan.steps().len()).all(|each| self.is_done(each));
-        finished.then(|| self.answered(now))
+        self.free_unneeded_inputs(self.step_runs[index].step, actions);
+        self.start_ready_steps(now, actions);
+        let is_finished =
+            (0..self.plan.pipeline.plan.steps().len()).all(|position| self.is_done(position));
+        is_finished.then(|| self.finish_answered(now))
     }
 
-    /// Puts the answers of the last steps together in declared order.
-    pub(super) fn answered(&mut self, now: MonotonicTime) -> FinalAnswer {
+    /// Builds the final answer from the answers of the last steps, in declared order.
+    pub(super) fn finish_answered(&mut self, now: MonotonicTime) -> FinalAnswer {
         let mut outcome = FinalOutcome::new(OutcomeKind::Answered, &self.plan.request.key);
         if self.plan.forward().is_none() {
-            outcome.answer = Some(self.json_answer());
+            outcome.answer = Some(self.combined_answer());
         }
-        outcome.stages = std::mem::take(&mut self.costs);
+        outcome.stages = std::mem::take(&mut self.stage_costs);
         outcome.took = Some(now.since(self.plan.arrived));
         FinalAnswer::from(outcome)
     }
 }
 
-pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardStep {
-    ShardStep::Command(Command::SetTimer { timer, at })
+pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardAction {
+    ShardAction::Command(Command::SetTimer { timer, at })
 }
 
-pub(super) fn count(counter: CounterName) -> ShardStep {
-    ShardStep::Command(Command::Count(counter))
+pub(super) fn count(counter: CounterName) -> ShardAction {
+    ShardAction::Command(Command::Count(counter))
 }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -1,10 +1,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::key_memory::{KeyMemory, KeyUse};
+use super::key_table::{KeyState, KeyTable};
 use super::{
-    AttemptEvent, FinalAnswer, HolderReply, KeyInquiry, RefusalReason, RequestPlan, RequestRun,
-    ShardStep,
+    AttemptEvent, FinalAnswer, HolderReply, OutcomeLookup, RefusalReason, RequestPlan, RequestRun,
+    ShardAction,
 };
 use crate::claims::WitnessPoll;
 use crate::daemon::{Command, CounterName, TimerKey};
@@ -12,258 +12,278 @@
 use crate::membership::WitnessSet;
 use crate::routing::{AttemptReport, SlotGrant};
 
-/// Requests whose keys hash to one shard.
+/// State of the requests whose keys hash to one shard.
 #[derive(Debug)]
 pub struct RequestShard {
-    pub(super) own: InstanceId,
+    pub(super) own_instance: InstanceId,
     pub(super) runs: HashMap<CallId, ActiveRun>,
-    pub(super) inquiries: HashMap<CallId, KeyInquiry>,
-    pub(super) keys: KeyMemory,
+    pub(super) lookups: HashMap<CallId, OutcomeLookup>,
+    pub(super) key_table: KeyTable,
 }
 
 #[derive(Debug)]
 pub(super) struct ActiveRun {
     pub(super) run: RequestRun,
-    /// Present until the key is claimed.
+    /// Replies of the witnesses to the claim; `None` once the key is claimed, or if it needs no
+    /// claim.
     pub(super) poll: Option<WitnessPoll>,
-    /// Witnesses that hold the claim, to leave the outcome with.
+    /// Witnesses that hold the claim and receive the outcome; `None` until the key is claimed.
     pub(super) witnesses: Option<WitnessSet>,
     /// Other calls that wait for the same outcome.
-    pub(super) followers: Vec<CallId>,
+    pub(super) waiting_calls: Vec<CallId>,
 }
 
-/// What an inquiry may prove, and until when.
+/// Retention times under which an outcome lookup may prove that a key never ran.
 #[derive(Clone, Copy, Debug)]
 pub struct InquiryBasis {
     /// How long keys are remembered.
     pub key_life: Duration,
-    /// Time until which the witnesses remember the key.
+    /// Time until which the witnesses surely remember the key.
     pub provable_until: MonotonicTime,
 }
 
 impl RequestShard {
-    /// A shard of the process life `own`.
+    /// Creates an empty shard of the process incarnation `own_instance`.
     #[must_use]
-    pub fn new(own: InstanceId) -> Self {
-        Self { own, runs: HashMap::new(), inquiries: HashMap::new(), keys: KeyMemory::default() }
+    pub fn new(own_instance: InstanceId) -> Self {
+        Self {
+            own_instance,
+            runs: HashMap::new(),
+            lookups: HashMap::new(),
+            key_table: KeyTable::default(),
+        }
     }
 
-    /// Number of requests that run or are being resolved.
+    /// Number of running requests and outcome lookups.
     #[must_use]
     pub fn open_count(&self) -> usize {
-        self.runs.len() + self.inquiries.len()
+        self.runs.len() + self.lookups.len()
     }
 
-    /// Number of keys of not repeatable requests that are remembered.
+    /// Number of keys in the table of requests that must run at most once.
     #[must_use]
     pub fn key_count(&self) -> usize {
-        self.keys.len()
+        self.key_table.len()
     }
 
-    /// Answers `call` from what is known of `key` here; `false` if nothing is.
+    /// Answers `call` with the outcome of `key` if the key ran here, or attaches it to the running
+    /// request. Returns `false` if this shard has no run of the key.
     pub fn join(
         &mut self,
         call: CallId,
         key: &RequestKey,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) -> bool {
-        self.keys.forget(now);
-        match self.keys.get(key) {
-            Some(KeyUse::Running(runner)) => {
-                let runner = *runner;
-                if let Some(active) = self.runs.get_mut(&runner) {
-                    active.followers.push(call);
+        self.key_table.remove_expired(now);
+        match self.key_table.get(key) {
+            Some(KeyState::Running(running_call)) => {
+                let running_call = *running_call;
+                if let Some(active_run) = self.runs.get_mut(&running_call) {
+                    active_run.waiting_calls.push(call);
                 }
                 true
             }
-            Some(KeyUse::Finished(answer)) => {
-                steps.push(reply(call, answer.clone()));
+            Some(KeyState::Finished(answer)) => {
+                actions.push(reply(call, answer.clone()));
                 true
             }
-            Some(KeyUse::GivenUp) | None => false,
+            Some(KeyState::Abandoned) | None => false,
         }
     }
 
-    /// Whether another key can be remembered.
+    /// Whether the key table can hold another key.
     #[must_use]
     pub fn has_memory(&self) -> bool {
-        self.keys.has_room()
+        self.key_table.has_capacity()
     }
 
-    /// Whether this process life has given up `key` and must not claim it again.
+    /// Whether this process incarnation has abandoned `key` and must not claim it again.
     #[must_use]
     pub fn has_given_up(&self, key: &RequestKey) -> bool {
-        matches!(self.keys.get(key), Some(KeyUse::GivenUp))
+        matches!(self.key_table.get(key), Some(KeyState::Abandoned))
     }
 
-    /// Begins a request whose key no witness keeps.
+    /// Starts a request whose key needs no claim.
     pub fn start(
         &mut self,
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         debug_assert!(!plan.claimed);
-        steps.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        let mut run = RequestRun::new(call, self.own.mark(), plan);
-        run.begin(now, steps);
-        let active = ActiveRun { run, poll: None, witnesses: None, followers: Vec::new() };
-        self.runs.insert(call, active);
+        actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
+        let mut run = RequestRun::new(call, self.own_instance.mark(), plan);
+        run.begin(now, actions);
+        let active_run = ActiveRun { run, poll: None, witnesses: None, waiting_calls: Vec::new() };
+        self.runs.insert(call, active_run);
     }
 
-    /// Takes an upstream that was found for a branch.
-    pub fn granted(&mut self, grant: SlotGrant, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    /// Handles the upstream that the router assigned to a step.
+    pub fn granted(
+        &mut self,
+        grant: SlotGrant,
+        now: MonotonicTime,
+        actions: &mut Vec<ShardAction>,
+    ) {
         let call = grant.request.call;
         match self.runs.get_mut(&call) {
-            Some(active) => {
-                let end = active.run.dispatch(grant, now, steps);
-                self.finish_if(call, end, now, steps);
+            Some(active_run) => {
+                let final_answer = active_run.run.dispatch(grant, now, actions);
+                self.finish_if_ended(call, final_answer, now, actions);
             }
             None => {
                 let report = AttemptReport::Cancelled;
-                steps.push(ShardStep::Release { upstream: grant.upstream, call, report });
+                actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
             }
         }
     }
 
-    /// No upstream can be had for a branch of `call`.
+    /// Handles the router's refusal to assign an upstream to a step of `call`.
     pub fn denied(
         &mut self,
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        if let Some(active) = self.runs.get_mut(&call) {
-            let end = active.run.denied(reason, now, steps);
-            self.finish_if(call, end, now, steps);
+        if let Some(active_run) = self.runs.get_mut(&call) {
+            let final_answer = active_run.run.denied(reason, now, actions);
+            self.finish_if_ended(call, final_answer, now, actions);
         }
     }
 
-    /// Takes what an upstream did about an attempt.
+    /// Handles an event of an attempt.
     pub fn attempt_event(
         &mut self,
         id: AttemptId,
         event: AttemptEvent,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         match self.runs.get_mut(&id.call) {
-            Some(active) => {
-                let end = active.run.attempt_event(id, event, now, steps);
-                self.finish_if(id.call, end, now, steps);
+            Some(active_run) => {
+                let final_answer = active_run.run.attempt_event(id, event, now, actions);
+                self.finish_if_ended(id.call, final_answer, now, actions);
             }
-            None => steps.push(ShardStep::Command(Command::Count(CounterName::LateAnswers))),
+            None => actions.push(ShardAction::Command(Command::Count(CounterName::LateAnswers))),
         }
     }
 
-    /// A timer of this shard is due.
-    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
+    /// Handles an expired timer of this shard.
+    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         match timer {
             TimerKey::Deadline(call) => {
                 if self.runs.contains_key(&call) {
-                    self.end_run(call, RefusalReason::Deadline, now, steps);
+                    self.end_run(call, RefusalReason::Deadline, now, actions);
                 }
             }
             TimerKey::Claim(call) => {
-                if let Some(poll) = self.runs.get_mut(&call).and_then(|active| active.poll.as_mut())
+                if let Some(poll) =
+                    self.runs.get_mut(&call).and_then(|active_run| active_run.poll.as_mut())
                 {
-                    poll.close();
-                    self.claim_step(call, now, steps);
+                    poll.stop_waiting();
+                    self.advance_claim(call, now, actions);
                 }
             }
             TimerKey::Silence(id) => {
-                if let Some(active) = self.runs.get_mut(&id.call) {
-                    let end = active.run.silence_check(id, now, steps);
-                    self.finish_if(id.call, end, now, steps);
+                if let Some(active_run) = self.runs.get_mut(&id.call) {
+                    let final_answer = active_run.run.check_silence(id, now, actions);
+                    self.finish_if_ended(id.call, final_answer, now, actions);
                 }
             }
             TimerKey::Inquiry(call) => {
-                if let Some(inquiry) = self.inquiries.get_mut(&call) {
-                    let answer = inquiry.give_up(now);
-                    self.finish_inquiry(call, answer, now, steps);
+                if let Some(lookup) = self.lookups.get_mut(&call) {
+                    let answer = lookup.time_out(now);
+                    self.finish_lookup(call, answer, now, actions);
                 }
             }
             TimerKey::Holder(call) => {
-                if let Some(inquiry) = self.inquiries.get(&call)
-                    && let Some(holder) = inquiry.holder.clone()
+                if let Some(lookup) = self.lookups.get(&call)
+                    && let Some(holder) = lookup.holder.clone()
                 {
-                    let key = inquiry.key.clone();
-                    steps.push(ShardStep::Command(Command::AskHolder { call, key, holder }));
+                    let key = lookup.key.clone();
+                    actions.push(ShardAction::Command(Command::AskHolder { call, key, holder }));
                 }
             }
-            _ => debug_assert!(false, "{timer:?} is not a timer of a request"),
+            _ => debug_assert!(
+                false,
+                "timer {timer:?} does not belong to a request shard; \
+                 accepted: Deadline, Claim, Silence, Inquiry, Holder"
+            ),
         }
     }
 
-    /// The caller is gone: repeatable work is given up, what it held is freed; a not repeatable
-    /// request goes on, and its outcome can be asked for.
-    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, steps: &mut Vec<ShardStep>) {
-        let ends = self.runs.get(&call).is_some_and(|active| !active.run.outlives_caller());
-        if ends {
-            steps.push(ShardStep::Command(Command::Count(CounterName::CallersGone)));
-            self.end_run(call, RefusalReason::Deadline, now, steps);
+    /// Handles the disconnect of a caller. A run that may be repeated is cancelled and its
+    /// resources are freed; a run that must happen at most once continues, and its outcome can be
+    /// looked up.
+    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+        let is_cancelled =
+            self.runs.get(&call).is_some_and(|active_run| !active_run.run.outlives_caller());
+        if is_cancelled {
+            actions.push(ShardAction::Command(Command::Count(CounterName::CallersGone)));
+            self.end_run(call, RefusalReason::Deadline, now, actions);
         }
     }
 
-    /// Ends the runs that are like `digest`, which is quarantined for `left`, and have not been sent on.
+    /// Ends the runs with the digest `digest`, which is quarantined for the time `left`, unless an
+    /// attempt was already sent to an upstream.
     pub fn end_quarantined(
         &mut self,
         digest: RequestDigest,
         left: Duration,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let like = self
-            .runs
-            .iter()
-            .filter(|(_, active)| active.run.plan().digest == digest && active.run.is_unsent());
-        let calls: Vec<CallId> = like.map(|(call, _)| *call).collect();
+        let matching = self.runs.iter().filter(|(_, active_run)| {
+            active_run.run.plan().digest == digest && active_run.run.is_unsent()
+        });
+        let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in calls {
-            self.denied_for(call, (RefusalReason::Quarantined, left), now, steps);
+            self.denied_for(call, (RefusalReason::Quarantined, left), now, actions);
         }
     }
 
-    /// The pieces of `attempt` are made by `section` of their pool.
+    /// Records that `section` of the pool runs the work items of `attempt`.
     pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
-        if let Some(active) = self.runs.get_mut(&attempt.call) {
-            active.run.note_section(attempt, section);
+        if let Some(active_run) = self.runs.get_mut(&attempt.call) {
+            active_run.run.note_section(attempt, section);
         }
     }
 
-    /// No upstream is given the request of `call`, for a reason that holds for the time beside it.
+    /// Handles a refusal to assign an upstream to `call`, with the reason and the time for which
+    /// the reason holds.
     pub fn denied_for(
         &mut self,
         call: CallId,
         why: (RefusalReason, Duration),
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        self.settle_run(call, now, steps, |run, steps| run.denied_for(why, now, steps));
+        self.settle_run(call, now, actions, |run, actions| run.denied_for(why, now, actions));
     }
 
-    /// Ends every run.
+    /// Ends every run with `reason`.
     pub fn end_all(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let calls: Vec<CallId> = self.runs.keys().copied().collect();
         for call in calls {
-            self.end_run(call, reason, now, steps);
+            self.end_run(call, reason, now, actions);
         }
     }
 
-    /// Answers another daemon that asks what became of `key` here.
+    /// Reply to another daemon that asks for the outcome of `key`.
     #[must_use]
     pub fn holder_reply(&self, key: &RequestKey) -> HolderReply {
-        match self.keys.get(key) {
-            Some(KeyUse::Running(_)) => HolderReply::Running,
-            Some(KeyUse::Finished(answer)) => HolderReply::Finished(answer.body.to_vec()),
-            Some(KeyUse::GivenUp) | None => HolderReply::Gone,
+        match self.key_table.get(key) {
+            Some(KeyState::Running(_)) => HolderReply::Running,
+            Some(KeyState::Finished(answer)) => HolderReply::Finished(answer.body.to_vec()),
+            Some(KeyState::Abandoned) | None => HolderReply::Gone,
         }
     }
 
@@ -272,37 +292,39 @@
         call: CallId,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        self.settle_run(call, now, steps, |run, steps| Some(run.end(reason, now, steps)));
+        self.settle_run(call, now, actions, |run, actions| {
+            Some(run.finish_unanswered(reason, now, actions))
+        });
     }
 
-    /// Has the run of `call` settled by `settle`, or gives up its key if that is not claimed yet.
+    /// Ends the run of `call` through `settle`, or abandons its key if the key is not claimed yet.
     fn settle_run(
         &mut self,
         call: CallId,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
-        settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardStep>) -> Option<FinalAnswer>,
+        actions: &mut Vec<ShardAction>,
+        settle: impl FnOnce(&mut RequestRun, &mut Vec<ShardAction>) -> Option<FinalAnswer>,
     ) {
-        let Some(active) = self.runs.get_mut(&call) else { return };
-        if active.poll.is_some() {
-            self.give_up_claim(call, now, steps);
+        let Some(active_run) = self.runs.get_mut(&call) else { return };
+        if active_run.poll.is_some() {
+            self.abandon_claim(call, now, actions);
             return;
         }
-        let end = settle(&mut active.run, steps);
-        self.finish_if(call, end, now, steps);
+        let final_answer = settle(&mut active_run.run, actions);
+        self.finish_if_ended(call, final_answer, now, actions);
     }
 
-    fn finish_if(
+    fn finish_if_ended(
         &mut self,
         call: CallId,
-        end: Option<FinalAnswer>,
+        final_answer: Option<FinalAnswer>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        if let Some(answer) = end {
-            self.finish_run(call, answer, now, steps);
+        if let Some(answer) = final_answer {
+            self.finish_run(call, answer, now, actions);
         }
     }
 
@@ -311,32 +333,32 @@
         call: CallId,
         answer: FinalAnswer,
         now: MonotonicTime,
-        steps: &mut Vec<ShardStep>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        let Some(active) = self.runs.remove(&call) else { return };
-        let plan = active.run.plan();
-        steps.push(ShardStep::GiveBack(plan.permit.clone()));
+        let Some(active_run) = self.runs.remove(&call) else { return };
+        let plan = active_run.run.plan();
+        actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
         if plan.claimed {
             let key = plan.request.key.clone();
-            for witness in active.witnesses.iter().flat_map(WitnessSet::vms) {
+            for witness in active_run.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
                 let witness = witness.clone();
-                steps.push(ShardStep::Command(Command::RecordOutcome { witness, key, body }));
+                actions.push(ShardAction::Command(Command::RecordOutcome { witness, key, body }));
             }
-            let life = plan.declarations.deployment().key_life;
-            self.keys.end(key, Some(answer.clone()), life, now);
+            let key_life = plan.declarations.deployment().key_life;
+            self.key_table.mark_ended(key, Some(answer.clone()), key_life, now);
         }
-        for follower in active.followers {
-            steps.push(reply(follower, answer.clone()));
+        for waiting_call in active_run.waiting_calls {
+            actions.push(reply(waiting_call, answer.clone()));
         }
-        steps.push(reply(call, answer));
+        actions.push(reply(call, answer));
     }
 }
 
-pub(super) fn reply(call: CallId, answer: FinalAnswer) -> ShardStep {
-    ShardStep::Command(Command::Reply { call, answer })
+pub(super) fn reply(call: CallId, answer: FinalAnswer) -> ShardAction {
+    ShardAction::Command(Command::Reply { call, answer })
 }
 
-pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardStep {
-    ShardStep::Command(Command::SetTimer { timer, at })
+pub(super) fn set_timer(timer: TimerKey, at: MonotonicTime) -> ShardAction {
+    ShardAction::Command(Command::SetTimer { timer, at })
 }
--- /dev/null
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -0,0 +1,104 @@
+use std::net::SocketAddr;
+
+use crate::admission::AdmissionPermit;
+use crate::daemon::Command;
+use crate::identity::{AttemptId, CallId, RequestDigest, RequestKey};
+use crate::membership::WitnessSet;
+use crate::pipeline::{PieceOrder, RefusalReason, ResultHandle};
+use crate::routing::{AttemptReport, SlotRequest};
+
+/// Action that a request shard asks the rest of the core to carry out.
+#[derive(Debug)]
+pub enum ShardAction {
+    /// Emit a command to the engine.
+    Command(Command),
+    /// Ask the router for an upstream. The request waits in its queue if none is free.
+    AcquireSlot(SlotRequest),
+    /// Ask the router for another upstream, if the retry budget allows it.
+    AcquireRetrySlot {
+        /// Slot request of the new attempt.
+        request: SlotRequest,
+        /// Why the previous attempt failed.
+        reason: RefusalReason,
+    },
+    /// Remove a request for an upstream from the router's queue.
+    CancelSlotRequest(SlotRequest),
+    /// Release the upstream slot of an attempt that ended.
+    ReleaseSlot {
+        /// Name of the attempt's upstream.
+        upstream: String,
+        /// Call that the attempt served.
+        call: CallId,
+        /// How the attempt ended.
+        report: AttemptReport,
+    },
+    /// Submit the work items of a batched step to a dispatcher that has not failed them before.
+    SubmitPieces {
+        /// Work items to submit.
+        order: Box<PieceOrder>,
+        /// VM names of the dispatchers that already failed the work items.
+        tried: Vec<String>,
+        /// Slot request of the forwarded step that will fetch the results, if they are large.
+        target: Option<Box<SlotRequest>>,
+    },
+    /// Cancel work items that are no longer needed.
+    CancelPieces {
+        /// Attempt that the work items belong to.
+        attempt: AttemptId,
+        /// Configuration section of the pool that runs the work items.
+        pool: String,
+    },
+    /// Free results that are no longer needed.
+    FreeResults {
+        /// Configuration section of the pool whose upstreams store the results.
+        pool: String,
+        /// Handles of the results.
+        results: Vec<ResultHandle>,
+    },
+    /// Report that the first event of a forwarded stream arrived.
+    RecordStreamStart {
+        /// Name of the upstream that answers.
+        upstream: String,
+        /// Call that the stream belongs to.
+        call: CallId,
+    },
+    /// Check whether an upstream crashed, because the connection of an attempt was cut.
+    CheckCrash {
+        /// Digest of the request that the upstream was running.
+        digest: RequestDigest,
+        /// Name of the upstream.
+        upstream: String,
+        /// Socket address at which the upstream listens.
+        address: SocketAddr,
+    },
+    /// Record that a request with this digest was answered in full.
+    RecordSuccess(RequestDigest),
+    /// Release the admission permit of a request that ended.
+    ReleasePermit(AdmissionPermit),
+    /// Write to the register of one witness.
+    WriteRegister(RegisterCall),
+    /// Record that the process `life` behind an upstream answers.
+    RecordProcess {
+        /// Name of the upstream.
+        upstream: String,
+        /// Identity of the upstream's process.
+        life: String,
+        /// Whether the process announced that it is shutting down.
+        leaving: bool,
+    },
+}
+
+/// Write to a key's register at one witness.
+#[derive(Clone, Debug)]
+pub struct RegisterCall {
+    /// Call that receives the reply.
+    pub call: CallId,
+    /// VM name of the witness.
+    pub witness: String,
+    /// Workspace and idempotency key of the register.
+    pub key: RequestKey,
+    /// All witnesses of the key.
+    pub witnesses: WitnessSet,
+    /// Whether to write a tombstone instead of a claim.
+    pub bury: bool,
+}
