--- a/crates/crocusdale_core/src/membership/address_order.rs
+++ b/crates/crocusdale_core/src/membership/address_order.rs
@@ -7,16 +7,16 @@
 use crate::configuration::RegionMap;
 use crate::identity::stable_hash;
 
-/// Addresses that a caller may use, in the order in which it should try them.
+/// Daemon addresses for one caller, in the order in which the caller should try them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AddressAnswer {
-    /// Addresses, best first.
+    /// Addresses for callers, most preferred first.
     pub addresses: Vec<SocketAddr>,
-    /// How long the answer may be kept, in milliseconds.
+    /// Time for which the caller may cache the addresses, in milliseconds.
     pub hold_ms: u64,
 }
 
-/// Orders the daemons for one caller.
+/// Ranks the daemons of the fleet for callers.
 #[derive(Debug)]
 pub struct AddressOrder<'a> {
     roster: &'a VmRoster,
@@ -26,43 +26,47 @@
 }
 
 impl<'a> AddressOrder<'a> {
-    /// Orders the daemons of `roster` as `view` sees them.
+    /// Ranks the daemons in the VM list `roster` by their status in `view`. Callers may cache an
+    /// answer for `hold`.
     #[must_use]
     pub fn new(roster: &'a VmRoster, view: &'a MemberView, hold: Duration) -> Self {
         Self { roster, view, hold, regions: RegionMap::default() }
     }
 
-    /// Sets the regions of the availability zones.
+    /// Sets the regions of the availability zones. Without this call, all zones count as one
+    /// region.
     #[must_use]
     pub fn regions(mut self, regions: &RegionMap) -> Self {
         self.regions = regions.clone();
         self
     }
 
-    /// Answers the caller `caller` in `zone`: reachable before suspected, own zone before others,
-    /// and within those in an order that differs from caller to caller, so that callers spread
-    /// over the daemons without anyone keeping count. Leaving daemons are left out, and those of other
-    /// regions as long as there is one in the caller's.
+    /// Addresses for the caller `caller` in the availability zone `zone`. Alive daemons come before
+    /// suspected ones, and daemons in the caller's zone before others. Daemons that tie are ordered
+    /// by a hash of the caller and the VM, which spreads callers over the daemons without shared
+    /// state. Leaving daemons are excluded, and so are daemons in other regions while the caller's
+    /// region has a usable one.
     ///
-    /// Guards against an answer without any address, which leaves its caller with nowhere to go: a
-    /// daemon that drains on a starved VM takes all others for unreachable. It names them then,
-    /// since more likely it is the one that was away.
+    /// Guards against an empty answer, which would leave the caller without a daemon to call: a
+    /// draining daemon on a VM that is short of CPU time considers all others unreachable. It then
+    /// returns the unreachable daemons, because it is more likely that its own VM was cut off.
     #[must_use]
     pub fn answer(&self, caller: &str, zone: &str) -> AddressAnswer {
-        let usable = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspect);
-        let mut addresses = self.ranked(caller, zone, usable);
+        let is_usable = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspect);
+        let mut addresses = self.rank_addresses(caller, zone, is_usable);
         if addresses.is_empty() {
-            addresses = self.ranked(caller, zone, |status| status == MemberStatus::Unreachable);
+            addresses =
+                self.rank_addresses(caller, zone, |status| status == MemberStatus::Unreachable);
         }
         let hold_ms = u64::try_from(self.hold.as_millis()).unwrap_or(u64::MAX);
         AddressAnswer { addresses, hold_ms }
     }
 
-    fn ranked(
+    fn rank_addresses(
         &self,
         caller: &str,
         zone: &str,
-        usable: impl Fn(MemberStatus) -> bool,
+        is_usable: impl Fn(MemberStatus) -> bool,
     ) -> Vec<SocketAddr> {
         let candidates = self
             .roster
@@ -70,16 +74,17 @@
             .filter(|vm| vm.state == VmState::Live && !self.view.is_leaving(&vm.name));
         let mut ranked: Vec<_> = candidates
             .filter_map(|vm| {
-                let status = self.view.status(&vm.name).filter(|status| usable(*status))?;
+                let status = self.view.status(&vm.name).filter(|status| is_usable(*status))?;
                 let weight = stable_hash(&[caller, &vm.name]);
-                let far = self.regions.region(&vm.zone) != self.regions.region(zone);
-                Some((far, status, vm.zone != zone, weight, vm.caller?))
+                let is_other_region = self.regions.region(&vm.zone) != self.regions.region(zone);
+                Some((is_other_region, status, vm.zone != zone, weight, vm.caller?))
             })
             .collect();
         ranked.sort_unstable();
-        let near = ranked.iter().filter(|(far, ..)| !far).count();
-        if near > 0 {
-            ranked.truncate(near);
+        let same_region_count =
+            ranked.iter().filter(|(is_other_region, ..)| !is_other_region).count();
+        if same_region_count > 0 {
+            ranked.truncate(same_region_count);
         }
         ranked.into_iter().map(|(.., address)| address).collect()
     }
--- a/crates/crocusdale_core/src/membership/exchange_message.rs
+++ b/crates/crocusdale_core/src/membership/exchange_message.rs
@@ -5,54 +5,58 @@
 use crate::quarantine::CrashRecord;
 use crate::rate_limiting::LimitRecord;
 
-/// News that an upstream is leaving.
+/// Gossip entry about an upstream that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize)]
 pub struct LeavingUpstream {
     /// Name of the upstream.
     pub upstream: String,
-    /// Identity of the process behind it, as it reported it.
+    /// Identifier of the upstream's current process, as the upstream reported it.
     pub life: String,
 }
 
-/// What a daemon tells of its list of published upstreams.
+/// Version and age of a daemon's list of published upstreams, as it reports them to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryNews {
-    /// Position of the last change that it knows.
+    /// Store position of the last change in the list.
     pub changed: StorePosition,
-    /// See [`ExchangeMessage::directory_age`].
+    /// Age of the list, as in [`ExchangeMessage::directory_age`].
     pub age: Option<Duration>,
 }
 
-/// One half of a heartbeat.
+/// Request or reply of a heartbeat, which carries gossip about the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExchangeMessage {
-    /// The sender.
+    /// Record of the sender about itself.
     pub sender: MemberRecord,
-    /// Whether the sender drains.
+    /// Whether the sender is draining.
     pub sender_leaving: bool,
-    /// Revision that the sender has in force, 0 for none.
+    /// Revision of the configuration in force at the sender. 0 if it has none.
     pub revision: u64,
-    /// Digest of that revision's text.
+    /// Digest of the text of this configuration. 0 if the sender has none.
     pub digest: u64,
-    /// Records about others.
+    /// Records about other members.
     pub records: Vec<MemberRecord>,
-    /// Members that drain.
+    /// Members that are draining.
     pub leaving: Vec<InstanceId>,
-    /// Upstreams that are leaving.
+    /// Upstreams that are leaving, according to the sender.
     pub leaving_upstreams: Vec<LeavingUpstream>,
-    /// Position of the last change of the published upstreams that the sender knows.
+    /// Store position of the last change in the sender's list of published upstreams.
     pub directory: StorePosition,
-    /// Time since the sender, or whoever it heard from, began to read the published upstreams and
-    /// found that change to be the last one.
+    /// Time since the start of the latest store read that confirmed the position in `directory` as
+    /// the last change. The sender or one of its peers made this read. `None` if the age is
+    /// unknown.
     pub directory_age: Option<Duration>,
-    /// Summary of what the sender knows of upstreams that ended under requests.
+    /// Digest of all crash records that the sender knows.
     pub crash_summary: u64,
-    /// Such upstreams: news, or in an answer all that is known, if the asker knows something else.
+    /// Recent crash records. A reply carries all known crash records if the request had another
+    /// digest.
     pub crashes: Vec<CrashRecord>,
-    /// Digest of what the sender knows of the rates that upstreams name.
+    /// Digest of all rate limits that the sender knows.
     pub limit_digest: u64,
-    /// Such rates: news, or in an answer all that is known, if the asker knows something else.
+    /// Recent rate limits. A reply carries all known rate limits if the request had another
+    /// digest.
     pub limits: Vec<LimitRecord>,
-    /// Digest of all records that the sender has, if it asks for those that it lacks.
+    /// Digest of all member records that the sender knows, if it requests the missing ones. `None`
+    /// if it requests none.
     pub known_members: Option<u64>,
 }
--- a/crates/crocusdale_core/src/membership/known_daemons.rs
+++ b/crates/crocusdale_core/src/membership/known_daemons.rs
@@ -3,36 +3,38 @@
 
 use crate::identity::MonotonicTime;
 
-/// Time for which a daemon is remembered that nobody has heard of: longer than parts of the fleet lose each
-/// other for.
-const MEMORY: Duration = Duration::from_secs(600);
+/// Time for which a daemon stays known after it disappeared from the member view: longer than a
+/// network partition usually lasts.
+const DAEMON_RETENTION: Duration = Duration::from_secs(600);
 
-/// Daemons that are known or were known of late, whether they can be reached or not.
+/// Names of the daemons in the member view now or in the last ten minutes, whether they are
+/// reachable or not.
 #[derive(Debug, Default)]
 pub struct KnownDaemons {
-    seen: BTreeMap<String, MonotonicTime>,
+    last_seen: BTreeMap<String, MonotonicTime>,
 }
 
 impl KnownDaemons {
-    /// Takes the daemons that the member view names at `now`. Returns whether others are known than before.
+    /// Records that the member view contains the daemons `names` at `now`, and removes daemons
+    /// whose retention has expired. Returns whether the set of known daemons changed.
     pub fn note<'a>(&mut self, names: impl Iterator<Item = &'a str>, now: MonotonicTime) -> bool {
         let mut changed = false;
         for name in names {
-            match self.seen.get_mut(name) {
-                Some(seen) => *seen = now,
+            match self.last_seen.get_mut(name) {
+                Some(last_seen) => *last_seen = now,
                 None => {
-                    self.seen.insert(name.to_owned(), now);
+                    self.last_seen.insert(name.to_owned(), now);
                     changed = true;
                 }
             }
         }
-        let before = self.seen.len();
-        self.seen.retain(|_, seen| now.since(*seen) < MEMORY);
-        changed || self.seen.len() != before
+        let previous_count = self.last_seen.len();
+        self.last_seen.retain(|_, last_seen| now.since(*last_seen) < DAEMON_RETENTION);
+        changed || self.last_seen.len() != previous_count
     }
 
-    /// Names of the daemons, in order.
+    /// Names of the known daemons in alphabetical order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.seen.keys().map(String::as_str)
+        self.last_seen.keys().map(String::as_str)
     }
 }
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells its peers of the fleet.
+//! Builds the heartbeat messages that carry gossip about the fleet.
 
 use std::time::Duration;
 
@@ -8,22 +8,25 @@
 use super::{DirectoryNews, ExchangeMessage, LeavingUpstream, MemberRecord, MemberView};
 use crate::identity::{InstanceId, stable_hash};
 
-/// Records that one message carries at most.
-const RECORDS_LIMIT: usize = 12;
-/// Time for which every message carries that a member is in doubt, and the most such records of one.
-/// Meanwhile it reaches everybody, however many members have ended with it.
-const DOUBT_NEWS: Duration = Duration::from_secs(5);
-const DOUBTS_LIMIT: usize = 128;
-/// Records that the answer to a member that asks for all carries at most, about 100 bytes each: a
-/// fleet of the size that the users aim at, in 50 KB.
-const WELCOME_LIMIT: usize = 512;
-/// Records of no news that a message carries, so that lost news spreads in the end.
-const REPAIR_RECORDS: usize = 2;
-/// Leaving members, and leaving upstreams, that one message carries at most.
-const LEAVING_LIMIT: usize = 16;
+/// Maximum number of member records in an ordinary message, apart from recent failures.
+const MAX_RECORDS: usize = 12;
+/// Time for which messages repeat that a member is suspected or unreachable. The record reaches all
+/// daemons in this time, even if many members have failed at once.
+const FAILURE_GOSSIP_TIME: Duration = Duration::from_secs(5);
+/// Maximum number of records about recent failures in one message.
+const MAX_FAILURE_RECORDS: usize = 128;
+/// Maximum number of records in the reply to a request for all records. A record takes about 100
+/// bytes, so the reply stays within 50 KB and covers the largest fleet that users plan.
+const MAX_REPLY_RECORDS: usize = 512;
+/// Number of randomly chosen records in each message, whether they are recent or not. They repair
+/// the views of peers that missed an earlier message.
+const RANDOM_RECORD_COUNT: usize = 2;
+/// Maximum number of leaving members, and also of leaving upstreams, in one message.
+const MAX_LEAVING_ENTRIES: usize = 16;
 
 impl MemberView {
-    /// Builds this daemon's half of an exchange with `partner`.
+    /// Builds a heartbeat message for the VM `partner`. `position` is the revision and the digest
+    /// of the configuration in force.
     pub fn message(
         &mut self,
         partner: &str,
@@ -31,13 +34,13 @@
         directory: DirectoryNews,
     ) -> ExchangeMessage {
         let mut records = Vec::new();
-        records.extend(self.objection(partner).cloned());
-        records.extend(self.spend_records(partner, RECORDS_LIMIT - records.len()));
-        records.extend(self.recent_doubts(partner, &records));
+        records.extend(self.disputed_record(partner).cloned());
+        records.extend(self.take_gossip_records(partner, MAX_RECORDS - records.len()));
+        records.extend(self.recent_failures(partner, &records));
         let vms: Vec<&String> = self.peers.keys().collect();
-        for vm in vms.choose_multiple(&mut self.random, REPAIR_RECORDS) {
+        for vm in vms.choose_multiple(&mut self.random, RANDOM_RECORD_COUNT) {
             let record = self.peers[*vm].record.as_ref();
-            if records.len() < RECORDS_LIMIT && vm.as_str() != partner {
+            if records.len() < MAX_RECORDS && vm.as_str() != partner {
                 records.extend(record.filter(|record| !records.contains(record)).cloned());
             }
         }
@@ -47,12 +50,12 @@
             revision: position.0,
             digest: position.1,
             records,
-            leaving: self.spend_leaving(),
-            leaving_upstreams: self.spend_leaving_upstreams(),
+            leaving: self.take_leaving_members(),
+            leaving_upstreams: self.take_leaving_upstreams(),
             directory: directory.changed,
             directory_age: directory.age,
             known_members: self.asks_for_all.then(|| self.digest()),
-            // Another part of the core knows these.
+            // The daemon core fills in crash records and rate limits.
             crash_summary: 0,
             crashes: Vec::new(),
             limit_digest: 0,
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Builds the answer to a member that has the records of the digest `known` and asks for what
-    /// it lacks: all that is known of the fleet, unless that is the same.
+    /// Builds the reply to a member that requests all records. `known` is the digest of its own
+    /// records. If the digests are equal, the reply is an ordinary message.
     pub fn welcome(
         &mut self,
         partner: &str,
@@ -74,80 +77,90 @@
             let others = self.peers.values().filter_map(|peer| peer.record.as_ref());
             let others: Vec<&MemberRecord> =
                 others.filter(|record| record.instance.vm != partner).collect();
-            // Of a fleet beyond the limit each answer tells another part.
-            let told = others.choose_multiple(&mut self.random, WELCOME_LIMIT);
-            message.records = told.map(|record| (*record).clone()).collect();
-            message.records.extend(self.objection(partner).cloned());
+            // If the fleet exceeds the limit, each reply carries a different random selection.
+            let sent = others.choose_multiple(&mut self.random, MAX_REPLY_RECORDS);
+            message.records = sent.map(|record| (*record).clone()).collect();
+            message.records.extend(self.disputed_record(partner).cloned());
         }
         message
     }
 
-    /// Members other than `partner` and those in `told` that are in doubt since a short time ago.
+    /// Records of members that were recently found to be suspected or unreachable, except `partner`
+    /// and the records in `sent`.
     ///
-    /// Guards against callers that are sent to ended daemons for long after many have ended at one time:
-    /// the news of each would wait for room in a message.
-    fn recent_doubts(&mut self, partner: &str, told: &[MemberRecord]) -> Vec<MemberRecord> {
+    /// Guards against callers that are sent to crashed daemons long after many have crashed at
+    /// once: the ordinary record limit would delay the report about each of them.
+    fn recent_failures(&mut self, partner: &str, sent: &[MemberRecord]) -> Vec<MemberRecord> {
         if self.asks_for_all {
-            // Partners tell each other everything then.
+            // Replies to requests for all records already contain the failures.
             return Vec::new();
         }
         let now = self.last_tick.unwrap_or_default();
-        let recent = self.peers.values().filter(|peer| now.since(peer.since) < DOUBT_NEWS);
+        let recent =
+            self.peers.values().filter(|peer| now.since(peer.changed_at) < FAILURE_GOSSIP_TIME);
         let records = recent.filter_map(|peer| peer.record.as_ref());
-        let doubts = records.filter(|record| record.is_doubt());
-        let doubts: Vec<&MemberRecord> = doubts
-            .filter(|record| record.instance.vm != partner && !told.contains(record))
+        let failures = records.filter(|record| record.is_failure_report());
+        let failures: Vec<&MemberRecord> = failures
+            .filter(|record| record.instance.vm != partner && !sent.contains(record))
             .collect();
-        doubts.choose_multiple(&mut self.random, DOUBTS_LIMIT).copied().cloned().collect()
+        failures.choose_multiple(&mut self.random, MAX_FAILURE_RECORDS).copied().cloned().collect()
     }
 
-    /// What `partner` must hear of itself, or it can't refute it: that it is suspected, or that an
-    /// earlier life of its VM is taken for the later one.
-    fn objection(&self, partner: &str) -> Option<&MemberRecord> {
+    /// Record about `partner` that `partner` has to refute: it is suspected of failure, or an
+    /// earlier process on its VM is taken for the current one. It can only refute a record that it
+    /// receives.
+    fn disputed_record(&self, partner: &str) -> Option<&MemberRecord> {
         let peer = self.peers.get(partner)?;
-        peer.record.as_ref().filter(|record| record.is_doubt() || peer.contested)
+        peer.record.as_ref().filter(|record| record.is_failure_report() || peer.is_disputed)
     }
 
-    /// Sets whether partners are asked for all records that this daemon lacks.
+    /// Sets whether messages request all member records that this daemon lacks.
     pub fn ask_for_all(&mut self, asks: bool) {
         self.asks_for_all = asks;
     }
 
-    /// Digest of all records, this daemon's own among them, whatever their order.
+    /// Digest of all member records, including this daemon's own. It does not depend on their
+    /// order.
     fn digest(&self) -> u64 {
-        let rank = |record: &MemberRecord| {
+        let record_hash = |record: &MemberRecord| {
             let life = record.instance.incarnation.to_string();
-            let belief = format!("{}/{}/{}", record.generation, record.refutation, record.status);
-            stable_hash(&[&record.instance.vm, &life, &belief])
+            let status_text =
+                format!("{}/{}/{}", record.generation, record.refutation, record.status);
+            stable_hash(&[&record.instance.vm, &life, &status_text])
         };
-        self.records().chain([&self.own]).fold(0, |digest, record| digest ^ rank(record))
+        self.records().chain([&self.own]).fold(0, |digest, record| digest ^ record_hash(record))
     }
 
-    /// Takes out the newest news: what has been told least often goes first, so that the news of a
-    /// lost zone doesn't wait until that of its first VM has been told often enough.
-    fn spend_records(&mut self, partner: &str, limit: usize) -> Vec<MemberRecord> {
+    /// Selects up to `limit` records that still have to be sent, and counts this message against
+    /// their remaining sends. Records that were sent least often come first. Otherwise, after the
+    /// loss of an availability zone, records of its other VMs would wait until the record of the
+    /// first VM has been sent often enough.
+    fn take_gossip_records(&mut self, partner: &str, limit: usize) -> Vec<MemberRecord> {
         let peers = self.peers.iter_mut();
-        let mut news: Vec<&mut PeerState> = peers
-            .filter(|(vm, peer)| vm.as_str() != partner && peer.gossip.0 > 0)
+        let mut pending: Vec<&mut PeerState> = peers
+            .filter(|(vm, peer)| vm.as_str() != partner && peer.remaining_sends.0 > 0)
             .map(|(_, peer)| peer)
             .collect();
-        news.sort_by_key(|peer| std::cmp::Reverse(peer.gossip.0));
-        let told = news.into_iter().take(limit);
-        told.filter_map(|peer| peer.gossip.spend().then(|| peer.record.clone())?).collect()
+        pending.sort_by_key(|peer| std::cmp::Reverse(peer.remaining_sends.0));
+        let sent = pending.into_iter().take(limit);
+        sent.filter_map(|peer| peer.remaining_sends.use_send().then(|| peer.record.clone())?)
+            .collect()
     }
 
-    fn spend_leaving(&mut self) -> Vec<InstanceId> {
-        let fresh =
-            self.leaving.iter_mut().filter_map(|(each, gossip)| gossip.spend().then_some(each));
-        fresh.take(LEAVING_LIMIT).cloned().collect()
+    fn take_leaving_members(&mut self) -> Vec<InstanceId> {
+        let entries = self
+            .leaving
+            .iter_mut()
+            .filter_map(|(member, remaining_sends)| remaining_sends.use_send().then_some(member));
+        entries.take(MAX_LEAVING_ENTRIES).cloned().collect()
     }
 
-    fn spend_leaving_upstreams(&mut self) -> Vec<LeavingUpstream> {
-        let all = self.leaving_upstreams.iter_mut();
-        let fresh = all.filter_map(|(upstream, news)| {
-            let (upstream, life) = (upstream.clone(), news.life.clone());
-            news.gossip.spend().then_some(LeavingUpstream { upstream, life })
+    fn take_leaving_upstreams(&mut self) -> Vec<LeavingUpstream> {
+        let upstreams = self.leaving_upstreams.iter_mut();
+        let entries = upstreams.filter_map(|(upstream, notice)| {
+            let (upstream, life) = (upstream.clone(), notice.process.clone());
+            notice.remaining_sends.use_send().then_some(LeavingUpstream { upstream, life })
         });
-        fresh.take(LEAVING_LIMIT).collect()
+        entries.take(MAX_LEAVING_ENTRIES).collect()
     }
 }
--- a/crates/crocusdale_core/src/membership/member_record.rs
+++ b/crates/crocusdale_core/src/membership/member_record.rs
@@ -4,11 +4,12 @@
 
 use crate::identity::InstanceId;
 
-/// Thousandths of a core that go with a megabit a second at a dispatcher: the busiest one of a fleet
-/// of 83 took 54 of them, and some eight megabits.
-const LINK_COST: f64 = 6.0;
+/// Thousandths of a processor core that a dispatcher uses per megabit per second of its traffic.
+/// The busiest dispatcher in a fleet of 83 daemons used 54 thousandths of a core and about eight
+/// megabits per second.
+const CPU_PER_LINK_MBPS: f64 = 6.0;
 
-/// Status of a member.
+/// Status of a member, as its peers see it.
 #[derive(
     Clone,
     Copy,
@@ -25,58 +26,60 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum MemberStatus {
-    /// Has started, and can't serve callers yet.
+    /// The member has started but can't serve callers yet.
     Starting,
-    /// Answers its peers.
+    /// The member replies to its peers.
     Alive,
-    /// Missed a heartbeat.
+    /// A heartbeat exchange with the member failed.
     Suspect,
-    /// Missed heartbeats for longer than a suspicion lasts.
+    /// The member has not refuted the suspicion within the suspicion timeout.
     Unreachable,
 }
 
-/// What a daemon believes of one member.
+/// Gossip record about the status of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MemberRecord {
-    /// The member.
+    /// VM and process incarnation of the member.
     pub instance: InstanceId,
-    /// Orders the lives of one VM's processes; see [`MemberRecord::new`].
+    /// Orders successive processes on one VM. See [`MemberRecord::new`].
     pub generation: u64,
-    /// Raised by the member itself to refute a suspicion.
+    /// Counter that the member itself increases to refute a suspicion or to announce a new status.
     pub refutation: u32,
-    /// What is believed.
+    /// Status of the member.
     pub status: MemberStatus,
-    /// Where it is, if no VM list tells.
+    /// Location of the member, or `None` if the VM list provides it.
     pub place: Option<MemberPlace>,
 }
 
-/// Where a member is and listens.
+/// Location, addresses and capacity of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPlace {
-    /// Availability zone.
+    /// Availability zone of the member.
     pub zone: String,
-    /// Where it listens for callers.
+    /// Address on which the member accepts callers.
     pub caller: SocketAddr,
-    /// Where it listens for other daemons.
+    /// Address on which the member accepts other daemons.
     pub peer: SocketAddr,
-    /// What it can carry.
+    /// Capacity for work that one member does on behalf of others.
     pub capacity: MemberCapacity,
 }
 
-/// What a member can carry, against others: the scarcer one of its processor and its link, in
-/// thousandths of a core.
+/// Capacity of a member's VM, relative to other members: that of its processor or of its network
+/// link, whichever is smaller. In thousandths of a processor core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberCapacity(pub u32);
 
 impl MemberCapacity {
-    /// The capacity of a VM with `cpu_share` of a core and a link of `link_mbps` megabits a second.
+    /// Capacity of a VM that may use `cpu_share` processor cores and a link of `link_mbps` megabits
+    /// per second. At least 1.
     #[must_use]
     pub fn new(cpu_share: f64, link_mbps: f64) -> Self {
-        Self((cpu_share * 1e3).min(link_mbps * LINK_COST).clamp(1.0, f64::from(u32::MAX)) as u32)
+        Self((cpu_share * 1e3).min(link_mbps * CPU_PER_LINK_MBPS).clamp(1.0, f64::from(u32::MAX))
+            as u32)
     }
 
-    /// Whether a VM of this capacity may carry what falls to one VM for all, where the largest one
-    /// has the capacity `largest`.
+    /// Whether a VM of this capacity may do work on behalf of others, such as the dispatch of a
+    /// pool: it needs at least half of `largest`, the capacity of the largest VM.
     #[must_use]
     pub fn carries(self, largest: Self) -> bool {
         self.0 >= largest.0 / 2
@@ -84,31 +87,31 @@
 }
 
 impl MemberRecord {
-    /// The first record of a process life about itself.
+    /// First record of a process about itself.
     ///
-    /// Its generation is its incarnation, which is numbered by the time of day. Where that has
-    /// jumped back since the life before, the member hears of that life as the later one, and takes
-    /// a generation beyond it.
+    /// The generation starts as the incarnation, which comes from the wall clock. If the wall clock
+    /// was set back since the previous process, gossip presents the previous process as the later
+    /// one. The member then raises its generation above that of the previous process.
     #[must_use]
     pub fn new(instance: InstanceId, place: Option<MemberPlace>) -> Self {
         let generation = instance.incarnation;
         Self { instance, generation, refutation: 0, status: MemberStatus::Starting, place }
     }
 
-    /// Whether the record doubts that its member lives, so that the member should refute it.
+    /// Whether the record reports a suspected or unreachable member. A live member should refute
+    /// it.
     #[must_use]
-    pub fn is_doubt(&self) -> bool {
+    pub fn is_failure_report(&self) -> bool {
         match self.status {
             MemberStatus::Starting | MemberStatus::Alive => false,
             MemberStatus::Suspect | MemberStatus::Unreachable => true,
         }
     }
 
-    /// Whether `self` is newer news of the same VM than `other`.
+    /// Whether `self` supersedes `other`, a record about the same VM.
     ///
-    /// A later generation goes before an earlier one, a refutation before the suspicion that it
-    /// refutes, a worse status before a better one. The order is total, so that daemons which
-    /// heard the same news in different orders agree.
+    /// A higher generation wins first, then a higher refutation counter, then the worse status. The
+    /// order is total, so daemons that receive the same records in different orders converge.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         debug_assert_eq!(self.instance.vm, other.instance.vm);
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -11,66 +11,73 @@
 };
 use crate::identity::{InstanceId, MonotonicTime};
 
-/// Partners of one period, and those of one shortly after a partner was silent.
-const PARTNERS: (usize, usize) = (1, 2);
-/// Time after the silence of a partner for which more partners are asked.
-const ALARM: Duration = Duration::from_millis(2_500);
-/// Messages that carry each piece of news, times the logarithm of the fleet's size.
-const SPREAD_FACTOR: u32 = 3;
-/// Time after which an unreachable member that no VM list names is forgotten. A VM that was off for
-/// longer is found again through the seeds.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Time for which it is remembered that an upstream leaves: it and all messages about it are gone long
-/// before.
-const LEAVING_LIFE: Duration = Duration::from_secs(600);
-/// Periods between two attempts to reach an unreachable member.
-const UNREACHABLE_PACE: u64 = 4;
-
-/// What one daemon believes of the fleet.
+/// Number of partners that a daemon exchanges messages with in each heartbeat period. The second
+/// number applies for a short time after an exchange has failed.
+const PARTNERS_PER_PERIOD: (usize, usize) = (1, 2);
+/// Time after a failed exchange for which each period has the higher number of partners.
+const EXTRA_PARTNERS_TIME: Duration = Duration::from_millis(2_500);
+/// Number of messages in which a daemon repeats an update, per bit of the fleet size. The number of
+/// messages that gossip needs to reach all members grows with the logarithm of the fleet size.
+const SENDS_PER_SIZE_BIT: u32 = 3;
+/// Time after which an unreachable member is removed in a deployment without a VM list. A VM that
+/// was off for longer rejoins through the seed addresses.
+const UNREACHABLE_RETENTION: Duration = Duration::from_secs(30);
+/// Time for which a leaving upstream is remembered. The upstream has stopped, and the last message
+/// about it has arrived, long before this time.
+const LEAVING_RETENTION: Duration = Duration::from_secs(600);
+/// Average number of an unreachable member's turns as a partner per exchange with it.
+const UNREACHABLE_TURNS_PER_EXCHANGE: u64 = 4;
+
+/// One daemon's view of the members of the fleet.
 ///
-/// No promise rests on two views being equal; addresses and the spread of news use them.
+/// Views of different daemons may differ, so correctness must not depend on them. They serve to
+/// choose addresses for callers and gossip partners.
 #[derive(Debug)]
 pub struct MemberView {
     pub(super) own: MemberRecord,
     pub(super) own_leaving: bool,
-    /// Whether this daemon asks its partners for all records that it lacks.
+    /// Whether messages request all member records that this daemon lacks.
     pub(super) asks_for_all: bool,
     pub(super) period: Duration,
     pub(super) suspicion: Duration,
     pub(super) peers: BTreeMap<String, PeerState>,
-    pub(super) leaving: BTreeMap<InstanceId, Gossip>,
-    pub(super) leaving_upstreams: HashMap<String, LeavingNews>,
-    pub(super) rounds: u64,
-    pub(super) order: Vec<String>,
+    pub(super) leaving: BTreeMap<InstanceId, RemainingSends>,
+    pub(super) leaving_upstreams: HashMap<String, LeavingNotice>,
+    pub(super) period_count: u64,
+    pub(super) partner_order: Vec<String>,
     pub(super) last_tick: Option<MonotonicTime>,
-    /// When a partner that was believed to live was last silent.
-    pub(super) last_silence: Option<MonotonicTime>,
+    /// Time of the last failed exchange with a member that was not suspected before.
+    pub(super) last_failure: Option<MonotonicTime>,
     pub(super) random: SmallRng,
 }
 
 #[derive(Debug)]
 pub(super) struct PeerState {
     pub(super) record: Option<MemberRecord>,
-    pub(super) since: MonotonicTime,
-    pub(super) heard: Option<MonotonicTime>,
-    /// Whether it was heard or failed to answer, at least once.
-    pub(super) asked: bool,
-    /// Whether another life of the VM speaks than the one of the record, with an older record.
-    pub(super) contested: bool,
-    pub(super) gossip: Gossip,
+    /// Time at which `record` or its status last changed.
+    pub(super) changed_at: MonotonicTime,
+    pub(super) last_heard: Option<MonotonicTime>,
+    /// Whether a message from the peer has arrived, or an exchange with it has failed, at least
+    /// once.
+    pub(super) is_contacted: bool,
+    /// Whether the last message of the peer came from another process on its VM than the one in
+    /// `record`, although `record` supersedes the record in that message.
+    pub(super) is_disputed: bool,
+    pub(super) remaining_sends: RemainingSends,
 }
 
-/// News of an upstream that leaves.
+/// Gossip state of an upstream that is leaving.
 #[derive(Debug)]
-pub(super) struct LeavingNews {
-    pub(super) life: String,
-    pub(super) since: MonotonicTime,
-    pub(super) gossip: Gossip,
+pub(super) struct LeavingNotice {
+    pub(super) process: String,
+    /// Time at which this daemon learned of it.
+    pub(super) learned_at: MonotonicTime,
+    pub(super) remaining_sends: RemainingSends,
 }
 
-/// How many more messages carry a piece of news.
+/// Number of further messages that will carry an update.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Gossip(pub(super) u32);
+pub(super) struct RemainingSends(pub(super) u32);
 
 /// Builds a [`MemberView`].
 #[derive(Debug)]
@@ -83,42 +90,43 @@
 }
 
 impl MemberViewBuilder {
-    /// Begins a view of `own`.
+    /// Starts a builder for the view of the daemon `own`, with a heartbeat period of 500 ms and a
+    /// suspicion timeout of 2 s.
     #[must_use]
     pub fn new(own: InstanceId) -> Self {
         let (period, suspicion) = (Duration::from_millis(500), Duration::from_secs(2));
         Self { own, place: None, period, suspicion, seed: 0 }
     }
 
-    /// Sets where this daemon is. Without a VM list, members tell each other where they are.
+    /// Sets the location of this daemon. Members exchange their locations if there is no VM list.
     #[must_use]
     pub fn place(mut self, place: MemberPlace) -> Self {
         self.place = Some(place);
         self
     }
 
-    /// Sets the pause between two heartbeats.
+    /// Sets the time between two heartbeats.
     #[must_use]
     pub fn period(mut self, period: Duration) -> Self {
         self.period = period;
         self
     }
 
-    /// Sets how long a suspected member may refute.
+    /// Sets the time after which a suspected member that does not refute becomes unreachable.
     #[must_use]
     pub fn suspicion(mut self, suspicion: Duration) -> Self {
         self.suspicion = suspicion;
         self
     }
 
-    /// Seeds the choice of partners.
+    /// Sets the seed of the random choice of partners and records.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Builds the view.
+    /// Builds a view in which this daemon is starting and knows no peers.
     #[must_use]
     pub fn build(self) -> MemberView {
         MemberView {
@@ -130,40 +138,41 @@
             peers: BTreeMap::new(),
             leaving: BTreeMap::new(),
             leaving_upstreams: HashMap::new(),
-            rounds: 0,
-            order: Vec::new(),
+            period_count: 0,
+            partner_order: Vec::new(),
             last_tick: None,
-            last_silence: None,
+            last_failure: None,
             random: SmallRng::seed_from_u64(self.seed),
         }
     }
 }
 
 impl MemberView {
-    /// The daemon that has this view.
+    /// Record of the daemon that owns this view.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Pause between two heartbeats.
+    /// Time between two heartbeats.
     #[must_use]
     pub fn period(&self) -> Duration {
         self.period
     }
 
-    /// Takes the VM list: the only source of newcomers.
+    /// Adds peers that are new in the VM list `roster`, and removes those that are no longer in it.
+    /// In a deployment with a VM list, gossip adds no peers.
     pub fn take_roster(&mut self, roster: &VmRoster, now: MonotonicTime) {
         let own = &self.own.instance.vm;
         self.peers.retain(|vm, _| roster.get(vm).is_some());
         for vm in roster.entries().filter(|vm| vm.name != *own && vm.peer.is_some()) {
-            self.peers.entry(vm.name.clone()).or_insert_with(|| PeerState::unknown(now));
+            self.peers.entry(vm.name.clone()).or_insert_with(|| PeerState::without_record(now));
         }
         self.leaving.retain(|instance, _| roster.get(&instance.vm).is_some());
-        self.order.clear();
+        self.partner_order.clear();
     }
 
-    /// Marks this daemon as able to serve callers.
+    /// Marks this daemon as able to serve callers, if it was starting.
     pub fn become_ready(&mut self) {
         if self.own.status == MemberStatus::Starting {
             self.own.status = MemberStatus::Alive;
@@ -171,7 +180,7 @@
         }
     }
 
-    /// Marks this daemon as leaving, for the rest of its life.
+    /// Marks this daemon as leaving, until its process ends.
     pub fn leave(&mut self) {
         self.own_leaving = true;
     }
@@ -182,88 +191,98 @@
         self.own_leaving
     }
 
-    /// Runs one period: returns the partners to exchange with.
+    /// Starts a heartbeat period: updates expired suspicions and returns the partners for this
+    /// period.
     ///
-    /// After a pause of this process the silence of others proves nothing, so suspicions begin
-    /// again rather than end.
+    /// After a pause of this process, missing refutations prove nothing. The suspicion timeouts
+    /// then restart instead of expiring.
     ///
-    /// Guards against callers that are sent to ended daemons for long after many have ended at one time:
-    /// half of the partners are silent then, and news of the others spread at half the pace.
+    /// Guards against callers that are sent to crashed daemons long after many have crashed at
+    /// once: if half of the partners don't reply, gossip spreads at half the speed. The number of
+    /// partners is therefore higher after a failed exchange.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<String> {
-        let paused = self.last_tick.is_some_and(|last| now.since(last) > self.period * 3);
+        let was_paused = self.last_tick.is_some_and(|last| now.since(last) > self.period * 3);
         self.last_tick = Some(now);
-        self.rounds += 1;
+        self.period_count += 1;
         for peer in self.peers.values_mut() {
-            peer.age(now, self.suspicion, paused);
+            peer.expire_suspicion(now, self.suspicion, was_paused);
         }
-        let alarmed = self.last_silence.is_some_and(|silence| now.since(silence) < ALARM);
-        self.choose_partners(if alarmed { PARTNERS.1 } else { PARTNERS.0 })
+        let has_recent_failure =
+            self.last_failure.is_some_and(|failure| now.since(failure) < EXTRA_PARTNERS_TIME);
+        self.choose_partners(if has_recent_failure {
+            PARTNERS_PER_PERIOD.1
+        } else {
+            PARTNERS_PER_PERIOD.0
+        })
     }
 
-    /// Chooses `count` random reachable partners, to spread news at once.
+    /// Chooses up to `count` random reachable peers, to spread an update without waiting for the
+    /// next period.
     pub fn random_partners(&mut self, count: usize) -> Vec<String> {
         let reachable: Vec<&String> =
             self.peers.iter().filter(|(_, peer)| peer.is_reachable()).map(|(vm, _)| vm).collect();
         reachable.choose_multiple(&mut self.random, count).map(|vm| (*vm).clone()).collect()
     }
 
-    /// Takes a partner's half. Returns upstreams that are newly known to leave.
+    /// Merges a message of a peer into the view. Returns the leaving upstreams that were not known
+    /// before.
     pub fn take_message(
         &mut self,
         message: &ExchangeMessage,
         now: MonotonicTime,
     ) -> Vec<LeavingUpstream> {
-        self.take_record(&message.sender, now);
+        self.merge_record(&message.sender, now);
         if let Some(peer) = self.peers.get_mut(&message.sender.instance.vm) {
-            peer.heard = Some(now);
-            peer.asked = true;
-            let believed = peer.record.as_ref().map(|record| &record.instance);
-            peer.contested = believed.is_some_and(|life| *life != message.sender.instance);
+            peer.last_heard = Some(now);
+            peer.is_contacted = true;
+            let known_instance = peer.record.as_ref().map(|record| &record.instance);
+            peer.is_disputed =
+                known_instance.is_some_and(|instance| *instance != message.sender.instance);
         }
         for record in &message.records {
-            self.take_record(record, now);
+            self.merge_record(record, now);
         }
         if message.sender_leaving {
-            self.take_leaving(&message.sender.instance);
+            self.add_leaving_member(&message.sender.instance);
         }
         for instance in &message.leaving {
-            self.take_leaving(instance);
+            self.add_leaving_member(instance);
         }
-        let news = message.leaving_upstreams.iter();
-        news.filter(|each| self.take_leaving_upstream(each, now)).cloned().collect()
+        let notices = message.leaving_upstreams.iter();
+        notices.filter(|upstream| self.take_leaving_upstream(upstream, now)).cloned().collect()
     }
 
-    /// Takes the news that an exchange with `vm` failed.
+    /// Handles a failed exchange with `vm`: the member becomes suspected, unless it already was.
     pub fn exchange_failed(&mut self, vm: &str, now: MonotonicTime) {
-        let spread = self.spread();
+        let sends = self.initial_sends();
         let Some(peer) = self.peers.get_mut(vm) else { return };
-        peer.asked = true;
+        peer.is_contacted = true;
         match &mut peer.record {
-            Some(record) if !record.is_doubt() => {
+            Some(record) if !record.is_failure_report() => {
                 record.status = MemberStatus::Suspect;
-                peer.since = now;
-                peer.gossip = spread;
-                self.last_silence = Some(now);
+                peer.changed_at = now;
+                peer.remaining_sends = sends;
+                self.last_failure = Some(now);
             }
             _ => {}
         }
     }
 
-    /// Takes the news that an upstream is leaving; returns whether it was new.
+    /// Records that an upstream is leaving. Returns whether this was not known before.
     pub fn take_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
         let known = self.leaving_upstreams.get(&leaving.upstream);
-        if known.is_some_and(|news| news.life == leaving.life) {
+        if known.is_some_and(|notice| notice.process == leaving.life) {
             return false;
         }
-        // Published upstreams have another name in each life, so that names add up.
-        self.leaving_upstreams.retain(|_, news| now.since(news.since) < LEAVING_LIFE);
-        let (life, gossip) = (leaving.life.clone(), self.spread());
-        let news = LeavingNews { life, since: now, gossip };
-        self.leaving_upstreams.insert(leaving.upstream.clone(), news);
+        // Each process of a published upstream has its own name, so the map would grow forever.
+        self.leaving_upstreams.retain(|_, notice| now.since(notice.learned_at) < LEAVING_RETENTION);
+        let (process, remaining_sends) = (leaving.life.clone(), self.initial_sends());
+        let notice = LeavingNotice { process, learned_at: now, remaining_sends };
+        self.leaving_upstreams.insert(leaving.upstream.clone(), notice);
         true
     }
 
-    /// Whether `vm` is known to drain in its current life.
+    /// Whether the current process on `vm` is known to be draining.
     #[must_use]
     pub fn is_leaving(&self, vm: &str) -> bool {
         if vm == self.own.instance.vm {
@@ -273,7 +292,7 @@
         instance.is_some_and(|record| self.leaving.contains_key(&record.instance))
     }
 
-    /// Status of `vm`; a VM never heard of has none.
+    /// Status of the daemon on `vm`, or `None` if no record about it has arrived.
     #[must_use]
     pub fn status(&self, vm: &str) -> Option<MemberStatus> {
         if vm == self.own.instance.vm {
@@ -282,7 +301,7 @@
         self.peers.get(vm)?.record.as_ref().map(|record| record.status)
     }
 
-    /// What `vm` can carry, if it told.
+    /// Capacity of `vm`, or `None` if the daemon on it has not announced one.
     #[must_use]
     pub fn capacity(&self, vm: &str) -> Option<MemberCapacity> {
         let own = (vm == self.own.instance.vm).then_some(&self.own);
@@ -290,21 +309,22 @@
         record.place.as_ref().map(|place| place.capacity)
     }
 
-    /// Records of all peers that were ever heard of.
+    /// Records of all peers for which a record has arrived.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.peers.values().filter_map(|peer| peer.record.as_ref())
     }
 
-    /// Number of peers in the VM list.
+    /// Number of peers, including those for which no record has arrived.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Members that told where they are, this daemon among them, as a VM list would show them.
+    /// Members that have announced their location, including this daemon, in the format of a VM
+    /// list and sorted by name.
     #[must_use]
     pub fn places(&self) -> Vec<VmEntry> {
-        let told = |record: &MemberRecord| {
+        let to_entry = |record: &MemberRecord| {
             let place = record.place.as_ref()?;
             Some(VmEntry {
                 name: record.instance.vm.clone(),
@@ -316,96 +336,103 @@
                 operator: None,
             })
         };
-        let mut places: Vec<VmEntry> = self.records().chain([&self.own]).filter_map(told).collect();
+        let mut places: Vec<VmEntry> =
+            self.records().chain([&self.own]).filter_map(to_entry).collect();
         places.sort_by(|left, right| left.name.cmp(&right.name));
         places
     }
 
-    /// Forgets members that have been unreachable for long, if no VM list names them.
+    /// Removes members that have been unreachable for more than 30 s. Does nothing in a deployment
+    /// with a VM list.
     pub fn forget_lost(&mut self, now: MonotonicTime) {
         if self.own.place.is_none() {
             return;
         }
-        let lost = |peer: &PeerState| {
-            let unreachable = peer.record.as_ref().map(|record| record.status);
-            unreachable == Some(MemberStatus::Unreachable) && now.since(peer.since) > FORGET_AFTER
+        let is_lost = |peer: &PeerState| {
+            let status = peer.record.as_ref().map(|record| record.status);
+            status == Some(MemberStatus::Unreachable)
+                && now.since(peer.changed_at) > UNREACHABLE_RETENTION
         };
-        self.peers.retain(|_, peer| !lost(peer));
+        self.peers.retain(|_, peer| !is_lost(peer));
     }
 
-    /// Number of peers that are believed to live.
+    /// Number of peers with the status [`MemberStatus::Alive`].
     #[must_use]
     pub fn alive_count(&self) -> usize {
         let alive = |record: &&MemberRecord| record.status == MemberStatus::Alive;
         self.records().filter(alive).count()
     }
 
-    /// Whether any peer was heard since `since`.
+    /// Whether a message from any peer has arrived at or after `since`.
     #[must_use]
     pub fn heard_since(&self, since: MonotonicTime) -> bool {
-        self.peers.values().any(|peer| peer.heard.is_some_and(|heard| heard >= since))
+        self.peers
+            .values()
+            .any(|peer| peer.last_heard.is_some_and(|last_heard| last_heard >= since))
     }
 
-    /// Whether every peer has answered, or failed to, at least once, or `enough` of them have
-    /// answered.
+    /// Whether messages from at least `enough` peers have arrived, or every peer has sent a message
+    /// or failed to reply at least once.
     #[must_use]
     pub fn has_asked(&self, enough: usize) -> bool {
-        let heard = self.peers.values().filter(|peer| peer.heard.is_some()).count();
-        heard >= enough || self.peers.values().all(|peer| peer.asked)
+        let heard_count = self.peers.values().filter(|peer| peer.last_heard.is_some()).count();
+        heard_count >= enough || self.peers.values().all(|peer| peer.is_contacted)
     }
 
-    fn take_record(&mut self, record: &MemberRecord, now: MonotonicTime) {
+    fn merge_record(&mut self, record: &MemberRecord, now: MonotonicTime) {
         if record.instance.vm == self.own.instance.vm {
             self.refute(record);
             return;
         }
-        let spread = self.spread();
-        let newcomer = self.own.place.is_some() && record.place.is_some();
-        let forgotten = record.status == MemberStatus::Unreachable;
-        if newcomer && !forgotten && !self.peers.contains_key(&record.instance.vm) {
-            self.peers.insert(record.instance.vm.clone(), PeerState::unknown(now));
-            self.order.clear();
+        let sends = self.initial_sends();
+        let is_new = self.own.place.is_some() && record.place.is_some();
+        let is_unreachable = record.status == MemberStatus::Unreachable;
+        if is_new && !is_unreachable && !self.peers.contains_key(&record.instance.vm) {
+            self.peers.insert(record.instance.vm.clone(), PeerState::without_record(now));
+            self.partner_order.clear();
         }
         let Some(peer) = self.peers.get_mut(&record.instance.vm) else { return };
         if peer.record.as_ref().is_none_or(|known| record.is_newer_than(known)) {
             peer.record = Some(record.clone());
-            peer.since = now;
-            peer.gossip = spread;
+            peer.changed_at = now;
+            peer.remaining_sends = sends;
         }
     }
 
-    /// Guards against being left out while alive. A paused daemon shows as unreachable to its
-    /// peers; a higher refutation goes before any suspicion of this life. One that started after
-    /// the time of day jumped back shows as its own earlier life, which may have been lost or have
-    /// drained; a higher generation goes before all that is said of that life.
+    /// Guards against the exclusion of this daemon while it is alive. Peers consider a paused
+    /// daemon unreachable; a higher refutation counter supersedes any suspicion of this process. If
+    /// the wall clock was set back before this process started, peers take the previous process on
+    /// this VM for the current one, which may have crashed or drained; a higher generation
+    /// supersedes all records about the previous process.
     fn refute(&mut self, record: &MemberRecord) {
         if record.instance != self.own.instance {
             if record.generation >= self.own.generation {
                 self.own.generation = record.generation + 1;
             }
-        } else if record.is_doubt() {
+        } else if record.is_failure_report() {
             self.own.refutation = self.own.refutation.max(record.refutation + 1);
         }
     }
 
-    fn take_leaving(&mut self, instance: &InstanceId) {
+    fn add_leaving_member(&mut self, instance: &InstanceId) {
         if *instance != self.own.instance && !self.leaving.contains_key(instance) {
-            let spread = self.spread();
-            self.leaving.insert(instance.clone(), spread);
+            let sends = self.initial_sends();
+            self.leaving.insert(instance.clone(), sends);
         }
     }
 
     fn choose_partners(&mut self, count: usize) -> Vec<String> {
         let mut partners = Vec::new();
         while partners.len() < count.min(self.peers.len()) {
-            if self.order.is_empty() {
-                self.order = self.peers.keys().cloned().collect();
-                self.order.shuffle(&mut self.random);
+            if self.partner_order.is_empty() {
+                self.partner_order = self.peers.keys().cloned().collect();
+                self.partner_order.shuffle(&mut self.random);
             }
-            let Some(vm) = self.order.pop() else { break };
-            let unreachable = self.status(&vm) == Some(MemberStatus::Unreachable);
-            let skipped = unreachable && !self.random.random_ratio(1, UNREACHABLE_PACE as u32);
-            if partners.contains(&vm) || (skipped && !self.order.is_empty()) {
+            let Some(vm) = self.partner_order.pop() else { break };
+            let is_unreachable = self.status(&vm) == Some(MemberStatus::Unreachable);
+            let is_skipped = is_unreachable
+                && !self.random.random_ratio(1, UNREACHABLE_TURNS_PER_EXCHANGE as u32);
+            if partners.contains(&vm) || (is_skipped && !self.partner_order.is_empty()) {
                 continue;
             }
             partners.push(vm);
@@ -413,21 +440,21 @@
         partners
     }
 
-    fn spread(&self) -> Gossip {
+    fn initial_sends(&self) -> RemainingSends {
         let size = u32::try_from(self.peers.len() + 2).unwrap_or(u32::MAX);
-        Gossip(SPREAD_FACTOR * (size.ilog2() + 1))
+        RemainingSends(SENDS_PER_SIZE_BIT * (size.ilog2() + 1))
     }
 }
 
 impl PeerState {
-    fn unknown(now: MonotonicTime) -> Self {
+    fn without_record(now: MonotonicTime) -> Self {
         Self {
             record: None,
-            since: now,
-            heard: None,
-            asked: false,
-            contested: false,
-            gossip: Gossip(0),
+            changed_at: now,
+            last_heard: None,
+            is_contacted: false,
+            is_disputed: false,
+            remaining_sends: RemainingSends(0),
         }
     }
 
@@ -435,24 +462,24 @@
         self.record.as_ref().is_none_or(|record| record.status != MemberStatus::Unreachable)
     }
 
-    fn age(&mut self, now: MonotonicTime, suspicion: Duration, paused: bool) {
+    fn expire_suspicion(&mut self, now: MonotonicTime, suspicion: Duration, was_paused: bool) {
         let Some(record) = &mut self.record else { return };
         if record.status != MemberStatus::Suspect {
             return;
         }
-        if paused {
-            self.since = now;
-        } else if now.since(self.since) >= suspicion {
+        if was_paused {
+            self.changed_at = now;
+        } else if now.since(self.changed_at) >= suspicion {
             record.status = MemberStatus::Unreachable;
-            self.since = now;
+            self.changed_at = now;
         }
     }
 }
 
-impl Gossip {
-    pub(super) fn spend(&mut self) -> bool {
-        let left = self.0 > 0;
+impl RemainingSends {
+    pub(super) fn use_send(&mut self) -> bool {
+        let has_send = self.0 > 0;
         self.0 = self.0.saturating_sub(1);
-        left
+        has_send
     }
 }
--- a/crates/crocusdale_core/src/membership/mod.rs
+++ b/crates/crocusdale_core/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! The VM list, heartbeats between daemons, addresses for callers, witnesses of a key.
+//! Membership of the fleet: the VM list, heartbeats and gossip between daemons, the order of the
+//! addresses that callers get, and the choice of the witnesses of a request key.
 
 mod address_order;
 mod exchange_message;
--- a/crates/crocusdale_core/src/membership/roster_history.rs
+++ b/crates/crocusdale_core/src/membership/roster_history.rs
@@ -5,11 +5,11 @@
 use super::{VmRoster, WitnessSet};
 use crate::identity::{MonotonicTime, RequestKey};
 
-/// The VM lists that were in use during the last life of a key.
+/// VM lists that were in use within the last key lifetime.
 ///
-/// Guards against a witness that became one only now: it can't know what the VM that it replaced
-/// promised, and would let a second daemon run the key. It holds because such a witness abstains
-/// until every key that its predecessor could have known has been forgotten.
+/// Guards against a second run of a key after the set of its witnesses has changed. A new witness
+/// doesn't know the claims that its predecessor has granted, and might grant another one. A new
+/// witness therefore abstains until all keys that its predecessor could have known have expired.
 #[derive(Clone, Debug)]
 pub struct RosterHistory {
     started: MonotonicTime,
@@ -17,21 +17,21 @@
 }
 
 impl RosterHistory {
-    /// Begins at the start of the process, with an empty list.
+    /// Creates the history of a process that started at `started`, with an empty VM list.
     #[must_use]
     pub fn new(started: MonotonicTime) -> Self {
         Self { started, lists: VecDeque::from([(started, Arc::default())]) }
     }
 
-    /// The list in use now.
+    /// VM list in use.
     #[must_use]
     pub fn current(&self) -> &Arc<VmRoster> {
-        &self.lists.back().expect("a history is never empty").1
+        &self.lists.back().expect("a VM list history contains at least one list").1
     }
 
-    /// Takes `roster` into use unless it is older than the current one.
-    ///
-    /// Returns whether it was taken.
+    /// Replaces the current VM list by `roster` unless `roster` is older or equal, and removes
+    /// lists that went out of use more than `key_life` ago. Returns whether the current list was
+    /// replaced.
     pub fn take(&mut self, roster: VmRoster, now: MonotonicTime, key_life: Duration) -> bool {
         let current = self.current();
         if roster.revision < current.revision || roster == **current {
@@ -44,7 +44,10 @@
         true
     }
 
-    /// Time until `vm` may vote on `key`; `None` if it may vote now.
+    /// Time for which `vm` must still abstain from votes on `key`, or `None` if it may vote.
+    ///
+    /// It abstains until its process, and its role as a witness of `key`, are both older than the
+    /// key lifetime `key_life`.
     #[must_use]
     pub fn abstention(
         &self,
@@ -53,15 +56,15 @@
         now: MonotonicTime,
         key_life: Duration,
     ) -> Option<Duration> {
-        let youth = key_life.saturating_sub(now.since(self.started));
-        let mut wait = youth;
+        let startup_wait = key_life.saturating_sub(now.since(self.started));
+        let mut wait = startup_wait;
         for (index, (_, roster)) in self.lists.iter().enumerate().rev() {
             let ended = self.lists.get(index + 1).map(|(since, _)| *since);
-            let recent = ended.is_none_or(|ended| now.since(ended) <= key_life);
-            if recent && !WitnessSet::choose(key, roster).contains(vm) {
-                let left =
+            let is_recent = ended.is_none_or(|ended| now.since(ended) <= key_life);
+            if is_recent && !WitnessSet::choose(key, roster).contains(vm) {
+                let remaining =
                     ended.map_or(key_life, |ended| key_life.saturating_sub(now.since(ended)));
-                wait = wait.max(left);
+                wait = wait.max(remaining);
                 break;
             }
         }
--- a/crates/crocusdale_core/src/membership/vm_roster.rs
+++ b/crates/crocusdale_core/src/membership/vm_roster.rs
@@ -2,76 +2,77 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a VM is for.
+/// Role of a VM in the deployment.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum VmRole {
-    /// Runs a daemon of the system.
+    /// The VM runs a daemon.
     Entry,
-    /// Runs upstreams.
+    /// The VM runs upstreams.
     Upstream,
 }
 
-/// Whether a VM stays.
+/// State of a VM in the VM list.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum VmState {
-    /// In use.
+    /// The VM is in use.
     Live,
-    /// Going away.
+    /// The platform is going to remove the VM.
     Leaving,
 }
 
-/// One line of the VM list.
+/// Entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Name of the VM.
+    /// Unique name of the VM.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the VM.
     pub zone: String,
-    /// What it is for.
+    /// Role of the VM.
     pub role: VmRole,
-    /// Whether it stays.
+    /// Whether the VM is in use or about to be removed.
     pub state: VmState,
-    /// Where its daemon listens for other daemons.
+    /// Address on which the daemon of the VM accepts other daemons. `None` if it runs no daemon.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<SocketAddr>,
-    /// Where its daemon listens for callers.
+    /// Address on which the daemon of the VM accepts callers. `None` if it runs no daemon.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller: Option<SocketAddr>,
-    /// Where its daemon listens for operators.
+    /// Address on which the daemon of the VM accepts operators. `None` if it is unknown or the VM
+    /// runs no daemon.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator: Option<SocketAddr>,
 }
 
-/// The platform's list of VMs, as it was last read. It lags.
+/// The platform's list of VMs, as of the last read. It may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRoster {
-    /// Grows with each change of the list.
+    /// Revision of the list, which the platform increases with each change.
     pub revision: u64,
-    /// The VMs.
+    /// All VMs of the deployment, with and without daemons.
     pub vms: Vec<VmEntry>,
 }
 
 impl VmRoster {
-    /// VMs that run daemons.
+    /// Entries of the VMs that run daemons.
     pub fn entries(&self) -> impl Iterator<Item = &VmEntry> {
         self.vms.iter().filter(|vm| vm.role == VmRole::Entry)
     }
 
-    /// The VM `name`.
+    /// Entry of the VM `name`, or `None` if it is not in the list.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&VmEntry> {
         self.vms.iter().find(|vm| vm.name == name)
     }
 
-    /// Whether the list says that `name` is going away.
+    /// Whether the VM `name` has the state [`VmState::Leaving`]. `false` if it is not in the list.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
         self.get(name).is_some_and(|vm| vm.state == VmState::Leaving)
--- a/crates/crocusdale_core/src/membership/witness_set.rs
+++ b/crates/crocusdale_core/src/membership/witness_set.rs
@@ -1,21 +1,22 @@
 use super::{VmRoster, VmState};
 use crate::identity::{RequestKey, stable_hash};
 
-/// Witnesses that a key has.
+/// Number of witnesses of each request key.
 pub const WITNESS_COUNT: usize = 3;
-/// Witnesses that must agree.
+/// Number of witnesses that must agree on a claim.
 pub const WITNESS_QUORUM: usize = 2;
 
-/// The VMs that keep the register of one key.
+/// VMs whose daemons keep the register of one request key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WitnessSet {
     vms: Vec<String>,
 }
 
 impl WitnessSet {
-    /// Chooses the witnesses of `key` by rendezvous hashing, one a zone while zones last.
+    /// Chooses the witnesses of `key` by rendezvous hashing, in different availability zones as far
+    /// as there are enough.
     ///
-    /// A change of one VM in the list changes at most one witness of any key.
+    /// Adding or removing one VM changes at most one witness of each key.
     #[must_use]
     pub fn choose(key: &RequestKey, roster: &VmRoster) -> Self {
         let mut ranked: Vec<(u64, &str, &str)> = roster
@@ -31,42 +32,44 @@
             .collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
         let mut zones: Vec<&str> = Vec::with_capacity(WITNESS_COUNT);
-        let (mut first, mut rest) = (Vec::new(), Vec::new());
+        let (mut one_per_zone, mut others) = (Vec::new(), Vec::new());
         for (_, zone, name) in ranked {
             if zones.contains(&zone) {
-                rest.push(name);
+                others.push(name);
             } else {
                 zones.push(zone);
-                first.push(name);
+                one_per_zone.push(name);
             }
         }
-        let vms = first.into_iter().chain(rest).take(WITNESS_COUNT).map(str::to_owned).collect();
+        let vms =
+            one_per_zone.into_iter().chain(others).take(WITNESS_COUNT).map(str::to_owned).collect();
         Self { vms }
     }
 
-    /// Names the witnesses that a peer sees.
+    /// Set of witnesses that a peer has chosen from its own VM list.
     #[must_use]
     pub fn from_names(vms: Vec<String>) -> Self {
         Self { vms }
     }
 
-    /// The witnesses, best first.
+    /// Names of the VMs, highest rank first.
     #[must_use]
     pub fn vms(&self) -> &[String] {
         &self.vms
     }
 
-    /// Whether `vm` is among the witnesses.
+    /// Whether the VM `vm` is one of the witnesses.
     #[must_use]
     pub fn contains(&self, vm: &str) -> bool {
-        self.vms.iter().any(|each| each == vm)
+        self.vms.iter().any(|witness| witness == vm)
     }
 
-    /// Whether two views of the witnesses have a quorum in common.
+    /// Whether both sets share at least a quorum of witnesses.
     ///
-    /// Guards against VM lists that differ: two daemons could then each gather a quorum that the
-    /// other never meets, which shows as a doubled run. Sets that differ by one witness share two,
-    /// and any two quorums of which one holds a shared witness meet there.
+    /// Guards against a duplicate run of a key when daemons have different VM lists: each of them
+    /// could win a quorum of witnesses that the other one never asks. Sets that differ in one
+    /// witness share the other two, and two quorums that contain the same shared witness can't both
+    /// grant a claim.
     #[must_use]
     pub fn agrees_with(&self, other: &Self) -> bool {
         self.vms.iter().filter(|vm| other.contains(vm)).count() >= WITNESS_QUORUM
