--- a/crates/crocusdale_core/src/configuration/caller_limits.rs
+++ b/crates/crocusdale_core/src/configuration/caller_limits.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-/// What callers may send and how long they may take, as the operator declares it. A process that is
-/// set to take more goes on taking it.
+/// Limits on request size and time that the operator declares for callers. A process whose
+/// own settings allow more keeps its higher limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a head to arrive.
+    /// Time within which a request head must arrive.
     pub head_time: Duration,
-    /// Time for which a caller may leave a connection idle and use it again.
+    /// Time for which a caller may leave a connection idle before it reuses it.
     pub idle_time: Duration,
 }
--- a/crates/crocusdale_core/src/configuration/configuration_error.rs
+++ b/crates/crocusdale_core/src/configuration/configuration_error.rs
@@ -2,49 +2,49 @@
 
 use serde::Serialize;
 
-/// What is wrong with a value.
+/// Kind of a [`ConfigurationError`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationErrorKind {
-    /// The text is not INI.
+    /// The text is not valid INI.
     Syntax,
-    /// The text is larger than what is read.
+    /// The text exceeds the maximum size.
     TooLarge,
-    /// The section does not exist.
+    /// The section is not defined by the schema.
     UnknownSection,
-    /// The section may stand once only, or its name is taken.
+    /// The section occurs twice, or conflicts with another section.
     RepeatedSection,
-    /// A section that must stand is missing.
+    /// A required section is missing.
     MissingSection,
-    /// The header lacks a name or has one that it must not have.
+    /// The name in the section header is missing, invalid or not allowed for this section.
     BadSectionName,
-    /// The key does not exist in that section.
+    /// The schema defines no such key for the section.
     UnknownKey,
-    /// The key stands twice in one section.
+    /// The key occurs twice in the section.
     RepeatedKey,
-    /// A key that must stand is missing.
+    /// A required key is missing.
     MissingKey,
-    /// The value does not have the accepted form.
+    /// The value does not have the accepted format, or is out of range.
     BadValue,
-    /// The value names something that is not declared.
+    /// The value refers to a stage or an upstream that is not declared.
     DanglingName,
 }
 
-/// One error in settings or declarations.
+/// Error in the text of settings or declarations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigurationError {
-    /// What is wrong.
+    /// Kind of the error.
     pub kind: ConfigurationErrorKind,
-    /// File or source of the text.
+    /// Path of the file that contains the text, or another name of its source.
     pub file: String,
-    /// Header of the section, empty if none is concerned.
+    /// Header of the section. Empty if the error concerns the whole text.
     pub section: String,
-    /// Key, empty if none is concerned.
+    /// Key in the section. Empty if the error concerns the whole section.
     pub key: String,
-    /// What was found.
+    /// Invalid value, or another excerpt of the text. Empty if something is missing.
     pub found: String,
-    /// What is accepted there.
+    /// Description of the accepted values.
     pub accepted: String,
 }
 
--- a/crates/crocusdale_core/src/configuration/configuration_ledger.rs
+++ b/crates/crocusdale_core/src/configuration/configuration_ledger.rs
@@ -3,44 +3,46 @@
 use super::{ConfigurationError, Declarations};
 use crate::identity::stable_hash;
 
-/// Reads a text, whose source the first argument names, into declarations; the same text must give
-/// the same verdict in every process.
+/// Function that parses the text of a configuration, its second argument, into declarations. The
+/// first argument names the source of the text for error messages. The result must depend on the
+/// text alone, so that all daemons accept or reject the same revisions.
 pub type DeclarationReader = fn(&str, &str) -> Result<Declarations, Vec<ConfigurationError>>;
 
-/// The configuration that a daemon acts on.
+/// Configuration in force at a daemon.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// Revision that the configuration service gave it.
+    /// Revision number that the configuration service assigned. At least 1.
     pub revision: u64,
-    /// Digest of the text.
+    /// Hash of the text, equal in all daemons.
     pub digest: u64,
-    /// Whole text.
+    /// Complete text.
     pub text: Arc<str>,
-    /// The text, read.
+    /// Declarations parsed from the text.
     pub declarations: Arc<Declarations>,
 }
 
-/// What became of an offered revision.
+/// Result of [`ConfigurationLedger::offer`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerVerdict {
-    /// It is in force now.
+    /// The offered revision is now in force.
     Accepted,
-    /// It was in force already.
+    /// The offered revision was already in force.
     AlreadyInForce,
-    /// It is older than what is in force, and was ignored.
+    /// The offered revision is older than the one in force, or is 0. It was ignored.
     Older,
-    /// It is wrong; what was in force stays.
+    /// The offered text has these errors. The previous configuration stays in force.
     Rejected(Vec<ConfigurationError>),
-    /// It was judged before, and rejected.
+    /// The same revision with the same text was rejected earlier.
     RejectedBefore,
-    /// Another text has the same revision; the one with the higher digest is in force now.
+    /// The revision in force has the same number but another text. The text with the higher digest
+    /// is now in force.
     Conflict,
 }
 
-/// Keeps the highest accepted revision, and never goes back.
+/// Keeps the highest accepted configuration revision in force.
 ///
-/// Guards against a stale or restarted configuration service, which shows as an older revision
-/// after a newer one: only a higher revision replaces what is in force.
+/// Guards against a rollback by a stale or restarted configuration service, which may offer an
+/// older revision after a newer one. Only a higher revision replaces the configuration in force.
 #[derive(Debug)]
 pub struct ConfigurationLedger {
     reader: DeclarationReader,
@@ -63,44 +65,48 @@
 }
 
 impl ConfigurationLedger {
-    /// A ledger of texts that `reader` can read.
+    /// Creates a ledger without a configuration in force, which parses texts with `reader`.
     #[must_use]
     pub fn new(reader: DeclarationReader) -> Self {
         Self { reader, in_force: None, rejected: None, conflicts: 0 }
     }
 
-    /// Returns what is in force, if anything was ever accepted.
+    /// Configuration in force, or `None` if no revision has been accepted yet.
     #[must_use]
     pub fn in_force(&self) -> Option<&InForce> {
         self.in_force.as_ref()
     }
 
-    /// Returns the newest rejected revision with its errors, if it is newer than what is in force.
+    /// Latest rejected revision and its errors, or `None` if a revision at least as high has been
+    /// accepted since.
     #[must_use]
     pub fn rejected(&self) -> Option<(u64, &[ConfigurationError])> {
         self.rejected.as_ref().map(|rejected| (rejected.revision, rejected.errors.as_slice()))
     }
 
-    /// Number of times that two texts had the same revision.
+    /// Number of offers whose text differed from the one in force under the same revision number.
     #[must_use]
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    /// Revision in force and its digest, zeros for none.
+    /// Revision in force and the digest of its text. Both are 0 if no configuration is in force.
     #[must_use]
     pub fn position(&self) -> (u64, u64) {
         self.in_force.as_ref().map_or((0, 0), |in_force| (in_force.revision, in_force.digest))
     }
 
-    /// Whether a peer at `revision` and `digest` has something that this ledger lacks.
+    /// Whether to fetch the configuration of a peer, which has `revision` with the text digest
+    /// `digest` in force: it would replace the configuration in force, and it isn't the latest
+    /// rejected one.
     #[must_use]
     pub fn wants(&self, revision: u64, digest: u64) -> bool {
-        let judged = self.rejected.as_ref().map(|rejected| (rejected.revision, rejected.digest));
-        (revision, digest) > self.position() && judged != Some((revision, digest))
+        let last_rejected =
+            self.rejected.as_ref().map(|rejected| (rejected.revision, rejected.digest));
+        (revision, digest) > self.position() && last_rejected != Some((revision, digest))
     }
 
-    /// Takes `text` as `revision` if it is right and newer than what is in force.
+    /// Puts `text` in force as `revision` if it is valid and supersedes the configuration in force.
     pub fn offer(&mut self, revision: u64, text: &str) -> LedgerVerdict {
         let digest = stable_hash(&[text]);
         let (current, current_digest) = self.position();
@@ -110,11 +116,12 @@
         if (revision, digest) == (current, current_digest) {
             return LedgerVerdict::AlreadyInForce;
         }
-        let conflict = revision == current;
-        if conflict {
+        let is_conflict = revision == current;
+        if is_conflict {
             self.conflicts += 1;
-            // Two texts under one revision: every daemon must keep the same one without asking
-            // anyone, or halves of the fleet would act on different declarations for good.
+            // Two texts have the same revision number. All daemons must choose the same one without
+            // coordination. Otherwise parts of the fleet would keep different declarations until
+            // the next revision.
             if digest < current_digest {
                 return LedgerVerdict::Conflict;
             }
@@ -122,19 +129,19 @@
         if self
             .rejected
             .as_ref()
-            .is_some_and(|each| (each.revision, each.digest) == (revision, digest))
+            .is_some_and(|rejected| (rejected.revision, rejected.digest) == (revision, digest))
         {
             return LedgerVerdict::RejectedBefore;
         }
         match (self.reader)(&format!("revision {revision}"), text) {
             Ok(declarations) => {
-                self.take(InForce {
+                self.put_in_force(InForce {
                     revision,
                     digest,
                     text: text.into(),
                     declarations: Arc::new(declarations),
                 });
-                if conflict { LedgerVerdict::Conflict } else { LedgerVerdict::Accepted }
+                if is_conflict { LedgerVerdict::Conflict } else { LedgerVerdict::Accepted }
             }
             Err(errors) => {
                 self.rejected = Some(RejectedRevision { revision, digest, errors: errors.clone() });
@@ -143,7 +150,7 @@
         }
     }
 
-    fn take(&mut self, in_force: InForce) {
+    fn put_in_force(&mut self, in_force: InForce) {
         if self.rejected.as_ref().is_some_and(|rejected| rejected.revision <= in_force.revision) {
             self.rejected = None;
         }
--- a/crates/crocusdale_core/src/configuration/declarations.rs
+++ b/crates/crocusdale_core/src/configuration/declarations.rs
@@ -12,10 +12,10 @@
     LabelSelector, LabelSet, PoolKind, RouteTable, StagePlan,
 };
 
-/// Priority level of a request that no priority matches.
+/// Priority level of requests that match no `[priority]` section.
 const DEFAULT_LEVEL: u8 = 5;
 
-/// What operators declare, checked wholly.
+/// Validated declarations of the operators: the configuration of the whole deployment.
 #[derive(Clone, Debug)]
 pub struct Declarations {
     pub(super) deployment: DeploymentRules,
@@ -27,132 +27,139 @@
     pub(super) rules: Vec<RequestRule>,
     pub(super) placements: Vec<PlacementRules>,
     pub(super) routes: RouteTable,
-    /// Workspaces by the access keys of their callers.
+    /// Names of workspaces by the access keys of their callers.
     pub(super) access: HashMap<String, String>,
-    /// Whether callers need access keys, also while no key is left.
+    /// Whether callers need an access key. Stays `true` when no access key exists any more.
     pub(super) needs_access: bool,
     pub(super) caller_limits: Option<CallerLimits>,
 }
 
-/// What holds for the whole deployment.
+/// Configuration of the whole deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentRules {
     /// Name of the deployment.
     pub name: String,
-    /// How long a key of a not repeatable request is remembered.
+    /// Time for which the idempotency key of a request that must run at most once is remembered.
     pub key_life: Duration,
-    /// How long a caller may keep an address answer.
+    /// Time for which callers may cache a list of daemon addresses.
     pub address_hold: Duration,
-    /// Longest deadline that a request may ask for.
+    /// Maximum deadline of a request, as a time from its arrival.
     pub longest_deadline: Duration,
-    /// Weight of attainment against cost by stage.
+    /// Weight of meeting the latency objective against the cost of the stages.
     pub attainment_weight: f64,
-    /// How upstreams are chosen and failures met.
+    /// Policy for load balancing and failure handling.
     pub policy: RoutingPolicy,
 }
 
-/// How upstreams are chosen and failures met.
+/// Policy for load balancing and failure handling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum RoutingPolicy {
-    /// Learned times, ejection, limits, early refusals and a retry budget.
+    /// Load balancing by observed latency, outlier ejection, concurrency limits, load shedding and
+    /// a retry budget.
     #[default]
     Adaptive,
-    /// Round robin, no limits and three blind retries: what the adaptive policy is measured against.
+    /// Round robin without limits and with up to three unconditional retries. It is the baseline in
+    /// benchmarks of the adaptive policy.
     Baseline,
 }
 
-/// Kind of back end.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum UpstreamKind {
-    /// Generates tokens.
+    /// The upstream generates tokens with a model.
     ModelEngine,
-    /// Encodes, retrieves or reranks.
+    /// The upstream runs a stage of a pipeline, such as encoding, retrieval or reranking.
     StagePool,
-    /// Does work of the customer's, some of which may not be repeated.
+    /// The upstream is a customer's own service. Some of its requests must not be repeated.
     PlainService,
 }
 
-/// One back end.
+/// Configuration of one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamRules {
-    /// Name of the upstream.
+    /// Unique name of the upstream.
     pub name: String,
-    /// Identity that its process answers to; the name unless the platform publishes another.
+    /// Identifier that the process of the upstream expects in requests. Equal to `name` unless the
+    /// platform publishes another one.
     pub process: String,
-    /// VM on which it runs.
+    /// Name of the VM that runs the upstream.
     pub vm: String,
-    /// Availability zone.
+    /// Availability zone of the upstream.
     pub zone: String,
-    /// Kind of back end.
+    /// Kind of the upstream.
     pub kind: UpstreamKind,
-    /// Where it listens.
+    /// Address that accepts calls.
     pub address: SocketAddr,
-    /// Labels for selectors.
+    /// Labels that selectors are matched against.
     pub labels: LabelSet,
-    /// Calls that it takes at one time.
+    /// Maximum number of concurrent calls.
     pub concurrency: u32,
 }
 
-/// One customer's space.
+/// Configuration of one workspace, which holds the requests of one customer.
 #[derive(Clone, Debug)]
 pub struct WorkspaceRules {
-    /// Labels for selectors.
+    /// Labels that selectors are matched against.
     pub labels: LabelSet,
-    /// Requests that may run at one time in each daemon.
+    /// Maximum number of concurrent requests of the workspace in each daemon.
     pub concurrency: u32,
-    /// Priority level of its forwarded requests, which goes before that of the pipeline.
+    /// Priority level of forwarded requests, which overrides the level of the pipeline. `None` if
+    /// the level of the pipeline applies.
     pub level: Option<u8>,
-    /// Regions in which its forwarded requests may be worked on.
+    /// Regions in which forwarded requests may be processed.
     pub homes: HomeRegions,
 }
 
-/// One pipeline.
+/// Configuration of one pipeline.
 #[derive(Clone, Debug)]
 pub struct PipelineRules {
-    /// Name of the pipeline.
+    /// Unique name of the pipeline.
     pub name: String,
-    /// Requests that it serves.
+    /// Condition on the labels of the requests that the pipeline serves.
     pub when: LabelSelector,
-    /// Order of its stages.
+    /// Steps of the pipeline and their dependencies.
     pub plan: StagePlan,
-    /// Whether its requests may ever run twice.
+    /// Whether requests may run more than once.
     pub repeatable: bool,
-    /// What holds if the pipeline ends in a forwarded request.
+    /// Configuration of the last step if it forwards the request of the caller. `None` for
+    /// pipelines of JSON calls.
     pub forward: Option<ForwardRules>,
 }
 
-/// One stage.
+/// Configuration of one stage.
 #[derive(Clone, Debug)]
 pub struct StageRules {
-    /// Upstreams that serve it, as positions in [`Declarations::upstreams`].
+    /// Upstreams that serve the stage, as positions in [`Declarations::upstreams`].
     pub pool: Vec<usize>,
-    /// Path that is called on the upstream.
+    /// URL path of the calls to the upstreams.
     pub path: String,
-    /// Whether the upstream answers as a stream.
+    /// Whether the upstreams answer with a stream.
     pub stream: bool,
-    /// How long one attempt may be silent.
+    /// Maximum time for which an attempt may wait for data from the upstream.
     pub silence: Duration,
-    /// Cost of one second of an upstream's time.
+    /// Cost of one second of processing at an upstream, in any unit that all stages share.
     pub cost: f64,
-    /// How its upstreams take work.
+    /// Kind of calls that the upstreams accept.
     pub kind: PoolKind,
-    /// Connections that one upstream accepts, of all daemons together.
+    /// Maximum number of connections that one upstream accepts from all daemons together. `None`
+    /// for no limit.
     pub connections: Option<u32>,
-    /// How its upstreams start, if they are cold at first.
+    /// Cold start of the upstreams. `None` if they accept the full load at once.
     pub cold: Option<ColdRules>,
 }
 
 impl StageRules {
-    /// A stage whose upstreams are published, not declared, and that is no JSON call.
+    /// Creates a stage whose upstreams are published by the platform instead of declared, and which
+    /// is not a JSON call.
     #[must_use]
     pub fn published(kind: PoolKind, connections: Option<u32>) -> Self {
         Self {
             pool: Vec::new(),
             path: String::new(),
             stream: false,
-            // The silence of an upstream is no reason to end a forwarded request sooner.
+            // A forwarded request has no idle timeout of its own. Its deadline ends it.
             silence: Duration::MAX,
             cost: 0.0,
             kind,
@@ -161,7 +168,7 @@
         }
     }
 
-    /// Sets how its upstreams start.
+    /// Sets the cold start of the upstreams.
     #[must_use]
     pub fn cold(mut self, rules: Option<ColdRules>) -> Self {
         self.cold = rules;
@@ -169,43 +176,44 @@
     }
 }
 
-/// One priority.
+/// Priority level for requests with matching labels.
 #[derive(Clone, Debug)]
 pub struct PriorityRules {
-    /// Requests that have it.
+    /// Condition on the labels of the requests.
     pub when: LabelSelector,
-    /// Level, 0 is the most urgent.
+    /// Priority level, where 0 is the most urgent.
     pub level: u8,
 }
 
-/// One rule for matching requests.
+/// Limits for requests with matching labels.
 #[derive(Clone, Debug)]
 pub struct RequestRule {
-    /// Name of the rule.
+    /// Unique name of the rule.
     pub name: String,
-    /// Requests that it governs.
+    /// Condition on the labels of the requests that the rule applies to.
     pub when: LabelSelector,
-    /// Longest deadline.
+    /// Maximum deadline, as a time from the arrival of the request. `None` for no limit.
     pub deadline: Option<Duration>,
-    /// Requests that may run at one time in each daemon.
+    /// Maximum number of concurrent matching requests in each daemon. `None` for no limit.
     pub concurrency: Option<u32>,
 }
 
-/// What some engines must hold.
+/// Model that matching engines must load.
 #[derive(Clone, Debug)]
 pub struct PlacementRules {
-    /// Engines that it governs.
+    /// Condition on the labels of the engines.
     pub upstreams: LabelSelector,
-    /// What they must hold; its fencing number is that of the revision in force.
+    /// Order for the engines. Its fencing token is replaced by the configuration revision in force.
     pub order: EngineOrder,
 }
 
 impl Declarations {
-    /// Checks `text` wholly; the same text gives the same verdict in every process.
+    /// Parses and validates `text` completely. The result depends on the text alone, so that all
+    /// daemons accept or reject the same texts. `file` names the source in errors.
     ///
     /// # Errors
     ///
-    /// Returns every error found, each naming file, section, key and the accepted form.
+    /// Returns all errors, each with the file, the section, the key and the accepted values.
     pub fn check(file: &str, text: &str) -> Result<Self, Vec<ConfigurationError>> {
         let mut errors = ErrorCollector::new(file);
         let sections = read_sections(DECLARATIONS, text, &mut errors);
@@ -213,16 +221,17 @@
         let upstreams = read_upstreams(&sections, &mut errors);
         let stages = read_stages(&sections, &upstreams, &mut errors);
         let pipelines = read_pipelines(&sections, &stages, &mut errors);
-        let of = |word: &'static str| sections.iter().filter(move |each| each.spec.name == word);
+        let sections_of =
+            |kind: &'static str| sections.iter().filter(move |section| section.spec.name == kind);
         errors.finish(Self {
             deployment,
             upstreams,
-            workspaces: of("workspace").map(read_workspace).collect(),
+            workspaces: sections_of("workspace").map(read_workspace).collect(),
             pipelines,
             stages,
-            priorities: of("priority").map(read_priority).collect(),
-            rules: of("rule").map(read_rule).collect(),
-            placements: of("placement").map(read_placement).collect(),
+            priorities: sections_of("priority").map(read_priority).collect(),
+            rules: sections_of("rule").map(read_rule).collect(),
+            placements: sections_of("placement").map(read_placement).collect(),
             routes: RouteTable::default(),
             access: HashMap::new(),
             needs_access: false,
@@ -230,91 +239,91 @@
         })
     }
 
-    /// What holds for the whole deployment.
+    /// Configuration of the whole deployment.
     #[must_use]
     pub fn deployment(&self) -> &DeploymentRules {
         &self.deployment
     }
 
-    /// All upstreams in declared order.
+    /// All upstreams, in the order of their declaration.
     #[must_use]
     pub fn upstreams(&self) -> &[UpstreamRules] {
         &self.upstreams
     }
 
-    /// The workspace `name`.
+    /// Configuration of the workspace `name`, or `None` if it is not declared.
     #[must_use]
     pub fn workspace(&self, name: &str) -> Option<&WorkspaceRules> {
         self.workspaces.get(name)
     }
 
-    /// The pipeline that serves `path` of `host`.
+    /// Pipeline that serves `path` on `host`, or `None` if no route matches.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&PipelineRules> {
         self.routes.find(host, path).map(|position| &self.pipelines[position])
     }
 
-    /// Whether callers of forwarded requests need access keys.
+    /// Whether callers of forwarded requests need an access key.
     #[must_use]
     pub fn needs_access(&self) -> bool {
         self.needs_access
     }
 
-    /// What callers may send, if that is declared.
+    /// Declared limits for callers, or `None` if the process settings apply.
     #[must_use]
     pub fn caller_limits(&self) -> Option<CallerLimits> {
         self.caller_limits
     }
 
-    /// The workspace whose callers have the access key `key`.
+    /// Name of the workspace that the access key `key` belongs to, or `None` if the key is unknown.
     #[must_use]
     pub fn workspace_of_access(&self, key: &str) -> Option<&str> {
         self.access.get(key).map(String::as_str)
     }
 
-    /// Number of workspaces.
+    /// Number of declared workspaces.
     #[must_use]
     pub fn workspace_count(&self) -> usize {
         self.workspaces.len()
     }
 
-    /// The stage `name`.
+    /// Configuration of the stage `name`, or `None` if it is not declared.
     #[must_use]
     pub fn stage(&self, name: &str) -> Option<&StageRules> {
         self.stages.get(name)
     }
 
-    /// All stages with their names.
+    /// Names and configurations of all stages, in no particular order.
     pub fn stages(&self) -> impl Iterator<Item = (&str, &StageRules)> {
         self.stages.iter().map(|(name, stage)| (name.as_str(), stage))
     }
 
-    /// All pipelines in declared order.
+    /// All pipelines, in the order of their declaration.
     #[must_use]
     pub fn pipelines(&self) -> &[PipelineRules] {
         &self.pipelines
     }
 
-    /// First pipeline that serves requests with `labels`.
+    /// First declared pipeline that serves requests with `labels`, or `None` if there is none.
     #[must_use]
     pub fn pipeline_for(&self, labels: &LabelSet) -> Option<&PipelineRules> {
         self.pipelines.iter().find(|pipeline| pipeline.when.matches(labels))
     }
 
-    /// Priority level of requests with `labels`.
+    /// Most urgent priority level that matches requests with `labels`, or the default level.
     #[must_use]
     pub fn level_for(&self, labels: &LabelSet) -> u8 {
         let matching = self.priorities.iter().filter(|priority| priority.when.matches(labels));
         matching.map(|priority| priority.level).min().unwrap_or(DEFAULT_LEVEL)
     }
 
-    /// First placement that governs engines with `labels`.
+    /// First declared placement that applies to engines with `labels`, or `None` if there is none.
     #[must_use]
     pub fn placement_for(&self, labels: &LabelSet) -> Option<&PlacementRules> {
         self.placements.iter().find(|placement| placement.upstreams.matches(labels))
     }
 
-    /// Rules that govern requests with `labels`.
+    /// All rules that apply to requests with `labels`.
     pub fn rules_for<'a>(&'a self, labels: &'a LabelSet) -> impl Iterator<Item = &'a RequestRule> {
         self.rules.iter().filter(|rule| rule.when.matches(labels))
     }
@@ -341,9 +350,9 @@
         attainment_weight: section.get("attainment_weight").unwrap_or_default(),
         policy: section.get("policy").unwrap_or_default(),
     };
-    // A register that is forgotten while its request may still be dispatched would let a second
-    // daemon run the same key: it shows as a doubled run. A life longer than every deadline holds
-    // because no request is dispatched after its deadline.
+    // Guards against a duplicate run: if a register expired while its request could still be
+    // dispatched, a second daemon could run the same key. No request is dispatched after its
+    // deadline, so a key lifetime above the maximum deadline is enough.
     if rules.key_life <= rules.longest_deadline {
         let accepted =
             format!("more than longest_deadline_ms ({})", rules.longest_deadline.as_millis());
--- a/crates/crocusdale_core/src/configuration/declarations_builder.rs
+++ b/crates/crocusdale_core/src/configuration/declarations_builder.rs
@@ -6,7 +6,7 @@
     StageRules, WorkspaceRules,
 };
 
-/// Builds declarations that were not written as sections.
+/// Builds [`Declarations`] from a configuration that is not written in INI sections.
 ///
 /// # Examples
 ///
@@ -23,8 +23,8 @@
 }
 
 impl DeclarationsBuilder {
-    /// Begins declarations of the deployment `name`, whose callers keep an address answer for
-    /// `address_hold`.
+    /// Starts declarations for the deployment `name`, whose callers may cache a list of daemon
+    /// addresses for `address_hold`.
     #[must_use]
     pub fn new(name: &str, address_hold: Duration) -> Self {
         let deployment = DeploymentRules {
@@ -53,10 +53,11 @@
         }
     }
 
-    /// Adds a workspace, and the access keys of its callers; callers need one from then on.
+    /// Adds a workspace and the access keys of its callers. From then on, callers need an access
+    /// key, even if `keys` is empty.
     ///
-    /// Guards against the moment at which the last key of all is taken away: with no key left,
-    /// nobody may come in, not everybody.
+    /// Guards against open access after the last access key has been removed: without any key, all
+    /// callers must be refused.
     #[must_use]
     pub fn workspace(
         mut self,
@@ -72,14 +73,14 @@
         self
     }
 
-    /// Adds a stage, whose name is that of its pool.
+    /// Adds a stage. Its name is also the name of its pool.
     #[must_use]
     pub fn stage(mut self, name: &str, rules: StageRules) -> Self {
         self.declarations.stages.insert(name.to_owned(), rules);
         self
     }
 
-    /// Adds a pipeline that serves paths of `host` which begin with `prefix`.
+    /// Adds a pipeline that serves the paths of `host` that start with `prefix`.
     #[must_use]
     pub fn route(mut self, host: &str, prefix: &str, pipeline: PipelineRules) -> Self {
         let position = self.declarations.pipelines.len();
@@ -88,21 +89,21 @@
         self
     }
 
-    /// Sets how upstreams are chosen.
+    /// Sets the policy for load balancing and failure handling.
     #[must_use]
     pub fn policy(mut self, policy: RoutingPolicy) -> Self {
         self.declarations.deployment.policy = policy;
         self
     }
 
-    /// Sets what callers may send.
+    /// Sets the limits for callers.
     #[must_use]
     pub fn caller_limits(mut self, limits: CallerLimits) -> Self {
         self.declarations.caller_limits = Some(limits);
         self
     }
 
-    /// Builds the declarations.
+    /// Returns the finished declarations.
     #[must_use]
     pub fn build(self) -> Declarations {
         self.declarations
--- a/crates/crocusdale_core/src/configuration/forward_rules.rs
+++ b/crates/crocusdale_core/src/configuration/forward_rules.rs
@@ -2,43 +2,45 @@
 
 use super::HomeRegions;
 
-/// What holds for a pipeline that ends in a forwarded request.
+/// Configuration of a pipeline whose last step forwards the request of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardRules {
-    /// What may be repeated.
+    /// Conditions under which a failed request may be retried.
     pub repeat: RepeatRule,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until the caller gets an answer.
     pub timeout: Duration,
-    /// Time within which the answer, or the first event of a stream, should come.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Priority level, 0 is the most urgent; that of the workspace goes first.
+    /// Priority level of the requests, where 0 is the most urgent. A level of the workspace
+    /// overrides it.
     pub level: u8,
-    /// Upstreams to which one request may be sent.
+    /// Maximum number of upstreams that one request may be sent to.
     pub attempts: u32,
-    /// Pools that serve the request, with their shares.
+    /// Pools that serve the requests, with their weights.
     pub pools: Vec<WeightedPool>,
-    /// Whether a request needs no access key.
+    /// Whether callers need no access key.
     pub public: bool,
-    /// Regions in which it may be worked on.
+    /// Regions in which the requests may be processed.
     pub homes: HomeRegions,
 }
 
-/// What may be repeated of a forwarded request.
+/// Conditions under which a failed forwarded request may be sent to another upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum RepeatRule {
-    /// All of it: the request is idempotent.
+    /// The request is idempotent and may always be repeated.
     Idempotent,
-    /// None of it: it runs at most once.
+    /// The request must run at most once.
     AtMostOnce,
-    /// The answer is a stream of events, and can't be taken up again.
+    /// The answer is a stream of events. An interrupted stream can't be resumed.
     Stream,
-    /// The answer is a stream of events, and another upstream may go on after the last event.
+    /// The answer is a stream of events. Another upstream can resume an interrupted stream after
+    /// the last event.
     ResumableStream,
 }
 
 impl RepeatRule {
-    /// Whether the request may run more than once.
+    /// Whether the request may be run more than once.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         match self {
@@ -57,66 +59,68 @@
     }
 }
 
-/// A pool with its share of the requests.
+/// Pool and its weight in the distribution of requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedPool {
-    /// The pool, which is the name of a stage.
+    /// Name of the pool, which is also the name of a stage.
     pub pool: String,
-    /// Its share, against the sum of all shares.
+    /// Weight of the pool relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// What the upstreams of a pool are like that work on pieces of requests in shared calls.
+/// Properties of the upstreams in a pool that computes pieces of several requests in one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchRules {
-    /// Calls that one upstream works on at one time.
+    /// Number of calls that one upstream runs concurrently.
     pub slots: u32,
-    /// Pieces that one call may hold.
+    /// Maximum number of pieces in one call.
     pub pieces: u32,
-    /// Time that each call takes.
+    /// Fixed part of the duration of a call.
     pub call_time: Duration,
-    /// Time that each piece adds, roughly.
+    /// Approximate time that each piece adds to the duration of a call.
     pub piece_time: Duration,
-    /// Memory of one upstream for results, in bytes.
+    /// Memory for results in one upstream, in bytes.
     pub result_bytes: u64,
-    /// Time after which a result that nobody gave up is dropped.
+    /// Time after which an upstream drops a result that was not released.
     pub result_life: Duration,
 }
 
 impl BatchRules {
-    /// Time that a call with `pieces` pieces should take.
+    /// Expected duration of a call with `pieces` pieces.
     #[must_use]
     pub fn expected(&self, pieces: u32) -> Duration {
         self.call_time + self.piece_time * pieces
     }
 }
 
-/// What the model engines of a pool are like.
+/// Properties of the model engines in a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineRules {
-    /// Requests that one engine runs at one time.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that one engine holds, for running requests and cached prompt parts.
+    /// Number of tokens in the KV cache of one engine, for running requests and cached prompt
+    /// prefixes.
     pub token_memory: u64,
 }
 
-/// How the upstreams of a pool start.
+/// Cold start of the upstreams in a pool, during which they accept fewer requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRules {
-    /// Time for which an upstream is cold after its start.
+    /// Duration of the cold start.
     pub lasts: Duration,
-    /// Requests a second that it takes meanwhile, of all daemons together.
+    /// Number of requests per second that an upstream accepts during its cold start, from all
+    /// daemons together.
     pub requests_per_s: f64,
 }
 
-/// How the upstreams of a pool take work.
+/// Kind of calls that the upstreams of a pool accept.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum PoolKind {
-    /// One request a call.
+    /// Each call runs one request.
     #[default]
     Plain,
-    /// Pieces of several requests a call.
+    /// Each call computes pieces of several requests.
     Batch(BatchRules),
-    /// Model engines, which keep prompt parts.
+    /// Each call runs one request on a model engine, which caches prompt prefixes.
     Engine(EngineRules),
 }
--- a/crates/crocusdale_core/src/configuration/home_regions.rs
+++ b/crates/crocusdale_core/src/configuration/home_regions.rs
@@ -2,12 +2,12 @@
 
 use super::LabelSet;
 
-/// Regions in which requests may be worked on; anywhere if there is no restriction.
+/// Regions in which requests may be processed. The default allows all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomeRegions(Option<Arc<Vec<String>>>);
 
 impl HomeRegions {
-    /// Restricts to `regions`, unless there are none.
+    /// Allows only `regions`. An empty list allows all regions.
     ///
     /// # Examples
     ///
@@ -27,7 +27,7 @@
         Self((!regions.is_empty()).then(|| Arc::new(regions)))
     }
 
-    /// Regions that both allow, which may be none.
+    /// Regions that both `self` and `other` allow. The result may allow no region at all.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -40,29 +40,30 @@
         }
     }
 
-    /// Whether work is allowed in `region`. Where there is a restriction, a region that is not known is no
-    /// home.
+    /// Whether requests may be processed in `region`. An unknown region, `None`, is only allowed if
+    /// all regions are.
     #[must_use]
     pub fn allow(&self, region: Option<&str>) -> bool {
-        self.0.as_ref().is_none_or(|homes| {
-            region.is_some_and(|region| homes.iter().any(|home| home == region))
+        self.0.as_ref().is_none_or(|allowed| {
+            region
+                .is_some_and(|region| allowed.iter().any(|allowed_region| allowed_region == region))
         })
     }
 }
 
-/// Regions of availability zones.
+/// Map from availability zones to their regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegionMap(LabelSet);
 
 impl RegionMap {
-    /// Region of `zone`, if it is known.
+    /// Region of the availability zone `zone`, or `None` if it is unknown.
     #[must_use]
     pub fn region(&self, zone: &str) -> Option<&str> {
         self.0.get(zone)
     }
 }
 
-/// Zones as keys, and their regions as values.
+/// Takes the label keys as availability zones and the label values as their regions.
 impl From<LabelSet> for RegionMap {
     fn from(labels: LabelSet) -> Self {
         Self(labels)
--- a/crates/crocusdale_core/src/configuration/label_selector.rs
+++ b/crates/crocusdale_core/src/configuration/label_selector.rs
@@ -1,6 +1,7 @@
 use super::label_set::{LabelSet, is_word};
 
-/// Condition over labels: equality, membership, existence, and their negations.
+/// Condition on labels: tests for equality, set membership and existence, and their negations. All
+/// tests must hold.
 ///
 /// # Examples
 ///
@@ -31,47 +32,50 @@
 }
 
 impl LabelSelector {
-    /// Form that [`LabelSelector::parse`] accepts, for error texts.
+    /// Description of the syntax that [`LabelSelector::parse`] accepts, for error messages.
     pub const ACCEPTED: &'static str = "conditions separated by commas: `key = v`, `key != v`, \
          `key in (v, w)`, `key notin (v, w)`, `key`, `!key`; `*` for all";
 
-    /// Reads a selector; `*` matches everything.
+    /// Parses a selector. The selector `*` matches all labels.
     ///
     /// # Errors
     ///
-    /// Returns the condition that can't be read.
+    /// Returns the part of `text` that is not a valid condition.
     pub fn parse(text: &str) -> Result<Self, String> {
         if text.trim() == "*" {
             return Ok(Self::default());
         }
-        let requirements = conditions(text).map(requirement).collect::<Result<Vec<_>, _>>()?;
+        let requirements =
+            split_conditions(text).map(parse_requirement).collect::<Result<Vec<_>, _>>()?;
         if requirements.is_empty() { Err(text.to_owned()) } else { Ok(Self { requirements }) }
     }
 
-    /// Whether every condition holds for `labels`.
+    /// Whether `labels` meet all conditions.
     #[must_use]
     pub fn matches(&self, labels: &LabelSet) -> bool {
-        self.requirements.iter().all(|requirement| requirement.holds(labels.get(&requirement.key)))
+        self.requirements.iter().all(|requirement| requirement.is_met(labels.get(&requirement.key)))
     }
 }
 
 impl Requirement {
-    fn holds(&self, value: Option<&str>) -> bool {
+    fn is_met(&self, value: Option<&str>) -> bool {
         match (&self.test, value) {
             (LabelTest::Exists, value) => value.is_some(),
             (LabelTest::Absent, value) => value.is_none(),
-            (LabelTest::In(values), Some(value)) => values.iter().any(|each| each == value),
+            (LabelTest::In(values), Some(value)) => values.iter().any(|allowed| allowed == value),
             (LabelTest::In(_), None) => false,
-            (LabelTest::NotIn(values), Some(value)) => !values.iter().any(|each| each == value),
+            (LabelTest::NotIn(values), Some(value)) => {
+                !values.iter().any(|allowed| allowed == value)
+            }
             (LabelTest::NotIn(_), None) => true,
         }
     }
 }
 
-/// Splits at the commas outside of parentheses.
-fn conditions(text: &str) -> impl Iterator<Item = &str> {
+/// Splits `text` at the commas outside of parentheses.
+fn split_conditions(text: &str) -> impl Iterator<Item = &str> {
     let mut depth = 0_i32;
-    let split = move |character: char| {
+    let is_separator = move |character: char| {
         match character {
             '(' => depth += 1,
             ')' => depth -= 1,
@@ -79,33 +83,33 @@
         }
         character == ',' && depth == 0
     };
-    text.split(split).map(str::trim)
+    text.split(is_separator).map(str::trim)
 }
 
-fn requirement(condition: &str) -> Result<Requirement, String> {
-    let fault = || condition.to_owned();
+fn parse_requirement(condition: &str) -> Result<Requirement, String> {
+    let to_error = || condition.to_owned();
     let (key, test) = if let Some(key) = condition.strip_prefix('!') {
         (key, LabelTest::Absent)
     } else if let Some((key, values)) = condition.split_once(" notin ") {
-        (key, LabelTest::NotIn(value_list(values).ok_or_else(fault)?))
+        (key, LabelTest::NotIn(parse_values(values).ok_or_else(to_error)?))
     } else if let Some((key, values)) = condition.split_once(" in ") {
-        (key, LabelTest::In(value_list(values).ok_or_else(fault)?))
+        (key, LabelTest::In(parse_values(values).ok_or_else(to_error)?))
     } else if let Some((key, value)) = condition.split_once("!=") {
-        (key, LabelTest::NotIn(vec![word(value).ok_or_else(fault)?]))
+        (key, LabelTest::NotIn(vec![parse_word(value).ok_or_else(to_error)?]))
     } else if let Some((key, value)) = condition.split_once('=') {
-        (key, LabelTest::In(vec![word(value).ok_or_else(fault)?]))
+        (key, LabelTest::In(vec![parse_word(value).ok_or_else(to_error)?]))
     } else {
         (condition, LabelTest::Exists)
     };
-    Ok(Requirement { key: word(key).ok_or_else(fault)?, test })
+    Ok(Requirement { key: parse_word(key).ok_or_else(to_error)?, test })
 }
 
-fn value_list(text: &str) -> Option<Vec<String>> {
+fn parse_values(text: &str) -> Option<Vec<String>> {
     let inner = text.trim().strip_prefix('(')?.strip_suffix(')')?;
-    inner.split(',').map(word).collect()
+    inner.split(',').map(parse_word).collect()
 }
 
-fn word(text: &str) -> Option<String> {
+fn parse_word(text: &str) -> Option<String> {
     let text = text.trim();
     is_word(text).then(|| text.to_owned())
 }
--- a/crates/crocusdale_core/src/configuration/label_set.rs
+++ b/crates/crocusdale_core/src/configuration/label_set.rs
@@ -3,20 +3,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Labels of an upstream, a workspace or a request.
+/// Labels of an upstream, a workspace or a request, as keys with values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LabelSet(BTreeMap<String, String>);
 
 impl LabelSet {
-    /// Labels that one request or section may carry.
+    /// Maximum number of labels in one request or configuration section.
     pub const MOST: usize = 32;
 
-    /// Reads `key=value` pairs separated by commas.
+    /// Parses `key=value` pairs that are separated by commas.
     ///
     /// # Errors
     ///
-    /// Returns the part that is not such a pair, or the key that stands twice.
+    /// Returns the part of `text` that is not a valid pair or repeats a key, or the number of
+    /// labels if it exceeds [`LabelSet::MOST`].
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut labels = Self::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
@@ -34,37 +35,39 @@
         }
     }
 
-    /// Returns the value of `key`.
+    /// Value of `key`, or `None` if the set has no such label.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
-    /// Sets `key` to `value`.
+    /// Adds the label `key` with `value`, or replaces its value.
     pub fn insert(&mut self, key: impl Into<String>, value: impl Into<String>) {
         self.0.insert(key.into(), value.into());
     }
 
-    /// Labels of `self`, and those of `other` where `self` has none.
+    /// Union of both sets. The values in `self` take precedence.
     #[must_use]
     pub fn or(&self, other: &Self) -> Self {
-        let mut all = other.0.clone();
-        all.extend(self.0.iter().map(|(key, value)| (key.clone(), value.clone())));
-        Self(all)
+        let mut merged = other.0.clone();
+        merged.extend(self.0.iter().map(|(key, value)| (key.clone(), value.clone())));
+        Self(merged)
     }
 
-    /// First label whose key or value is not a word, or an excess in number.
+    /// Description of the first error: too many labels, or a label whose key or value has an
+    /// invalid character or length. `None` if the set is valid.
     #[must_use]
     pub fn first_fault(&self) -> Option<String> {
         if self.0.len() > Self::MOST {
             return Some(format!("{} labels, at most {}", self.0.len(), Self::MOST));
         }
-        let mut faults = self.0.iter().filter(|(key, value)| !is_word(key) || !is_word(value));
-        faults.next().map(|(key, value)| format!("{key}={value}"))
+        let mut invalid_labels =
+            self.0.iter().filter(|(key, value)| !is_word(key) || !is_word(value));
+        invalid_labels.next().map(|(key, value)| format!("{key}={value}"))
     }
 }
 
-/// In the form that [`LabelSet::parse`] reads.
+/// Writes the format that [`LabelSet::parse`] accepts.
 impl fmt::Display for LabelSet {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (position, (key, value)) in self.0.iter().enumerate() {
@@ -75,7 +78,7 @@
     }
 }
 
-/// Whether `text` is 1 to 64 letters, digits, `-`, `_` or `.`.
+/// Whether `text` consists of 1 to 64 ASCII letters, digits, `-`, `_` and `.`.
 pub(super) fn is_word(text: &str) -> bool {
     (1..=64).contains(&text.len())
         && text
--- a/crates/crocusdale_core/src/configuration/mod.rs
+++ b/crates/crocusdale_core/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! Settings and declarations, checked wholly before use, and the revision in force.
+//! Process settings and operator declarations, which are validated completely before use, and the
+//! configuration revision in force.
 
 mod caller_limits;
 mod configuration_error;
@@ -35,5 +36,5 @@
 pub use route_table::RouteTable;
 pub use stage_plan::{PlanStep, StagePlan, StepWork};
 
-/// Largest declarations that are read, in bytes.
+/// Maximum size of the text of settings or declarations, in bytes.
 pub const DECLARATIONS_LIMIT: usize = 1 << 20;
--- a/crates/crocusdale_core/src/configuration/process_settings.rs
+++ b/crates/crocusdale_core/src/configuration/process_settings.rs
@@ -9,116 +9,116 @@
 use crate::retry::RetryLimits;
 use crate::routing::ColdLimits;
 
-/// Settings of one process.
+/// Settings of one daemon process.
 #[derive(Clone, Debug)]
 pub struct ProcessSettings {
-    /// Name of the VM.
+    /// Name of the VM that runs the daemon.
     pub vm: String,
     /// Availability zone of the VM.
     pub zone: String,
-    /// Regions of the availability zones.
+    /// Map from the availability zones to their regions.
     pub regions: RegionMap,
-    /// Worker threads.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Part of a processor core that the process may use.
+    /// CPU quota of the process, in processor cores.
     pub cpu_share: f64,
-    /// Bandwidth of the VM's link, in megabits a second.
+    /// Bandwidth of the VM's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Where callers connect.
+    /// Address on which the daemon accepts callers.
     pub caller: SocketAddr,
-    /// Where other daemons connect.
+    /// Address on which the daemon accepts other daemons.
     pub peer: SocketAddr,
-    /// Where operators connect.
+    /// Address on which the daemon accepts operators.
     pub operator: SocketAddr,
-    /// Where the platform publishes what the system reads.
+    /// Services from which the daemon reads configuration, VMs and upstreams.
     pub platform: PlatformSettings,
-    /// Bounds on what callers may send.
+    /// Limits for callers.
     pub limits: LimitSettings,
-    /// Heartbeats between daemons.
+    /// Failure detection between daemons.
     pub membership: MembershipSettings,
-    /// Format of log lines.
+    /// Format of the log output.
     pub log: LogFormat,
 }
 
-/// Where the platform publishes what the system reads.
+/// Services from which the daemon reads configuration, VMs and upstreams.
 #[derive(Clone, Debug)]
 pub enum PlatformSettings {
-    /// A configuration service and a VM list; callers send JSON requests.
+    /// A configuration service and a VM list. Callers send JSON requests.
     Services {
-        /// Configuration service.
+        /// Address of the configuration service.
         configuration: SocketAddr,
-        /// VM list.
+        /// Address of the service that provides the VM list.
         vm_list: SocketAddr,
-        /// Pause between two reads of the VM list.
+        /// Time between two reads of the VM list.
         vm_list_period: Duration,
     },
-    /// One store; callers' requests are passed through.
+    /// One store that publishes everything. Requests of callers are forwarded.
     Published(PublishedSettings),
 }
 
-/// A platform whose one store publishes configuration and upstreams.
+/// Settings for a platform that publishes configuration and upstreams in one store.
 #[derive(Clone, Debug)]
 pub struct PublishedSettings {
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Addresses at which daemons may listen for other daemons.
+    /// Addresses at which this daemon looks for other daemons when it starts.
     pub seeds: Vec<SocketAddr>,
-    /// Where the platform asks whether the VM is ready.
+    /// Address on which the daemon serves the readiness probe of the platform.
     pub readiness: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// Address on which the daemon tells callers the daemon addresses to use.
     pub addresses: SocketAddr,
-    /// Time between the signal to end and the kill.
+    /// Time between the termination signal and the kill signal.
     pub grace: Duration,
-    /// How many retries all daemons may make together at one pool.
+    /// Retry budget that all daemons share in each pool.
     pub retries: RetryLimits,
-    /// How far cold upstreams may be pressed.
+    /// Tolerance for the load on upstreams in their cold start.
     pub cold_limits: ColdLimits,
-    /// How late news of the platform may take effect.
+    /// Maximum delay until a change that the platform publishes takes effect.
     pub bounds: NewsBounds,
 }
 
-/// Bounds on what callers may send.
+/// Limits for callers.
 #[derive(Clone, Debug)]
 pub struct LimitSettings {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Open connections from callers.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Time for a request head to arrive; an idle connection is closed after it.
+    /// Time within which a request head must arrive. Idle connections are closed after this time.
     pub head_time: Duration,
-    /// Time for a request body to arrive.
+    /// Time within which a request body must arrive.
     pub body_time: Duration,
-    /// Requests that may run at one time.
+    /// Maximum number of concurrent requests.
     pub requests: usize,
 }
 
-/// Heartbeats between daemons.
+/// Settings of the failure detection between daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipSettings {
-    /// Pause between two heartbeats.
+    /// Time between two heartbeats.
     pub period: Duration,
-    /// How long a suspected member may still refute.
+    /// Time after which a suspected member that does not refute the suspicion becomes unreachable.
     pub suspicion: Duration,
 }
 
-/// Format of log lines.
+/// Format of the log output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Lines for human readers.
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl ProcessSettings {
-    /// Checks `text` wholly.
+    /// Parses and validates `text` completely. `file` names the source in errors.
     ///
     /// # Errors
     ///
-    /// Returns every error found, each naming file, section, key and the accepted form.
+    /// Returns all errors, each with the file, the section, the key and the accepted values.
     pub fn check(file: &str, text: &str) -> Result<Self, Vec<ConfigurationError>> {
         let mut errors = ErrorCollector::new(file);
         let mut sections = read_sections(SETTINGS, text, &mut errors);
@@ -145,19 +145,21 @@
     fn read(sections: &[CheckedSection]) -> Self {
         let section = |name: &str| {
             let found = sections.iter().find(|section| section.spec.name == name);
-            found.expect("every section of the schema stands after the check")
+            found.expect("every section of the schema is present after validation")
         };
         let address = |name: &str, key: &str| {
-            section(name).get::<SocketAddr>(key).expect("a required address was checked")
+            section(name)
+                .get::<SocketAddr>(key)
+                .expect("required addresses are present after validation")
         };
         let number = |name: &str, key: &str| {
-            section(name).get::<usize>(key).expect("a number with a default was checked")
+            section(name).get::<usize>(key).expect("numbers with a default are present")
         };
         let ratio = |name: &str, key: &str| {
-            section(name).get::<f64>(key).expect("a ratio with a default was checked")
+            section(name).get::<f64>(key).expect("ratios with a default are present")
         };
         let duration = |name: &str, key: &str| {
-            section(name).duration(key).expect("a duration with a default was checked")
+            section(name).duration(key).expect("durations with a default are present")
         };
         Self {
             vm: section("daemon").owned("name"),
@@ -187,20 +189,21 @@
     }
 }
 
-/// One of `[platform]` and `[published]` must stand, with the keys that it can't do without.
+/// Reports an error unless exactly one of the sections `[platform]` and `[published]` is present
+/// and has the keys that it needs.
 fn check_platform(sections: &[CheckedSection], errors: &mut ErrorCollector<'_>) {
-    // Sections that were not written stand here as empty ones.
+    // `sections` contains an empty entry for each section that is absent from the text.
     let found = |name: &str| {
-        let written = |section: &&CheckedSection| !section.values.is_empty();
-        sections.iter().filter(written).find(|section| section.spec.name == name)
+        let is_written = |section: &&CheckedSection| !section.values.is_empty();
+        sections.iter().filter(is_written).find(|section| section.spec.name == name)
     };
     let (services, published) = (found("platform"), found("published"));
     if services.is_some() && published.is_some() {
-        let accepted = "either [platform] or [published]";
+        let accepted = "either [platform] or [published], not both";
         errors.report(ConfigurationErrorKind::RepeatedSection, ("published", ""), "", accepted);
         return;
     }
-    let needed: &[(&str, &str)] = match published {
+    let required_keys: &[(&str, &str)] = match published {
         Some(_) => &[
             ("published", "store"),
             ("published", "seeds"),
@@ -214,9 +217,9 @@
             return;
         }
     };
-    for (name, key) in needed {
-        let stands = found(name).is_some_and(|section| section.text(key).is_some());
-        if !stands {
+    for (name, key) in required_keys {
+        let is_present = found(name).is_some_and(|section| section.text(key).is_some());
+        if !is_present {
             let place = (*name, *key);
             errors.report(ConfigurationErrorKind::MissingKey, place, "", "an address");
         }
@@ -225,7 +228,9 @@
 
 fn read_platform<'a>(section: &impl Fn(&str) -> &'a CheckedSection) -> PlatformSettings {
     let address = |name: &str, key: &str| {
-        section(name).get::<SocketAddr>(key).expect("a needed address was checked")
+        section(name)
+            .get::<SocketAddr>(key)
+            .expect("required addresses are present after validation")
     };
     let published = section("published");
     if published.text("store").is_none() {
@@ -233,11 +238,10 @@
         return PlatformSettings::Services {
             configuration: address("platform", "configuration"),
             vm_list: address("platform", "vm_list"),
-            vm_list_period: period.expect("a duration with a default was checked"),
+            vm_list_period: period.expect("durations with a default are present"),
         };
     }
-    let number =
-        |key: &str| published.get::<f64>(key).expect("a number with a default was checked");
+    let number = |key: &str| published.get::<f64>(key).expect("numbers with a default are present");
     let millis = |key: &str| Duration::from_secs_f64(number(key) / 1_000.0);
     PlatformSettings::Published(PublishedSettings {
         store: address("published", "store"),
--- a/crates/crocusdale_core/src/configuration/route_table.rs
+++ b/crates/crocusdale_core/src/configuration/route_table.rs
@@ -1,6 +1,6 @@
 use std::collections::HashMap;
 
-/// Which pipeline serves which paths of which host.
+/// Maps hosts and path prefixes to pipelines. The longest matching prefix decides.
 ///
 /// # Examples
 ///
@@ -16,19 +16,22 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Prefixes of each host, the longest first, with the positions of their pipelines.
+    /// Path prefixes and pipeline positions by lowercase host name, longest prefix first.
     hosts: HashMap<String, Vec<(String, usize)>>,
 }
 
 impl RouteTable {
-    /// Lets the pipeline at `pipeline` serve paths of `host` that begin with `prefix`.
+    /// Routes the paths of `host` that start with `prefix` to the pipeline at the position
+    /// `pipeline`.
     pub fn insert(&mut self, host: &str, prefix: &str, pipeline: usize) {
         let prefixes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
-        let longer = prefixes.partition_point(|(each, _)| each.len() >= prefix.len());
-        prefixes.insert(longer, (prefix.to_owned(), pipeline));
+        let insert_position =
+            prefixes.partition_point(|(existing, _)| existing.len() >= prefix.len());
+        prefixes.insert(insert_position, (prefix.to_owned(), pipeline));
     }
 
-    /// Position of the pipeline with the longest prefix of `path` under `host`.
+    /// Position of the pipeline whose prefix is the longest one that `path` starts with on `host`.
+    /// `None` if no prefix matches.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let prefixes = match self.hosts.get(host) {
@@ -39,7 +42,7 @@
         found.map(|(_, pipeline)| *pipeline)
     }
 
-    /// Whether no path is served.
+    /// Whether the table has no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
--- a/crates/crocusdale_core/src/configuration/section_reader.rs
+++ b/crates/crocusdale_core/src/configuration/section_reader.rs
@@ -12,12 +12,12 @@
     StagePlan,
 };
 
-/// Most errors that one check reports.
-const ERRORS_LIMIT: usize = 200;
-/// Longest piece of a found value that an error repeats, in characters.
-const FOUND_LIMIT: usize = 80;
+/// Maximum number of errors that are reported for one text.
+const MAX_ERRORS: usize = 200;
+/// Maximum length of the quoted value in an error, in characters.
+const MAX_QUOTED_CHARS: usize = 80;
 
-/// Collects the errors of one text.
+/// Collects the errors in one text.
 pub(super) struct ErrorCollector<'a> {
     file: &'a str,
     errors: Vec<ConfigurationError>,
@@ -35,13 +35,13 @@
         found: &str,
         accepted: impl Into<String>,
     ) {
-        if self.errors.len() < ERRORS_LIMIT {
+        if self.errors.len() < MAX_ERRORS {
             self.errors.push(ConfigurationError {
                 kind,
                 file: self.file.to_owned(),
                 section: place.0.to_owned(),
                 key: place.1.to_owned(),
-                found: found.chars().take(FOUND_LIMIT).collect(),
+                found: found.chars().take(MAX_QUOTED_CHARS).collect(),
                 accepted: accepted.into(),
             });
         }
@@ -52,33 +52,34 @@
     }
 }
 
-/// A section whose keys and values have been checked against its description.
+/// Section whose keys and values have been validated against the schema.
 pub(super) struct CheckedSection {
     pub(super) spec: &'static SectionSpec,
-    /// Header as written.
+    /// Section header as written, without brackets.
     pub(super) header: String,
-    /// Name behind the first word, empty if the section has none.
+    /// Part of the header after the first word. Empty if the section has no name.
     pub(super) name: String,
     pub(super) values: Vec<(&'static KeySpec, String)>,
 }
 
 impl CheckedSection {
-    /// A section that was left out, so that its defaults hold.
+    /// Creates a section that is absent from the text, so that all keys have their default values.
     pub(super) fn empty(spec: &'static SectionSpec) -> Self {
         Self { spec, header: spec.name.to_owned(), name: String::new(), values: Vec::new() }
     }
 
-    /// Value of `key` as written, or its default; `None` if neither exists.
+    /// Value of `key` as written, or its default value. `None` if there is neither.
     pub(super) fn text(&self, key: &str) -> Option<&str> {
-        let written = self.values.iter().find(|(spec, _)| spec.name == key);
+        let written_value = self.values.iter().find(|(spec, _)| spec.name == key);
         debug_assert!(self.spec.key(key).is_some(), "{key} is not in the schema");
-        match written {
+        match written_value {
             Some((_, value)) => Some(value),
             None => self.spec.key(key).and_then(|spec| spec.default),
         }
     }
 
-    /// Value of `key` read as `T`; the value has been checked, so only its absence gives `None`.
+    /// Value of `key` parsed as `T`. `None` only if there is no value, since values are valid after
+    /// validation.
     pub(super) fn get<T: FromStr>(&self, key: &str) -> Option<T> {
         self.text(key)?.parse().ok()
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// Reads `text` and checks each section by itself; errors go to `errors`.
+/// Parses `text` and validates each section separately. Adds the errors to `errors`.
 pub(super) fn read_sections(
     specs: &'static [SectionSpec],
     text: &str,
@@ -116,12 +117,15 @@
         errors.report(ConfigurationErrorKind::TooLarge, ("", ""), &found, accepted);
         return Vec::new();
     }
-    let option =
+    let parse_option =
         ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
-    let parsed = match Ini::load_from_str_opt(text, option) {
+    let parsed = match Ini::load_from_str_opt(text, parse_option) {
         Ok(parsed) => parsed,
-        Err(fault) => {
-            let found = format!("line {}, column {}: {}", fault.line, fault.col, fault.msg);
+        Err(parse_error) => {
+            let found = format!(
+                "line {}, column {}: {}",
+                parse_error.line, parse_error.col, parse_error.msg
+            );
             let accepted = "INI: `[section name]`, `key = value`, `;` or `#` before a comment";
             errors.report(ConfigurationErrorKind::Syntax, ("", ""), &found, accepted);
             return Vec::new();
@@ -136,7 +140,7 @@
         }
         let Some((spec, name)) = find_spec(specs, header, errors) else { continue };
         if !seen.insert((spec.name, name.clone())) {
-            let accepted = "each section once";
+            let accepted = "at most one section with this header";
             errors.report(ConfigurationErrorKind::RepeatedSection, (header, ""), header, accepted);
             continue;
         }
@@ -154,7 +158,7 @@
     let (word, name) = header.split_once(' ').unwrap_or((header, ""));
     let name = name.trim();
     let Some(spec) = specs.iter().find(|spec| spec.name == word) else {
-        let accepted = nearest(word, specs.iter().map(|spec| spec.name));
+        let accepted = suggest_nearest(word, specs.iter().map(|spec| spec.name));
         errors.report(ConfigurationErrorKind::UnknownSection, (header, ""), word, accepted);
         return None;
     };
@@ -180,35 +184,35 @@
     for (key, value) in properties {
         let value = value.trim();
         let Some(key_spec) = spec.key(key) else {
-            let accepted = nearest(key, spec.keys.iter().map(|key| key.name));
+            let accepted = suggest_nearest(key, spec.keys.iter().map(|key| key.name));
             errors.report(ConfigurationErrorKind::UnknownKey, (header, key), value, accepted);
             continue;
         };
-        if values.iter().any(|(each, _)| each.name == key_spec.name) {
+        if values.iter().any(|(existing, _)| existing.name == key_spec.name) {
             errors.report(
                 ConfigurationErrorKind::RepeatedKey,
                 (header, key),
                 value,
-                "each key once",
+                "at most one value for each key of a section",
             );
             continue;
         }
-        if !has_form(key_spec.form, value) {
-            let accepted = accepted_form(key_spec.form);
+        if !has_valid_form(key_spec.form, value) {
+            let accepted = describe_form(key_spec.form);
             errors.report(ConfigurationErrorKind::BadValue, (header, key), value, accepted);
         }
         values.push((key_spec, value.to_owned()));
     }
     for key in spec.keys.iter().filter(|key| key.required) {
-        if !values.iter().any(|(each, _)| each.name == key.name) {
-            let accepted = accepted_form(key.form);
+        if !values.iter().any(|(existing, _)| existing.name == key.name) {
+            let accepted = describe_form(key.form);
             errors.report(ConfigurationErrorKind::MissingKey, (header, key.name), "", accepted);
         }
     }
     values
 }
 
-fn has_form(form: KeyForm, value: &str) -> bool {
+fn has_valid_form(form: KeyForm, value: &str) -> bool {
     match form {
         KeyForm::Name => is_word(value),
         KeyForm::Address => value.parse::<SocketAddr>().is_ok(),
@@ -228,11 +232,13 @@
     }
 }
 
-fn accepted_form(form: KeyForm) -> String {
+fn describe_form(form: KeyForm) -> String {
     match form {
         KeyForm::Name => "1 to 64 letters, digits, `-`, `_`, `.`".into(),
-        KeyForm::Address => "IP address and port, as 127.0.0.1:8080".into(),
-        KeyForm::Addresses => "IP addresses with ports, separated by commas".into(),
+        KeyForm::Address => "an IP address and a port, such as 127.0.0.1:8080".into(),
+        KeyForm::Addresses => {
+            "IP addresses with ports, such as 127.0.0.1:8080, separated by commas".into()
+        }
         KeyForm::Count { min, max } => format!("a whole number from {min} to {max}"),
         KeyForm::Duration { min, max } => {
             format!("milliseconds, a whole number from {min} to {max}")
@@ -249,16 +255,17 @@
     }
 }
 
-/// Names the word of `known` that is nearest to `found`, and all of them.
-fn nearest(found: &str, known: impl Iterator<Item = &'static str>) -> String {
+/// Error text that lists all words in `known`, and first the one with the smallest edit distance to
+/// `found`.
+fn suggest_nearest(found: &str, known: impl Iterator<Item = &'static str>) -> String {
     let known: Vec<&str> = known.collect();
-    let found: String = found.chars().take(FOUND_LIMIT).collect();
-    let best = known.iter().min_by_key(|word| edit_distance(&found, word));
-    let best = best.copied().unwrap_or_default();
-    format!("`{best}` is nearest; one of {}", known.join(", "))
+    let found: String = found.chars().take(MAX_QUOTED_CHARS).collect();
+    let nearest = known.iter().min_by_key(|word| edit_distance(&found, word));
+    let nearest = nearest.copied().unwrap_or_default();
+    format!("`{nearest}` is nearest; one of {}", known.join(", "))
 }
 
-/// Number of single-character edits between two words.
+/// Levenshtein distance between two words.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
@@ -274,7 +281,7 @@
     row[right.len()]
 }
 
-/// Reads addresses separated by commas.
+/// Parses socket addresses that are separated by commas. `None` if one of them is invalid.
 pub(super) fn parse_addresses(text: &str) -> Option<Vec<SocketAddr>> {
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
     parts.map(|part| part.parse().ok()).collect()
--- a/crates/crocusdale_core/src/configuration/stage_plan.rs
+++ b/crates/crocusdale_core/src/configuration/stage_plan.rs
@@ -2,67 +2,68 @@
 
 use super::label_set::is_word;
 
-/// A pipeline's steps, each with the steps whose results it needs.
+/// Steps of a pipeline and the dependencies between them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StagePlan {
     steps: Vec<PlanStep>,
 }
 
-/// One step of a pipeline.
+/// Step of a pipeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanStep {
-    /// Stage that serves it, which names a pool of upstreams.
+    /// Name of the stage that runs the step, and of its pool of upstreams.
     pub stage: String,
-    /// Positions of the steps whose results it needs; all are smaller than its own.
+    /// Positions of the steps that this step depends on. All are lower than its own position.
     pub after: Vec<usize>,
-    /// How its stage is called.
+    /// Kind of call that runs the step.
     pub work: StepWork,
 }
 
-/// How a stage is called for a step.
+/// Kind of call that runs a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepWork {
-    /// One JSON call for each request, with the earlier answers as its inputs.
+    /// One JSON call per request, with the answers of earlier steps as its input.
     Json,
-    /// The request is cut into pieces, which share calls with pieces of other requests. The
-    /// results stay at the upstream that made them; later steps name them by handle.
+    /// The request is split into pieces, which are batched with pieces of other requests. The
+    /// results stay in the memory of the upstream that computed them, and later steps refer to them
+    /// by handle.
     Batched {
         /// Approximate size of one result, in bytes.
         result_bytes: u64,
     },
-    /// The caller's own request is passed through, and its answer passed back.
+    /// The original request is forwarded, and the answer is returned to the caller.
     Forward,
 }
 
 impl StagePlan {
-    /// Most stages of one pipeline.
+    /// Maximum number of stages in a pipeline that [`StagePlan::parse`] accepts.
     pub const MOST: usize = 16;
 
-    /// Form that [`StagePlan::parse`] accepts, for error texts.
+    /// Description of the syntax that [`StagePlan::parse`] accepts, for error messages.
     pub const ACCEPTED: &'static str =
         "1 to 16 distinct stage names, steps separated by `,` and parallel branches by `|`";
 
-    /// A plan of `steps`.
+    /// Creates a plan from `steps`.
     ///
     /// # Errors
     ///
-    /// Returns the position of a step that needs itself or a later one.
+    /// Returns the position of the first step that depends on itself or on a later step.
     pub fn new(steps: Vec<PlanStep>) -> Result<Self, usize> {
-        let backward = |(position, step): &(usize, &PlanStep)| {
+        let has_forward_dependency = |(position, step): &(usize, &PlanStep)| {
             step.after.iter().any(|earlier| earlier >= position)
         };
-        match steps.iter().enumerate().find(backward) {
+        match steps.iter().enumerate().find(has_forward_dependency) {
             Some((position, _)) => Err(position),
             None => Ok(Self { steps }),
         }
     }
 
-    /// Reads groups of JSON stages separated by `,`, parallel stages within a group by `|`. Each
-    /// stage needs the answers of the whole group before its own.
+    /// Parses groups of JSON stages. Commas separate the groups, and `|` separates parallel stages
+    /// within a group. Each stage depends on all stages of the previous group.
     ///
     /// # Errors
     ///
-    /// Returns the part that can't be read or stands twice.
+    /// Returns the first stage name that is invalid, repeated, or beyond [`StagePlan::MOST`].
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut steps: Vec<PlanStep> = Vec::new();
         let mut group = 0..0;
@@ -81,34 +82,36 @@
         Ok(Self { steps })
     }
 
-    /// Steps; each stands behind those that it needs.
+    /// Steps in topological order: each comes after the steps that it depends on.
     #[must_use]
     pub fn steps(&self) -> &[PlanStep] {
         &self.steps
     }
 
-    /// All stages in declared order.
+    /// Stage names of all steps, in the order of the steps.
     pub fn stages(&self) -> impl Iterator<Item = &str> {
         self.steps.iter().map(|step| step.stage.as_str())
     }
 
-    /// Positions of the steps without a successor, among those that `include` holds for.
+    /// Positions of the last steps in the subset of steps for which `include` returns `true`: no
+    /// other step of the subset depends on them directly.
     pub fn ends(&self, include: impl Fn(&PlanStep) -> bool) -> impl Iterator<Item = usize> {
         let included: Vec<bool> = self.steps.iter().map(include).collect();
-        let needed = |position: usize| {
+        let is_needed = |position: usize| {
             let mut later = self.steps.iter().zip(&included);
             later.any(|(step, included)| *included && step.after.contains(&position))
         };
-        let ends = (0..self.steps.len()).filter(|each| included[*each] && !needed(*each));
+        let ends =
+            (0..self.steps.len()).filter(|position| included[*position] && !is_needed(*position));
         ends.collect::<Vec<_>>().into_iter()
     }
 
-    /// Steps side by side: runs of steps that need the same ones.
+    /// Groups of consecutive steps with the same dependencies, which can run in parallel.
     pub fn groups(&self) -> impl Iterator<Item = &[PlanStep]> {
         self.steps.chunk_by(|left, right| left.after == right.after)
     }
 
-    /// The same plan with `pool` as the stage of its forwarded step.
+    /// Returns the plan with `pool` as the stage of the forwarding step.
     #[must_use]
     pub fn with_pool(mut self, pool: &str) -> Self {
         for step in self.steps.iter_mut().filter(|step| step.work == StepWork::Forward) {
@@ -117,31 +120,33 @@
         self
     }
 
-    /// Longest way through the steps, where each takes what `time` says.
+    /// Duration of the critical path through all steps. `time` returns the duration of a step,
+    /// given the step and its position.
     #[must_use]
     pub fn longest_way(&self, time: impl Fn(&PlanStep, usize) -> Duration) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for (position, step) in self.steps.iter().enumerate() {
-            let begin = step.after.iter().map(|earlier| ends[*earlier]).max().unwrap_or_default();
-            ends.push(begin + time(step, position));
+            let start = step.after.iter().map(|earlier| ends[*earlier]).max().unwrap_or_default();
+            ends.push(start + time(step, position));
         }
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Longest way from the end of the step at `position` to the end of the plan.
+    /// Duration of the critical path from the end of the step at `position` to the end of the plan.
+    /// `time` returns the duration of a step, given the step and its position.
     #[must_use]
     pub fn way_after(
         &self,
         position: usize,
         time: impl Fn(&PlanStep, usize) -> Duration,
     ) -> Duration {
-        let mut ways = vec![Duration::ZERO; self.steps.len()];
+        let mut times_after = vec![Duration::ZERO; self.steps.len()];
         for index in (position + 1..self.steps.len()).rev() {
-            let way = ways[index] + time(&self.steps[index], index);
+            let time_through = times_after[index] + time(&self.steps[index], index);
             for earlier in &self.steps[index].after {
-                ways[*earlier] = ways[*earlier].max(way);
+                times_after[*earlier] = times_after[*earlier].max(time_through);
             }
         }
-        ways[position]
+        times_after[position]
     }
 }
