--- a/crates/crocusdale_core/src/identity/instance_id.rs
+++ b/crates/crocusdale_core/src/identity/instance_id.rs
@@ -4,28 +4,28 @@
 
 use super::stable_hash;
 
-/// One life of one process on one VM.
+/// Identifier of one daemon process on one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct InstanceId {
-    /// Name of the VM.
+    /// Name of the VM that runs the process.
     pub vm: String,
-    /// Grows with each process start on that VM.
+    /// Number that increases with each process start on the VM.
     pub incarnation: u64,
 }
 
 impl InstanceId {
-    /// Names the life `incarnation` of the process on `vm`.
+    /// Creates the identifier of the process with the number `incarnation` on `vm`.
     #[must_use]
     pub fn new(vm: impl Into<String>, incarnation: u64) -> Self {
         Self { vm: vm.into(), incarnation }
     }
 
-    /// Number that tells this life from those of all VMs.
+    /// Hash of the VM and the incarnation, which identifies the process in the whole fleet.
     ///
-    /// Guards against two processes that take each other's attempts for their own. Incarnations only
-    /// grow on one VM: of 190 processes that start in one millisecond, two have the same one in a
-    /// quarter of all starts. Their first calls have the same numbers too, and a dispatcher gave one the
-    /// results that it had made for the other.
+    /// Guards against attempts of different processes with equal identifiers. An incarnation alone
+    /// is unique on one VM only: if 190 processes start within one millisecond, two of them have
+    /// the same incarnation in a quarter of all cases. The numbers of their first calls are equal
+    /// too, so a dispatcher returned results of one process to the other.
     #[must_use]
     pub fn mark(&self) -> u64 {
         stable_hash(&[&self.vm, &self.incarnation.to_string()])
--- a/crates/crocusdale_core/src/identity/mod.rs
+++ b/crates/crocusdale_core/src/identity/mod.rs
@@ -1,4 +1,4 @@
-//! Names, incarnations, request keys and time.
+//! Identifiers of processes, requests, attempts and store positions; stable hashes; monotonic time.
 
 mod instance_id;
 mod monotonic_time;
@@ -12,7 +12,8 @@
 pub use request_key::{AttemptId, CallId, RequestKey};
 pub use store_position::StorePosition;
 
-/// Hashes `parts` to a number that is the same in every process.
+/// Hash of `parts` that is equal in all processes. The boundaries between parts matter. Not
+/// cryptographic.
 #[must_use]
 pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
--- a/crates/crocusdale_core/src/identity/request_digest.rs
+++ b/crates/crocusdale_core/src/identity/request_digest.rs
@@ -2,17 +2,17 @@
 
 use serde::{Serialize, Serializer};
 
-/// What a request has in common with its repeats: caller, target and content. Each try of a caller
-/// has another [`super::RequestKey`].
+/// Cryptographic digest of caller, target and content of a request, which is equal for all retries
+/// by the caller. Each of these retries may have another [`super::RequestKey`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest(pub [u8; RequestDigest::LEN]);
 
 impl RequestDigest {
-    /// Length, in bytes.
+    /// Length of a digest, in bytes.
     pub const LEN: usize = 16;
 
-    /// Digests `parts`; the same in every process. Nobody can make a request that is taken for another
-    /// caller's.
+    /// Digest of `parts`, equal in all processes. The digest is resistant to collisions, so that a
+    /// caller can't forge a request with the digest of another caller's request.
     ///
     /// # Examples
     ///
--- a/crates/crocusdale_core/src/identity/request_key.rs
+++ b/crates/crocusdale_core/src/identity/request_key.rs
@@ -5,23 +5,23 @@
 
 use super::stable_hash;
 
-/// Identity of a request, chosen by its caller.
+/// Idempotency key of a request, chosen by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct RequestKey {
-    /// Workspace of the request.
+    /// Name of the workspace that the request belongs to.
     pub workspace: String,
-    /// Key within that workspace.
+    /// Key that is unique within the workspace.
     pub key: String,
 }
 
 impl RequestKey {
-    /// Names the request `key` of `workspace`.
+    /// Creates the key of the request `key` in the workspace `workspace`.
     #[must_use]
     pub fn new(workspace: impl Into<String>, key: impl Into<String>) -> Self {
         Self { workspace: workspace.into(), key: key.into() }
     }
 
-    /// Hash that is the same in every process.
+    /// Hash of workspace and key that is equal in all processes.
     #[must_use]
     pub fn stable_hash(&self) -> u64 {
         stable_hash(&[&self.workspace, &self.key])
@@ -34,18 +34,18 @@
     }
 }
 
-/// Identity of an open call of a caller, within one process.
+/// Identifier of an open call from a caller, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct CallId(pub u64);
 
-/// Identity of one attempt at one stage; unlike that of any other attempt of any process.
+/// Identifier of one attempt to run one stage, unique among all attempts of all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct AttemptId {
-    /// Mark of the life of the process that made the attempt, [`super::InstanceId::mark`].
+    /// [`super::InstanceId::mark`] of the process that made the attempt.
     pub incarnation: u64,
-    /// Call that the attempt serves.
+    /// Call from the caller that the attempt belongs to.
     pub call: CallId,
-    /// Position among the attempts of that call.
+    /// Number of the attempt among the attempts for this call.
     pub sequence: u32,
 }
 
@@ -60,11 +60,11 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.splitn(3, '-');
-        let mut next = || parts.next().unwrap_or_default();
+        let mut next_part = || parts.next().unwrap_or_default();
         Ok(Self {
-            incarnation: u64::from_str_radix(next(), 16)?,
-            call: CallId(u64::from_str_radix(next(), 16)?),
-            sequence: u32::from_str_radix(next(), 16)?,
+            incarnation: u64::from_str_radix(next_part(), 16)?,
+            call: CallId(u64::from_str_radix(next_part(), 16)?),
+            sequence: u32::from_str_radix(next_part(), 16)?,
         })
     }
 }
--- a/crates/crocusdale_core/src/identity/store_position.rs
+++ b/crates/crocusdale_core/src/identity/store_position.rs
@@ -2,10 +2,10 @@
 
 use serde::Serialize;
 
-/// A position in what a store has written.
+/// Position in the sequence of changes in a store.
 ///
-/// A store may come back from an older copy. Revisions are given out again then, so that they order what
-/// was read within one era only; the era rises with each such return.
+/// A store may be restored from an older backup. It then assigns some revisions again, so revisions
+/// are only comparable within one era. The era increases with each restore.
 ///
 /// # Examples
 ///
@@ -18,14 +18,14 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct StorePosition {
-    /// Times that the store has come back from an older copy, as it counts them.
+    /// Number of times that the store was restored from a backup, as counted by the store.
     pub era: u64,
-    /// Revision within that era, 0 for none.
+    /// Revision within the era. 0 before the first change.
     pub revision: u64,
 }
 
 impl StorePosition {
-    /// Whether it stands before all that was ever written.
+    /// Whether this is the position before the first change in the store.
     #[must_use]
     pub fn is_none(self) -> bool {
         self == Self::default()
@@ -33,7 +33,7 @@
 }
 
 impl From<u64> for StorePosition {
-    /// A position in a store that has never come back from a copy, or doesn't count it.
+    /// Position in a store that was never restored from a backup, or doesn't count restores.
     fn from(revision: u64) -> Self {
         Self { era: 0, revision }
     }
