--- a/crates/crocusdale_core/src/wire/claim_messages.rs
+++ b/crates/crocusdale_core/src/wire/claim_messages.rs
@@ -13,42 +13,42 @@
 }
 
 impl From<peer::RequestKey> for RequestKey {
-    fn from(wire: peer::RequestKey) -> Self {
-        Self { workspace: wire.workspace, key: wire.key }
+    fn from(message: peer::RequestKey) -> Self {
+        Self { workspace: message.workspace, key: message.key }
     }
 }
 
 impl From<RegisterReply> for peer::RegisterReply {
     fn from(reply: RegisterReply) -> Self {
-        let mut wire = Self::default();
+        let mut message = Self::default();
         match reply {
             RegisterReply::Abstains(wait) => {
-                wire.set_state(peer::RegisterState::Abstained);
-                wire.retry_after_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
+                message.set_state(peer::RegisterState::Abstained);
+                message.retry_after_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
             }
             RegisterReply::Holds(RegisterState::Buried) => {
-                wire.set_state(peer::RegisterState::Buried)
+                message.set_state(peer::RegisterState::Buried)
             }
             RegisterReply::Holds(RegisterState::Claimed { holder, outcome }) => {
-                wire.set_state(peer::RegisterState::Claimed);
-                wire.holder = Some(holder.into());
-                wire.outcome = outcome.map(|body| peer::RecordedOutcome { body });
+                message.set_state(peer::RegisterState::Claimed);
+                message.holder = Some(holder.into());
+                message.outcome = outcome.map(|body| peer::RecordedOutcome { body });
             }
         }
-        wire
+        message
     }
 }
 
 impl From<peer::RegisterReply> for RegisterReply {
-    fn from(wire: peer::RegisterReply) -> Self {
-        let abstains = Self::Abstains(Duration::from_millis(wire.retry_after_ms));
-        match (wire.state(), wire.holder) {
+    fn from(message: peer::RegisterReply) -> Self {
+        let abstains = Self::Abstains(Duration::from_millis(message.retry_after_ms));
+        match (message.state(), message.holder) {
             (peer::RegisterState::Buried, _) => Self::Holds(RegisterState::Buried),
             (peer::RegisterState::Claimed, Some(holder)) => {
-                let outcome = wire.outcome.map(|outcome| outcome.body);
+                let outcome = message.outcome.map(|outcome| outcome.body);
                 Self::Holds(RegisterState::Claimed { holder: holder.into(), outcome })
             }
-            // A claim without a holder proves nothing, as an abstention.
+            // A claim without a holder doesn't prove anything, so it counts as an abstention.
             (peer::RegisterState::Claimed, None) | (peer::RegisterState::Abstained, _) => abstains,
         }
     }
@@ -56,22 +56,22 @@
 
 impl From<HolderReply> for peer::AskOutcomeReply {
     fn from(reply: HolderReply) -> Self {
-        let mut wire = Self::default();
+        let mut message = Self::default();
         match reply {
-            HolderReply::Gone => wire.set_progress(peer::HolderProgress::Gone),
-            HolderReply::Running => wire.set_progress(peer::HolderProgress::Running),
+            HolderReply::Gone => message.set_progress(peer::HolderProgress::Gone),
+            HolderReply::Running => message.set_progress(peer::HolderProgress::Running),
             HolderReply::Finished(body) => {
-                wire.set_progress(peer::HolderProgress::Finished);
-                wire.outcome = Some(peer::RecordedOutcome { body });
+                message.set_progress(peer::HolderProgress::Finished);
+                message.outcome = Some(peer::RecordedOutcome { body });
             }
         }
-        wire
+        message
     }
 }
 
 impl From<peer::AskOutcomeReply> for HolderReply {
-    fn from(wire: peer::AskOutcomeReply) -> Self {
-        match (wire.progress(), wire.outcome) {
+    fn from(message: peer::AskOutcomeReply) -> Self {
+        match (message.progress(), message.outcome) {
             (peer::HolderProgress::Finished, Some(outcome)) => Self::Finished(outcome.body),
             (peer::HolderProgress::Running, _) => Self::Running,
             (peer::HolderProgress::Finished, None) | (peer::HolderProgress::Gone, _) => Self::Gone,
--- a/crates/crocusdale_core/src/wire/exchange_messages.rs
+++ b/crates/crocusdale_core/src/wire/exchange_messages.rs
@@ -9,17 +9,17 @@
 use crate::quarantine::{CrashRecord, UpstreamEnd};
 use crate::rate_limiting::{LimitRecord, RequestRate};
 
-/// A message lacked a part that it must have.
+/// Error for a message in which a required field is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MissingPart(&'static str);
+pub struct InvalidField(&'static str);
 
-impl std::fmt::Display for MissingPart {
+impl std::fmt::Display for InvalidField {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "the message lacks {}", self.0)
     }
 }
 
-impl std::error::Error for MissingPart {}
+impl std::error::Error for InvalidField {}
 
 impl From<InstanceId> for peer::Instance {
     fn from(instance: InstanceId) -> Self {
@@ -28,8 +28,8 @@
 }
 
 impl From<peer::Instance> for InstanceId {
-    fn from(wire: peer::Instance) -> Self {
-        Self { vm: wire.vm, incarnation: wire.incarnation }
+    fn from(message: peer::Instance) -> Self {
+        Self { vm: message.vm, incarnation: message.incarnation }
     }
 }
 
@@ -63,31 +63,31 @@
 }
 
 impl TryFrom<peer::MemberPlace> for MemberPlace {
-    type Error = MissingPart;
+    type Error = InvalidField;
 
-    fn try_from(wire: peer::MemberPlace) -> Result<Self, Self::Error> {
+    fn try_from(message: peer::MemberPlace) -> Result<Self, Self::Error> {
         Ok(Self {
-            zone: wire.zone,
-            caller: wire.caller.parse().map_err(|_| MissingPart("the address for callers"))?,
-            peer: wire.peer.parse().map_err(|_| MissingPart("the address for peers"))?,
-            capacity: MemberCapacity(wire.capacity),
+            zone: message.zone,
+            caller: message.caller.parse().map_err(|_| InvalidField("the address for callers"))?,
+            peer: message.peer.parse().map_err(|_| InvalidField("the address for peers"))?,
+            capacity: MemberCapacity(message.capacity),
         })
     }
 }
 
 impl TryFrom<peer::MemberRecord> for MemberRecord {
-    type Error = MissingPart;
+    type Error = InvalidField;
 
-    fn try_from(wire: peer::MemberRecord) -> Result<Self, Self::Error> {
-        let status = match wire.status() {
+    fn try_from(message: peer::MemberRecord) -> Result<Self, Self::Error> {
+        let status = match message.status() {
             peer::MemberStatus::Starting => MemberStatus::Starting,
             peer::MemberStatus::Alive => MemberStatus::Alive,
             peer::MemberStatus::Suspect => MemberStatus::Suspect,
             peer::MemberStatus::Unreachable => MemberStatus::Unreachable,
         };
-        let instance = wire.instance.ok_or(MissingPart("the instance of a record"))?;
-        let place = wire.place.map(MemberPlace::try_from).transpose()?;
-        let (generation, refutation) = (wire.generation, wire.refutation);
+        let instance = message.instance.ok_or(InvalidField("the instance of a record"))?;
+        let place = message.place.map(MemberPlace::try_from).transpose()?;
+        let (generation, refutation) = (message.generation, message.refutation);
         Ok(Self { instance: instance.into(), generation, refutation, status, place })
     }
 }
@@ -99,40 +99,40 @@
 }
 
 impl From<peer::LeavingUpstream> for LeavingUpstream {
-    fn from(wire: peer::LeavingUpstream) -> Self {
-        Self { upstream: wire.upstream, life: wire.life }
+    fn from(message: peer::LeavingUpstream) -> Self {
+        Self { upstream: message.upstream, life: message.life }
     }
 }
 
 impl From<CrashRecord> for peer::CrashRecord {
     fn from(record: CrashRecord) -> Self {
-        let end = |end: UpstreamEnd| peer::UpstreamEnd {
-            upstream: end.upstream,
-            age_ms: whole_millis(end.age),
+        let to_message = |crash: UpstreamEnd| peer::UpstreamEnd {
+            upstream: crash.upstream,
+            age_ms: saturating_millis(crash.age),
         };
         Self {
             digest: record.digest.0.to_vec(),
-            ends: record.ends.into_iter().map(end).collect(),
-            cleared_age_ms: record.cleared.map(whole_millis),
+            ends: record.ends.into_iter().map(to_message).collect(),
+            cleared_age_ms: record.cleared.map(saturating_millis),
         }
     }
 }
 
 impl TryFrom<peer::CrashRecord> for CrashRecord {
-    type Error = MissingPart;
-
-    fn try_from(wire: peer::CrashRecord) -> Result<Self, Self::Error> {
-        let digest = wire.digest.try_into();
-        let digest = digest.map_err(|_| MissingPart("the digest of a crash record"))?;
-        let millis = |millis: u32| Duration::from_millis(millis.into());
-        let end = |end: peer::UpstreamEnd| UpstreamEnd {
-            upstream: end.upstream,
-            age: millis(end.age_ms),
+    type Error = InvalidField;
+
+    fn try_from(message: peer::CrashRecord) -> Result<Self, Self::Error> {
+        let digest = message.digest.try_into();
+        let digest = digest.map_err(|_| InvalidField("the digest of a crash record"))?;
+        let to_duration = |millis: u32| Duration::from_millis(millis.into());
+        let from_message = |crash: peer::UpstreamEnd| UpstreamEnd {
+            upstream: crash.upstream,
+            age: to_duration(crash.age_ms),
         };
         Ok(Self {
             digest: RequestDigest(digest),
-            ends: wire.ends.into_iter().map(end).collect(),
-            cleared: wire.cleared_age_ms.map(millis),
+            ends: message.ends.into_iter().map(from_message).collect(),
+            cleared: message.cleared_age_ms.map(to_duration),
         })
     }
 }
@@ -143,23 +143,23 @@
             upstream: record.upstream,
             version: record.version,
             thousandths_per_s: record.rate.map(RequestRate::thousandths),
-            age_ms: whole_millis(record.age),
+            age_ms: saturating_millis(record.age),
         }
     }
 }
 
 impl From<peer::UpstreamLimit> for LimitRecord {
-    fn from(wire: peer::UpstreamLimit) -> Self {
+    fn from(message: peer::UpstreamLimit) -> Self {
         Self {
-            upstream: wire.upstream,
-            version: wire.version,
-            rate: wire.thousandths_per_s.map(RequestRate::from_thousandths),
-            age: Duration::from_millis(wire.age_ms.into()),
+            upstream: message.upstream,
+            version: message.version,
+            rate: message.thousandths_per_s.map(RequestRate::from_thousandths),
+            age: Duration::from_millis(message.age_ms.into()),
         }
     }
 }
 
-fn whole_millis(time: Duration) -> u32 {
+fn saturating_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -180,7 +180,7 @@
             crashes: message.crashes.into_iter().map(Into::into).collect(),
             limit_digest: message.limit_digest,
             limits: message.limits.into_iter().map(Into::into).collect(),
-            // Rounded up: a list must never be taken for younger than it is.
+            // The age is rounded up, so that a receiver never considers the list newer than it is.
             directory_age_ms: message
                 .directory_age
                 .map(|age| u64::try_from(age.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)),
@@ -189,24 +189,32 @@
 }
 
 impl TryFrom<peer::ExchangeMessage> for ExchangeMessage {
-    type Error = MissingPart;
+    type Error = InvalidField;
 
-    fn try_from(wire: peer::ExchangeMessage) -> Result<Self, Self::Error> {
+    fn try_from(message: peer::ExchangeMessage) -> Result<Self, Self::Error> {
         Ok(Self {
-            sender: wire.sender.ok_or(MissingPart("its sender"))?.try_into()?,
-            sender_leaving: wire.sender_leaving,
-            revision: wire.revision,
-            digest: wire.digest,
-            records: wire.records.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?,
-            leaving: wire.leaving.into_iter().map(Into::into).collect(),
-            leaving_upstreams: wire.leaving_upstreams.into_iter().map(Into::into).collect(),
-            directory: StorePosition { era: wire.directory_era, revision: wire.directory },
-            known_members: wire.known_members,
-            directory_age: wire.directory_age_ms.map(Duration::from_millis),
-            crash_summary: wire.crash_summary,
-            crashes: wire.crashes.into_iter().map(TryInto::try_into).collect::<Result<_, _>>()?,
-            limit_digest: wire.limit_digest,
-            limits: wire.limits.into_iter().map(Into::into).collect(),
+            sender: message.sender.ok_or(InvalidField("its sender"))?.try_into()?,
+            sender_leaving: message.sender_leaving,
+            revision: message.revision,
+            digest: message.digest,
+            records: message
+                .records
+                .into_iter()
+                .map(TryInto::try_into)
+                .collect::<Result<_, _>>()?,
+            leaving: message.leaving.into_iter().map(Into::into).collect(),
+            leaving_upstreams: message.leaving_upstreams.into_iter().map(Into::into).collect(),
+            directory: StorePosition { era: message.directory_era, revision: message.directory },
+            known_members: message.known_members,
+            directory_age: message.directory_age_ms.map(Duration::from_millis),
+            crash_summary: message.crash_summary,
+            crashes: message
+                .crashes
+                .into_iter()
+                .map(TryInto::try_into)
+                .collect::<Result<_, _>>()?,
+            limit_digest: message.limit_digest,
+            limits: message.limits.into_iter().map(Into::into).collect(),
         })
     }
 }
--- a/crates/crocusdale_core/src/wire/mod.rs
+++ b/crates/crocusdale_core/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Conversions between the messages of the schema and the types of the decisions.
+//! Conversions between core types and the Protocol Buffers messages that daemons exchange.
 
 mod claim_messages;
 mod exchange_messages;
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -16,13 +16,18 @@
 }
 
 impl From<peer::Attempt> for AttemptId {
-    fn from(wire: peer::Attempt) -> Self {
-        Self { incarnation: wire.incarnation, call: CallId(wire.call), sequence: wire.sequence }
+    fn from(message: peer::Attempt) -> Self {
+        Self {
+            incarnation: message.incarnation,
+            call: CallId(message.call),
+            sequence: message.sequence,
+        }
     }
 }
 
 impl PieceOrder {
-    /// The order for another daemon; times become times from `now`.
+    /// Message that submits the order to another daemon. Points in time become durations from
+    /// `now`, because the daemons have different clocks.
     #[must_use]
     pub fn to_wire(&self, now: MonotonicTime) -> peer::MakePiecesRequest {
         let (caller_source, results) = match &self.source {
@@ -41,8 +46,8 @@
             results,
             zone: self.zone.clone().unwrap_or_default(),
             level: u32::from(self.level),
-            due_ms: millis(self.due.since(now)) - millis(now.since(self.due)),
-            left_ms: millis(self.expires.since(now)).unsigned_abs(),
+            due_ms: signed_millis(self.due.since(now)) - signed_millis(now.since(self.due)),
+            left_ms: signed_millis(self.expires.since(now)).unsigned_abs(),
             repeated: self.repeated,
             result_bytes: self.result_bytes,
             inputs_pool: self.inputs_pool.clone().unwrap_or_default(),
@@ -51,39 +56,41 @@
         }
     }
 
-    /// Reads an order of another daemon that was received at `now`; `None` without an attempt.
+    /// Order in a message that arrived from another daemon at `now`. `None` if the message has no
+    /// attempt.
     #[must_use]
-    pub fn from_wire(wire: peer::MakePiecesRequest, now: MonotonicTime) -> Option<Self> {
-        let source = if wire.results.is_empty() {
-            PieceSource::Caller(wire.caller_source)
+    pub fn from_wire(message: peer::MakePiecesRequest, now: MonotonicTime) -> Option<Self> {
+        let source = if message.results.is_empty() {
+            PieceSource::Caller(message.caller_source)
         } else {
-            let results = wire.results.iter().map(|text| ResultHandle::new(text));
+            let results = message.results.iter().map(|text| ResultHandle::new(text));
             PieceSource::Results(results.collect())
         };
-        let ahead = Duration::from_millis(wire.due_ms.max(0).unsigned_abs());
-        let behind = Duration::from_millis(wire.due_ms.min(0).unsigned_abs());
-        let due = (now + ahead).since_start().saturating_sub(behind);
+        let time_left = Duration::from_millis(message.due_ms.max(0).unsigned_abs());
+        let overdue = Duration::from_millis(message.due_ms.min(0).unsigned_abs());
+        let due = (now + time_left).since_start().saturating_sub(overdue);
         Some(Self {
-            attempt: wire.attempt?.into(),
-            request: wire.request,
-            digest: wire.digest.try_into().ok().map(RequestDigest),
-            pool: wire.pool,
-            step: wire.step,
-            pieces: wire.pieces,
-            result_bytes: wire.result_bytes,
+            attempt: message.attempt?.into(),
+            request: message.request,
+            digest: message.digest.try_into().ok().map(RequestDigest),
+            pool: message.pool,
+            step: message.step,
+            pieces: message.pieces,
+            result_bytes: message.result_bytes,
             source,
-            inputs_pool: (!wire.inputs_pool.is_empty()).then_some(wire.inputs_pool),
-            zone: (!wire.zone.is_empty()).then_some(wire.zone),
-            level: u8::try_from(wire.level).unwrap_or(u8::MAX),
-            is_flood: wire.is_flood,
+            inputs_pool: (!message.inputs_pool.is_empty()).then_some(message.inputs_pool),
+            zone: (!message.zone.is_empty()).then_some(message.zone),
+            level: u8::try_from(message.level).unwrap_or(u8::MAX),
+            is_flood: message.is_flood,
             due: MonotonicTime::from_start(due),
-            expires: now + Duration::from_millis(wire.left_ms),
-            repeated: wire.repeated,
+            expires: now + Duration::from_millis(message.left_ms),
+            repeated: message.repeated,
         })
     }
 }
 
-/// What became of pieces, as a message to the daemon that offered them.
+/// Reply to the daemon that submitted pieces: their results or the reason for their failure, and
+/// the expected wait of further pieces.
 #[must_use]
 pub fn pieces_reply(
     outcome: Result<Vec<PlacedResult>, PieceFault>,
@@ -96,35 +103,36 @@
     peer::MakePiecesReply {
         results,
         fault,
-        wait_ms: short_millis(wait.in_time),
-        late_wait_ms: wait.late.iter().copied().map(short_millis).collect(),
-        overloaded_ms: short_millis(wait.overloaded),
-        call_ms: short_millis(wait.call),
+        wait_ms: saturating_millis(wait.in_time),
+        late_wait_ms: wait.late.iter().copied().map(saturating_millis).collect(),
+        overloaded_ms: saturating_millis(wait.overloaded),
+        call_ms: saturating_millis(wait.call),
     }
 }
 
-/// Reads how long new pieces would wait in the pool.
+/// Expected wait of new pieces in the pool, from the reply of its dispatcher.
 #[must_use]
-pub fn read_pool_wait(wire: &peer::MakePiecesReply) -> PoolWait {
-    let wait = |millis: &u32| Duration::from_millis(u64::from(*millis));
+pub fn read_pool_wait(message: &peer::MakePiecesReply) -> PoolWait {
+    let to_duration = |millis: &u32| Duration::from_millis(u64::from(*millis));
     PoolWait {
-        in_time: wait(&wire.wait_ms),
-        late: wire.late_wait_ms.iter().map(wait).collect(),
-        overloaded: wait(&wire.overloaded_ms),
-        call: wait(&wire.call_ms),
+        in_time: to_duration(&message.wait_ms),
+        late: message.late_wait_ms.iter().map(to_duration).collect(),
+        overloaded: to_duration(&message.overloaded_ms),
+        call: to_duration(&message.call_ms),
     }
 }
 
-/// Reads what became of pieces. A fault that this daemon doesn't know counts as a failure.
+/// Results of submitted pieces, from the reply of their dispatcher. A fault that this daemon
+/// doesn't know becomes [`PieceFault::Failed`].
 ///
 /// # Errors
 ///
-/// Returns why there are no results.
-pub fn read_pieces_reply(wire: peer::MakePiecesReply) -> Result<Vec<PlacedResult>, PieceFault> {
-    if wire.fault.is_empty() {
-        return Ok(wire.results.into_iter().map(Into::into).collect());
+/// Returns the fault if the pieces have no results.
+pub fn read_pieces_reply(message: peer::MakePiecesReply) -> Result<Vec<PlacedResult>, PieceFault> {
+    if message.fault.is_empty() {
+        return Ok(message.results.into_iter().map(Into::into).collect());
     }
-    Err(wire.fault.parse().unwrap_or(PieceFault::Failed))
+    Err(message.fault.parse().unwrap_or(PieceFault::Failed))
 }
 
 impl From<PlacedResult> for peer::PlacedResult {
@@ -134,8 +142,8 @@
 }
 
 impl From<peer::PlacedResult> for PlacedResult {
-    fn from(wire: peer::PlacedResult) -> Self {
-        Self { handle: ResultHandle::new(&wire.handle), zone: wire.zone }
+    fn from(message: peer::PlacedResult) -> Self {
+        Self { handle: ResultHandle::new(&message.handle), zone: message.zone }
     }
 }
 
@@ -147,8 +155,10 @@
         let cold = list.cold.into_iter().map(Into::into).collect();
         let only_changes = list.removed.is_some();
         let removed = list.removed.unwrap_or_default().into_iter().map(Into::into).collect();
-        let (age_ms, configuration) =
-            list.age.map(|told| (millis(told.age).unsigned_abs(), told.revision)).unzip();
+        let (age_ms, configuration) = list
+            .age
+            .map(|list_age| (signed_millis(list_age.age).unsigned_abs(), list_age.revision))
+            .unzip();
         Self {
             revision,
             entries,
@@ -166,16 +176,16 @@
 impl TryFrom<peer::FetchDirectoryReply> for PeerDirectory {
     type Error = std::net::AddrParseError;
 
-    fn try_from(wire: peer::FetchDirectoryReply) -> Result<Self, Self::Error> {
-        let entries = wire.entries.into_iter().map(PeerEntry::try_from);
-        let position = StorePosition { era: wire.era, revision: wire.revision };
-        let evacuations = wire.evacuations.into_iter().map(Into::into).collect();
-        let cold = wire.cold.into_iter().map(Into::into).collect();
-        let removed = wire.removed.into_iter().map(Into::into).collect();
-        let removed = wire.only_changes.then_some(removed);
+    fn try_from(message: peer::FetchDirectoryReply) -> Result<Self, Self::Error> {
+        let entries = message.entries.into_iter().map(PeerEntry::try_from);
+        let position = StorePosition { era: message.era, revision: message.revision };
+        let evacuations = message.evacuations.into_iter().map(Into::into).collect();
+        let cold = message.cold.into_iter().map(Into::into).collect();
+        let removed = message.removed.into_iter().map(Into::into).collect();
+        let removed = message.only_changes.then_some(removed);
         let entries = entries.collect::<Result<_, _>>()?;
-        let age = wire.age_ms.zip(wire.configuration).map(|(age_ms, revision)| {
-            // Rounded up: what is told must not be younger than it is.
+        let age = message.age_ms.zip(message.configuration).map(|(age_ms, revision)| {
+            // The age is rounded up, so that the list never appears newer than it is.
             ListAge { age: Duration::from_millis(age_ms + 1), revision }
         });
         Ok(Self { position, entries, removed, evacuations, cold, age })
@@ -189,21 +199,21 @@
 }
 
 impl From<peer::RemovedUpstream> for PeerRemoval {
-    fn from(wire: peer::RemovedUpstream) -> Self {
-        let position = StorePosition { era: wire.era, revision: wire.revision };
-        Self { position, id: wire.id }
+    fn from(message: peer::RemovedUpstream) -> Self {
+        let position = StorePosition { era: message.era, revision: message.revision };
+        Self { position, id: message.id }
     }
 }
 
 impl From<ColdUpstream> for peer::ColdUpstream {
     fn from(ColdUpstream { name, left }: ColdUpstream) -> Self {
-        Self { name, left_ms: short_millis(left) }
+        Self { name, left_ms: saturating_millis(left) }
     }
 }
 
 impl From<peer::ColdUpstream> for ColdUpstream {
-    fn from(wire: peer::ColdUpstream) -> Self {
-        Self { name: wire.name, left: Duration::from_millis(u64::from(wire.left_ms)) }
+    fn from(message: peer::ColdUpstream) -> Self {
+        Self { name: message.name, left: Duration::from_millis(u64::from(message.left_ms)) }
     }
 }
 
@@ -214,9 +224,9 @@
 }
 
 impl From<peer::ZoneEvacuation> for ZoneEvacuation {
-    fn from(wire: peer::ZoneEvacuation) -> Self {
-        let written = StorePosition { era: wire.era, revision: wire.revision };
-        Self { written, zone: wire.zone }
+    fn from(message: peer::ZoneEvacuation) -> Self {
+        let written = StorePosition { era: message.era, revision: message.revision };
+        Self { written, zone: message.zone }
     }
 }
 
@@ -232,7 +242,7 @@
             revision: written.revision,
             era: written.era,
             born: entry.started_at_ms,
-            lapses_in_ms: expires_in.map(short_millis),
+            lapses_in_ms: expires_in.map(saturating_millis),
         }
     }
 }
@@ -240,26 +250,27 @@
 impl TryFrom<peer::DirectoryEntry> for PeerEntry {
     type Error = std::net::AddrParseError;
 
-    fn try_from(wire: peer::DirectoryEntry) -> Result<Self, Self::Error> {
+    fn try_from(message: peer::DirectoryEntry) -> Result<Self, Self::Error> {
         let entry = DirectoryEntry {
-            id: wire.id,
-            pool: wire.pool,
-            address: wire.address.parse()?,
-            zone: wire.zone,
-            slots: wire.slots,
-            leaving: wire.leaving,
-            started_at_ms: wire.born,
+            id: message.id,
+            pool: message.pool,
+            address: message.address.parse()?,
+            zone: message.zone,
+            slots: message.slots,
+            leaving: message.leaving,
+            started_at_ms: message.born,
         };
-        let expires_in = wire.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
-        let written = StorePosition { era: wire.era, revision: wire.revision };
+        let expires_in =
+            message.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
+        let written = StorePosition { era: message.era, revision: message.revision };
         Ok(Self { written, entry, expires_in })
     }
 }
 
-fn short_millis(duration: Duration) -> u32 {
+fn saturating_millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn millis(duration: Duration) -> i64 {
+fn signed_millis(duration: Duration) -> i64 {
     i64::try_from(duration.as_millis()).unwrap_or(i64::MAX)
 }
