--- a/crates/crocusdale_core/src/lib.rs
+++ b/crates/crocusdale_core/src/lib.rs
@@ -1,24 +1,28 @@
-//! Decisions of crocusdale, without sockets, clocks or unseeded randomness.
+//! Core logic of crocusdale as a deterministic state machine: it uses no sockets, no clock and no
+//! unseeded randomness.
 //!
-//! Events and the current time go in, commands come out; whoever embeds [`DaemonCore`] carries the
-//! commands out. The daemon does so over the network, tests do so in virtual time.
+//! [`DaemonCore`] takes events and the current time, and returns commands that its caller executes.
+//! The daemon process executes them over the network. Tests execute them in virtual time.
 //!
-//! * [`identity`]: names, incarnations, request keys, time.
-//! * [`configuration`]: settings and declarations, checked wholly; which revision is in force.
-//! * [`membership`]: the VM list, heartbeats, addresses for callers, witnesses of a key.
-//! * [`claims`]: at most one run per key, and honest answers about it.
-//! * [`tickets`]: proof of a request's age by the clock of one process.
-//! * [`admission`]: limits on what runs at one time.
-//! * [`batching`]: calls that pieces of many requests share.
-//! * [`routing`]: which upstream gets an attempt.
-//! * [`orders`]: what model engines must hold, and who tells them.
-//! * [`quarantine`]: requests that crash their upstreams.
-//! * [`rate_limiting`]: upstreams that name how many requests a second they take.
-//! * [`retry`]: when an attempt may be repeated.
-//! * [`pipeline`]: the life of one request through its stages.
-//! * [`sync`]: the one way of taking a lock.
-//! * [`wire`]: conversions from and to messages between daemons.
-//! * [`daemon`]: all of it behind one pair of events and commands.
+//! * [`identity`]: identifiers of processes, requests and attempts; hashes; monotonic time.
+//! * [`configuration`]: validated settings and declarations, and the revision in force.
+//! * [`membership`]: the VM list, heartbeats and gossip, addresses for callers, and the witnesses
+//!   of a request key.
+//! * [`claims`]: at-most-once execution of requests by idempotency key, and proof of whether a key
+//!   ran.
+//! * [`tickets`]: proof of the age of an idempotency key by the clock of a single process.
+//! * [`admission`]: limits on concurrent requests, and load shedding.
+//! * [`batching`]: calls to upstreams that pieces of many requests share.
+//! * [`routing`]: choice of the upstream for each attempt.
+//! * [`orders`]: desired state of model engines, and the daemon that sends it.
+//! * [`quarantine`]: quarantine of requests that crash the upstreams which run them.
+//! * [`rate_limiting`]: rate limits for upstreams that announce how many requests per second they
+//!   accept.
+//! * [`retry`]: retry budgets.
+//! * [`pipeline`]: execution of a single request through its stages.
+//! * [`sync`]: locking that tolerates poisoned mutexes.
+//! * [`wire`]: conversions between core types and the messages that daemons exchange.
+//! * [`daemon`]: the state machine that combines all other modules.
 //!
 //! # Examples
 //!
--- a/crates/crocusdale_core/src/sync.rs
+++ b/crates/crocusdale_core/src/sync.rs
@@ -1,9 +1,10 @@
-//! The one way in which this project takes a lock.
+//! Locking that tolerates poisoned mutexes. All code of this crate locks its mutexes this way.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks `part`, also after a panic in another thread: parts are changed by whole steps, so what a
-/// panic left behind can still refuse and answer.
-pub fn lock<T>(part: &Mutex<T>) -> MutexGuard<'_, T> {
-    part.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks `mutex`, even if another thread has panicked while it held the lock. Each change of the
+/// protected state leaves it consistent, so the daemon can go on serving or refusing requests after
+/// a panic.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
