--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -103,16 +103,16 @@
     Passed,
     /// The first event of a forwarded stream was passed on to the caller.
     Flowing,
-    /// All work items of a batched step have results.
+    /// All pieces of a batched step have results.
     PiecesMade(Vec<PlacedResult>),
-    /// Work items of a batched step have no results, and the dispatcher no longer retries them.
+    /// Pieces of a batched step have no results, and the dispatcher no longer retries them.
     PiecesFailed {
         /// Reason for the failure.
         fault: PieceFault,
         /// Time after which the pool is expected to have capacity again.
         retry_after: Duration,
     },
-    /// The daemon that dispatches the work items can't be reached, or has stopped. Holds its VM
+    /// The daemon that dispatches the pieces can't be reached, or has stopped. Holds its VM
     /// name.
     DispatcherLost(String),
     /// No byte of the call was written.
@@ -160,19 +160,19 @@
     Unwanted,
 }
 
-/// Why work items of a batched step have no results.
+/// Why pieces of a batched step have no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum PieceFault {
-    /// The time limit of the work items passed while they were still queued.
+    /// The time limit of the pieces passed while they were still queued.
     Late,
-    /// An input result of the work items no longer exists.
+    /// An input result of the pieces no longer exists.
     InputGone,
-    /// Upstreams failed the work items more often than the retry budget allows.
+    /// Upstreams failed the pieces more often than the retry budget allows.
     Failed,
     /// The pool has no upstreams.
     NoUpstream,
-    /// Another daemon now dispatches the pool, and no work item had been sent in a call.
+    /// Another daemon now dispatches the pool, and no piece had been sent in a call.
     Moved,
     /// Upstreams crashed while they ran this request, so it is quarantined.
     Quarantined,
--- a/crates/crocusdale_core/src/pipeline/forward_head.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_head.rs
@@ -14,7 +14,7 @@
     pub content: RequestDigest,
     /// Access key of the caller, if the request carries one.
     pub access: Option<String>,
-    /// Number of work items for each step of the pipeline, by position; 0 skips a batched step.
+    /// Number of pieces for each step of the pipeline, by position; 0 skips a batched step.
     pub pieces: Vec<u32>,
     /// Reference to the caller's input, from which upstreams compute the results of the first
     /// batched steps.
@@ -60,7 +60,7 @@
     pub tokens: u32,
 }
 
-/// Location of a work item's result, in the notation of the upstream that stores it.
+/// Location of a piece's result, in the notation of the upstream that stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ResultHandle(Arc<str>);
 
--- a/crates/crocusdale_core/src/pipeline/piece_order.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_order.rs
@@ -2,7 +2,8 @@
 
 use super::ResultHandle;
 
-/// Work items of one batched step of one request, as submitted to a dispatcher.
+/// Order to a dispatcher to compute the pieces of one batched step of one request. A piece is one
+/// unit of work; an upstream call can contain pieces of several requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PieceOrder {
     /// Attempt that the results go to. Its id is unique across all processes.
@@ -11,15 +12,15 @@
     pub request: String,
     /// Digest that repeats of the request share; `None` if the sending daemon does not tell it.
     pub digest: Option<RequestDigest>,
-    /// Configuration section of the pool that runs the work items.
+    /// Configuration section of the pool that runs the pieces.
     pub pool: String,
     /// Position of the step in its pipeline.
     pub step: u32,
-    /// Number of work items.
+    /// Number of pieces.
     pub pieces: u32,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Input from which the work items are computed.
+    /// Input from which the pieces are computed.
     pub source: PieceSource,
     /// Configuration section of the pool whose upstreams hold the inputs, if the inputs are large
     /// and no other step reads them. They can then be freed as soon as they are fetched.
@@ -34,11 +35,11 @@
     pub due: MonotonicTime,
     /// Time after which the results are of no use.
     pub expires: MonotonicTime,
-    /// Whether another dispatcher may already have worked on these work items.
+    /// Whether another dispatcher may already have worked on these pieces.
     pub repeated: bool,
 }
 
-/// Input from which the work items of a batched step are computed.
+/// Input from which the pieces of a batched step are computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceSource {
     /// Reference to the caller's input, as the request states it.
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -1,4 +1,4 @@
-//! Batched steps, whose work items share upstream calls with those of other requests.
+//! Batched steps, whose pieces share upstream calls with those of other requests.
 
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 
 /// Maximum number of dispatchers that are tried for one batched step.
 const MAX_DISPATCHERS: usize = 3;
-/// Maximum number of times that work items which were in no call are handed to another dispatcher.
+/// Maximum number of times that pieces which were in no call are handed to another dispatcher.
 /// A pool changes its dispatcher once for each daemon that joins or leaves. More changes than this
 /// within a second mean that the daemons do not agree on their membership.
 const MAX_DISPATCHER_CHANGES: u32 = 5;
 /// Fraction (one part in this many) of an upstream's result memory below which the inputs of a step
 /// are kept until the step has ended. Freeing such small inputs as soon as they are fetched gains
-/// almost no memory, and a work item that then fails at random would make its request compute them
+/// almost no memory, and a piece that then fails at random would make its request compute them
 /// again.
 const EARLY_FREE_DIVISOR: u64 = 50;
 /// Fetched bytes from which on a step runs in the availability zone of its inputs, instead of the
@@ -93,7 +93,7 @@
         (reader_count == 1 && is_large).then(|| producer.pool_section.clone())
     }
 
-    /// Records that `section` of the pool runs the work items of the attempt `id`.
+    /// Records that `section` of the pool runs the pieces of the attempt `id`.
     pub fn note_section(&mut self, id: AttemptId, section: &str) {
         if let Some(step_run) = self.step_runs.iter_mut().find(|step_run| step_run.is_attempt(id)) {
             section.clone_into(&mut step_run.pool_section);
@@ -101,7 +101,7 @@
     }
 
     /// Availability zone that holds most input bytes of the step at `position`, if they are large.
-    /// Each work item of the step fetches all inputs.
+    /// Each piece of the step fetches all inputs.
     fn input_zone(&self, position: usize) -> Option<String> {
         let input_steps = &self.plan.pipeline.plan.steps()[position].after;
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Submits the work items of a lost dispatcher to the dispatcher that ranks next.
+    /// Submits the pieces of a lost dispatcher to the dispatcher that ranks next.
     pub(super) fn handle_lost_dispatcher(
         &mut self,
         index: usize,
@@ -206,8 +206,9 @@
         self.close_step_runs(actions);
         self.free_all_results(actions);
         self.has_freed_results = false;
-        let forward = self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
-        self.forward_history = forward.map(|step_run| (step_run.attempts, step_run.tried));
+        let forward_run =
+            self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
+        self.forward_history = forward_run.map(|step_run| (step_run.attempts, step_run.tried));
         actions.push(count(CounterName::StepsRemade));
         self.start_ready_steps(now, actions);
     }
@@ -222,7 +223,7 @@
 
     /// Frees the inputs of the step at `position` that no unfinished step needs. An upstream's
     /// result memory holds only the results of a few seconds, and each result that stays keeps out
-    /// work items of another request.
+    /// pieces of another request.
     pub(super) fn free_unneeded_inputs(&mut self, position: usize, actions: &mut Vec<ShardAction>) {
         for input_step in self.plan.pipeline.plan.steps()[position].after.clone() {
             let plan = self.plan.pipeline.plan.steps();
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -186,7 +186,7 @@
         self.pipeline.forward.as_ref()
     }
 
-    /// Number of work items of the batched step at `position`; 1 if the request does not say.
+    /// Number of pieces of the batched step at `position`; 1 if the request does not say.
     #[must_use]
     pub fn pieces(&self, position: usize) -> u32 {
         let pieces = self.request.forward().and_then(|head| head.pieces.get(position));
@@ -199,7 +199,7 @@
         match (step.work, self.stage(&step.stage).kind) {
             (StepWork::Batched { .. }, PoolKind::Batch(rules)) => match self.pieces(position) {
                 0 => Duration::ZERO,
-                // Work items share calls, which are half full on average.
+                // Pieces share calls, which are half full on average.
                 pieces => rules.expected(pieces.max(rules.pieces / 2)),
             },
             (StepWork::Forward, PoolKind::Engine(_)) => DEFAULT_FIRST_RESPONSE_TIME,
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,8 +10,9 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// Minimum retry delay for a caller whose request was shed. A batched call takes a few tenths of a
-/// second, so the queues have moved on by then.
+/// Minimum retry delay for a caller whose request was shed, unless less time is left until the
+/// request's deadline; then that time is the minimum. A batched call takes a few tenths of a second,
+/// so the queues have moved on by then.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
@@ -281,7 +282,7 @@
     /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
-        match self.plan.forward().map(|forward| forward.repeat) {
+        match self.plan.forward().map(|rules| rules.repeat) {
             None => !self.plan.repeatable,
             // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
@@ -354,9 +355,7 @@
     pub(super) fn can_repeat(&self, index: usize) -> bool {
         match self.plan.forward() {
             None => self.plan.repeatable,
-            Some(forward) => {
-                self.plan.repeatable && self.step_runs[index].attempts < forward.attempts
-            }
+            Some(rules) => self.plan.repeatable && self.step_runs[index].attempts < rules.attempts,
         }
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Records that `section` of the pool runs the work items of `attempt`.
+    /// Records that `section` of the pool runs the pieces of `attempt`.
     pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
         if let Some(active_run) = self.runs.get_mut(&attempt.call) {
             active_run.run.note_section(attempt, section);
@@ -257,11 +257,11 @@
     pub fn denied_for(
         &mut self,
         call: CallId,
-        why: (RefusalReason, Duration),
+        refusal: (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.settle_run(call, now, actions, |run, actions| run.denied_for(why, now, actions));
+        self.settle_run(call, now, actions, |run, actions| run.denied_for(refusal, now, actions));
     }
 
     /// Ends every run with `reason`.
--- a/crates/crocusdale_core/src/pipeline/shard_action.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -32,20 +32,20 @@
         /// How the attempt ended.
         report: AttemptReport,
     },
-    /// Submit the work items of a batched step to a dispatcher that has not failed them before.
+    /// Submit the pieces of a batched step to a dispatcher that has not failed them before.
     SubmitPieces {
-        /// Work items to submit.
+        /// Pieces to submit.
         order: Box<PieceOrder>,
-        /// VM names of the dispatchers that already failed the work items.
+        /// VM names of the dispatchers that already failed the pieces.
         tried: Vec<String>,
         /// Slot request of the forwarded step that will fetch the results, if they are large.
         target: Option<Box<SlotRequest>>,
     },
-    /// Cancel work items that are no longer needed.
+    /// Cancel pieces that are no longer needed.
     CancelPieces {
-        /// Attempt that the work items belong to.
+        /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Configuration section of the pool that runs the work items.
+        /// Configuration section of the pool that runs the pieces.
         pool: String,
     },
     /// Free results that are no longer needed.
--- a/crates/crocusdale_core/src/pipeline/step_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -13,7 +13,7 @@
     /// Position of the step in the pipeline's plan.
     pub(super) step: usize,
     pub(super) stage: String,
-    /// Configuration section of the pool that runs the step's work items; for other steps, the
+    /// Configuration section of the pool that runs the step's pieces; for other steps, the
     /// stage name.
     pub(super) pool_section: String,
     pub(super) work: StepWork,
@@ -22,7 +22,7 @@
     pub(super) attempts: u32,
     /// Names of the upstreams, or of the VMs of dispatchers, that failed the step.
     pub(super) tried: Vec<String>,
-    /// Number of times that the work items were handed to another dispatcher before any call
+    /// Number of times that the pieces were handed to another dispatcher before any call
     /// contained them.
     pub(super) dispatcher_changes: u32,
     pub(super) in_flight: Option<InFlightAttempt>,
@@ -49,7 +49,7 @@
 pub(super) enum AttemptKind {
     /// A JSON call of a stage, with the assembler for a streamed answer.
     Json(StreamAssembler),
-    /// Work items that were handed to a dispatcher.
+    /// Pieces that were handed to a dispatcher.
     Pieces,
     /// The caller's own request, forwarded to an upstream.
     Forward,
