--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -23,7 +23,7 @@
     pub stream: bool,
     /// Whether the call needs a new connection. The peer can close a pooled connection just as the
     /// call is written, and then it is unknown whether the call ran.
-    pub fresh: bool,
+    pub needs_new_connection: bool,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
     /// Time after which the call must no longer be written.
@@ -49,8 +49,8 @@
     pub inputs: Vec<ResultHandle>,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Whether the request needs a new connection, see [`AttemptOrder::fresh`].
-    pub fresh: bool,
+    /// Whether the request needs a new connection, see [`AttemptOrder::needs_new_connection`].
+    pub needs_new_connection: bool,
     /// Maximum number of idle connections that may be kept to the upstream.
     pub kept_connections: usize,
     /// Deadline of the request, after which it must no longer be written.
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -27,7 +27,7 @@
             workspace: (!workspace.is_empty()).then(|| workspace.clone()),
             inputs: self.forward_inputs().iter().map(|result| result.handle.clone()).collect(),
             level: self.plan.level,
-            fresh: !self.plan.repeatable,
+            needs_new_connection: !self.plan.repeatable,
             kept_connections: grant.max_idle_connections,
             expires: self.plan.deadline,
             write_by: now + CONNECT_TIMEOUT,
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -53,7 +53,7 @@
             body: serde_json::to_vec(&input)
                 .expect("a stage input has no maps, so it always serializes to JSON"),
             stream: stage.stream,
-            fresh: !self.plan.repeatable,
+            needs_new_connection: !self.plan.repeatable,
             level: self.plan.level,
             expires: self.plan.deadline,
         }
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -18,7 +18,7 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
     let first = daemon.last_relay();
-    assert!(first.fresh, "a kept connection may close just as the order is written");
+    assert!(first.needs_new_connection, "a kept connection may close just as the order is written");
     assert_eq!(first.workspace.as_deref(), Some("letters"));
     daemon.headed(first.attempt, 503, RunProof::Declined);
     let second = daemon.last_relay();
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -98,7 +98,7 @@
 ) -> Option<AttemptEvent> {
     let attempt = order.attempt;
     let pool = engine.connections();
-    let mut connection = match pool.connect(order.address, order.fresh).await {
+    let mut connection = match pool.connect(order.address, order.needs_new_connection).await {
         Ok(connection) => connection,
         Err(fault) => return Some(send_failed(engine, call, order, &fault)),
     };
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -71,7 +71,7 @@
     }
 
     fn client_for(&self, order: &AttemptOrder) -> Option<Client> {
-        if order.fresh {
+        if order.needs_new_connection {
             return build_client(0);
         }
         let mut clients = lock(&self.clients);
