--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -151,13 +151,15 @@
     /// The answer could not be parsed.
     Malformed,
     /// The answer carried the id of another attempt.
-    Foreign,
+    #[strum(serialize = "foreign")]
+    OtherAttempt,
     /// No data arrived for longer than the stage's silence timeout.
     Silent,
     /// The answer exceeded the size limit.
     TooLarge,
     /// The caller disconnected before the answer ended.
-    Unwanted,
+    #[strum(serialize = "unwanted")]
+    CallerDisconnected,
 }
 
 /// Why pieces of a batched step have no results.
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -102,7 +102,7 @@
             }
             Err(fault) => {
                 let reason = match fault {
-                    StreamFault::Foreign => BreakReason::Foreign,
+                    StreamFault::OtherAttempt => BreakReason::OtherAttempt,
                     StreamFault::OutOfOrder => BreakReason::Malformed,
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -195,7 +195,7 @@
             AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
             AttemptEvent::Answered { echo, answer } => {
                 if echo != Some(id) {
-                    let failure = AttemptFailure::Broken(BreakReason::Foreign);
+                    let failure = AttemptFailure::Broken(BreakReason::OtherAttempt);
                     return self.handle_attempt_failure(index, failure, now, actions);
                 }
                 self.attempt_counts.executed += 1;
--- a/crates/crocusdale_core/src/pipeline/step_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -115,7 +115,7 @@
             Self::NotSent => CounterName::AttemptsNotSent,
             Self::Declined => CounterName::AttemptsDeclined,
             Self::NotRun => CounterName::AttemptsNotRun,
-            Self::Broken(BreakReason::Foreign) => CounterName::ForeignAnswers,
+            Self::Broken(BreakReason::OtherAttempt) => CounterName::ForeignAnswers,
             Self::Broken(BreakReason::Silent) => CounterName::SilentAttempts,
             Self::Broken(_) => CounterName::BrokenAnswers,
             Self::Pieces(_) => CounterName::PiecesFailed,
--- a/crates/crocusdale_core/src/pipeline/stream_assembler.rs
+++ b/crates/crocusdale_core/src/pipeline/stream_assembler.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFault {
     /// A line carries the id of another attempt.
-    Foreign,
+    OtherAttempt,
     /// A line is missing, repeated, or follows the last line.
     OutOfOrder,
     /// The text exceeds the size limit.
@@ -59,7 +59,7 @@
     /// Returns why the stream is rejected; no more lines may be appended after that.
     pub fn take(&mut self, line: &StreamLine) -> Result<Option<&str>, StreamFault> {
         if line.attempt.parse() != Ok(self.attempt) {
-            return Err(StreamFault::Foreign);
+            return Err(StreamFault::OtherAttempt);
         }
         if self.ended || line.index != self.text_lines || (line.end && !line.text.is_empty()) {
             return Err(StreamFault::OutOfOrder);
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -117,7 +117,7 @@
     let (parts, body) = response.into_parts();
     let head = read_head(parts.status, &parts.headers, &call.attempt);
     if head.foreign {
-        return Some(AttemptEvent::Broken(BreakReason::Foreign));
+        return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
     engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let success = parts.status.is_success();
@@ -239,7 +239,7 @@
             }
             if self.events.send(event.bytes).await.is_err() {
                 // The caller is gone; its call says so to the core.
-                return Some(AttemptEvent::Broken(BreakReason::Unwanted));
+                return Some(AttemptEvent::Broken(BreakReason::CallerDisconnected));
             }
             if !self.flowing {
                 self.flowing = true;
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -45,7 +45,7 @@
     let leaving = header(LEAVING_HEADER) == Some("1");
     let echo: Option<AttemptId> = header(ATTEMPT_HEADER).and_then(|text| text.parse().ok());
     if echo.is_some_and(|echo| echo != attempt) {
-        return AttemptEvent::Broken(BreakReason::Foreign);
+        return AttemptEvent::Broken(BreakReason::OtherAttempt);
     }
     let greeting = AttemptEvent::Greeted { life, leaving };
     engine.feed(DaemonEvent::Attempt { attempt, event: greeting });
