--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -244,7 +244,7 @@
         let retry_after = wait.retry_after();
         lock(&self.pool_waits).note(pool, wait, now);
         let event = match outcome {
-            Ok(results) => AttemptEvent::PiecesMade(results),
+            Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
         self.shard(attempt.call.0).attempt_event(attempt, event, now, steps);
--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -98,13 +98,13 @@
 pub enum AttemptEvent {
     /// The response head of a forwarded request arrived, together with the whole body unless the
     /// response is a stream. The response is held until [`crate::daemon::Command::ReleaseAnswer`].
-    Headed(AnswerHead),
+    HeadReceived(AnswerHead),
     /// The response to a forwarded request was passed on to the caller in full.
-    Passed,
+    ResponseForwarded,
     /// The first event of a forwarded stream was passed on to the caller.
-    Flowing,
+    StreamStarted,
     /// All pieces of a batched step have results.
-    PiecesMade(Vec<PlacedResult>),
+    PiecesCompleted(Vec<PlacedResult>),
     /// Pieces of a batched step have no results, and the dispatcher no longer retries them.
     PiecesFailed {
         /// Reason for the failure.
@@ -118,7 +118,7 @@
     /// No byte of the call was written.
     NotSent,
     /// The response head arrived from the upstream process `life`.
-    Greeted {
+    ProcessIdentified {
         /// Identity of the process behind the upstream.
         life: String,
         /// Whether the process announced that it is shutting down.
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -187,7 +187,7 @@
                 self.step_runs[index].attempts -= 1;
                 self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
-            AttemptEvent::Greeted { life, leaving } => {
+            AttemptEvent::ProcessIdentified { life, leaving } => {
                 let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardAction::RecordProcess { upstream, life, leaving });
                 None
@@ -209,14 +209,16 @@
             AttemptEvent::Broken(reason) => {
                 self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
-            AttemptEvent::Headed(head) => self.handle_response_head(index, id, head, now, actions),
-            AttemptEvent::Flowing => {
+            AttemptEvent::HeadReceived(head) => {
+                self.handle_response_head(index, id, head, now, actions)
+            }
+            AttemptEvent::StreamStarted => {
                 let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardAction::RecordStreamStart { upstream, call: self.call });
                 self.free_all_results(actions);
                 None
             }
-            AttemptEvent::Passed => {
+            AttemptEvent::ResponseForwarded => {
                 if self.has_upstream_success {
                     actions.push(ShardAction::RecordSuccess(self.plan.digest));
                 }
@@ -225,7 +227,7 @@
                 self.free_all_results(actions);
                 self.complete_step(index, StepOutput::Forwarded, now, actions)
             }
-            AttemptEvent::PiecesMade(results) => {
+            AttemptEvent::PiecesCompleted(results) => {
                 self.complete_step(index, StepOutput::Results(results), now, actions)
             }
             AttemptEvent::PiecesFailed { fault, retry_after } => {
--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -54,7 +54,7 @@
         }
         for relay in std::mem::take(&mut daemon.relays) {
             daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
     last
--- a/crates/crocusdale_core/tests/crashing_piece_test.rs
+++ b/crates/crocusdale_core/tests/crashing_piece_test.rs
@@ -60,7 +60,7 @@
         }
         for relay in std::mem::take(&mut self.daemon.relays) {
             self.daemon.headed(relay.attempt, 200, RunProof::Ran);
-            self.daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            self.daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         self.daemon.advance(100);
     }
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -130,7 +130,7 @@
             for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
                 self.sent.push(at);
                 let head = AnswerHead { status: 200, proof: RunProof::Ran };
-                let (attempt, event) = (order.attempt, AttemptEvent::Headed(head));
+                let (attempt, event) = (order.attempt, AttemptEvent::HeadReceived(head));
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
                 let mut until = at + RUN_TIME;
                 if self.upstreams_leave {
@@ -215,7 +215,7 @@
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
             self.sent.push(at);
             let head = AnswerHead { status: 200, proof: RunProof::Ran };
-            for event in [AttemptEvent::Headed(head), AttemptEvent::Passed] {
+            for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt: order.attempt, event });
             }
         }
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -25,7 +25,7 @@
     assert_ne!(second.upstream, first.upstream);
     daemon.headed(second.attempt, 200, RunProof::Ran);
     assert_eq!(daemon.passed_on, [second.attempt]);
-    daemon.attempt(second.attempt, AttemptEvent::Passed);
+    daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
@@ -56,7 +56,7 @@
     assert_ne!(second.upstream, first.upstream);
     assert!(daemon.cancelled.contains(&first.attempt));
     daemon.headed(second.attempt, 200, RunProof::Ran);
-    daemon.attempt(second.attempt, AttemptEvent::Passed);
+    daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
@@ -99,7 +99,7 @@
     let first = daemon.last_relay();
     assert_eq!(first.inputs.len(), 3);
     daemon.headed(first.attempt, 200, RunProof::Ran);
-    daemon.attempt(first.attempt, AttemptEvent::Flowing);
+    daemon.attempt(first.attempt, AttemptEvent::StreamStarted);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     assert_eq!(daemon.relays.len(), 1, "an engine would refuse it without its inputs");
     daemon.advance(5_00);
@@ -108,7 +108,7 @@
     assert_ne!(second.upstream, first.upstream);
     assert_eq!(second.inputs.len(), 3);
     daemon.headed(second.attempt, 200, RunProof::Ran);
-    daemon.attempt(second.attempt, AttemptEvent::Passed);
+    daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
@@ -231,7 +231,7 @@
     daemon.headed(first.attempt, 421, RunProof::WrongProcess);
     let second = daemon.last_relay();
     daemon.headed(second.attempt, 200, RunProof::Ran);
-    daemon.attempt(second.attempt, AttemptEvent::Passed);
+    daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     let (_, answer) = daemon.answers.iter().find(|(each, _)| *each == call).expect("answered");
     let stage = &answer.stages[0];
     assert_eq!((&stage.upstream, stage.attempts), (&second.upstream, 1));
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -76,7 +76,7 @@
     for relay in std::mem::take(&mut daemon.relays) {
         asked.push(relay.upstream.clone());
         daemon.headed(relay.attempt, 200, RunProof::Ran);
-        daemon.attempt(relay.attempt, AttemptEvent::Passed);
+        daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
     }
     asked
 }
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -58,7 +58,7 @@
         last = last.max(to_leaving.map(|relay| relay.write_by).max());
         for relay in std::mem::take(&mut daemon.relays) {
             daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
     last
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -76,7 +76,7 @@
     daemon.advance(110);
     daemon.make_pieces();
     daemon.headed(daemon.last_relay().attempt, 200, RunProof::Ran);
-    daemon.attempt(daemon.last_relay().attempt, AttemptEvent::Passed);
+    daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
     let call = daemon.submit("/digest/8");
     for sequence in 1..=6 {
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -26,7 +26,7 @@
     while !daemon.relays.is_empty() {
         for relay in std::mem::take(&mut daemon.relays) {
             daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
 }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -326,7 +326,7 @@
     }
 
     pub fn headed(&mut self, attempt: AttemptId, status: u16, proof: RunProof) {
-        self.attempt(attempt, AttemptEvent::Headed(AnswerHead { status, proof }));
+        self.attempt(attempt, AttemptEvent::HeadReceived(AnswerHead { status, proof }));
     }
 
     pub fn make_pieces(&mut self) {
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -237,7 +237,7 @@
         }
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
         let head = AnswerHead { status: 200, proof: RunProof::Ran };
-        for event in [AttemptEvent::Headed(head), AttemptEvent::Passed] {
+        for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
             self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
         }
     }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -49,7 +49,7 @@
         for relay in std::mem::take(&mut daemon.relays) {
             asked.push((relay.upstream.clone(), relay.write_by));
             daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         daemon.advance(100);
     }
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -117,7 +117,7 @@
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
             daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
     last.since(evacuated_at)
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -125,12 +125,12 @@
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if success && head.is_stream {
-        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::Headed(head.head) });
+        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
         wanted.await.ok()?;
         let events = open_events(engine, call, attempt.call, parts.status, head);
         let mut pump = EventPump { engine, call, attempt, events, flowing: false };
         let end = pump.run(body).await;
-        if matches!(end, AttemptEvent::Passed) {
+        if matches!(end, AttemptEvent::ResponseForwarded) {
             pool.give_back(connection, &parts.headers, order.kept_connections);
         }
         return Some(end);
@@ -143,14 +143,14 @@
     if head.head.proof != RunProof::Ran {
         // Nobody ever wants this answer passed on. An attempt that waited for it would keep its
         // call, and with it the way of another attempt's events to the caller, open for good.
-        return Some(AttemptEvent::Headed(head.head));
+        return Some(AttemptEvent::HeadReceived(head.head));
     }
-    engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::Headed(head.head) });
+    engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
     wanted.await.ok()?;
     let (status, headers) = (parts.status, head.headers);
     let answer = RelayedAnswer { status, headers, body: RelayBody::Whole(body) };
     engine.reply(attempt.call, CallReply::Relayed(answer));
-    Some(AttemptEvent::Passed)
+    Some(AttemptEvent::ResponseForwarded)
 }
 
 /// What it means for an attempt that its request has no answer; the cause goes to the log.
@@ -210,7 +210,7 @@
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return AttemptEvent::Broken(BreakReason::Cut),
                 None if reader.has_rest() => return AttemptEvent::Broken(BreakReason::Cut),
-                None => return AttemptEvent::Passed,
+                None => return AttemptEvent::ResponseForwarded,
             };
             if let Some(bytes) = frame.data_ref() {
                 reader.push(bytes);
@@ -243,7 +243,7 @@
             }
             if !self.flowing {
                 self.flowing = true;
-                let event = AttemptEvent::Flowing;
+                let event = AttemptEvent::StreamStarted;
                 self.engine.feed(DaemonEvent::Attempt { attempt: self.attempt, event });
             }
         }
--- a/crates/crocusdaled/src/peer/piece_client.rs
+++ b/crates/crocusdaled/src/peer/piece_client.rs
@@ -36,7 +36,7 @@
         engine.feed(DaemonEvent::PoolWaitReported { pool: order.pool.clone(), wait });
     }
     match reply.map(read_pieces_reply) {
-        Ok(Ok(results)) => AttemptEvent::PiecesMade(results),
+        Ok(Ok(results)) => AttemptEvent::PiecesCompleted(results),
         Ok(Err(fault)) => AttemptEvent::PiecesFailed { fault, retry_after },
         Err(_) => AttemptEvent::DispatcherLost(vm.to_owned()),
     }
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -29,7 +29,7 @@
             Command::Reply { call, answer } => self.replied(life, call, &answer),
             Command::Relay(order) => self.push(HOP, ModelEvent::Relay(order)),
             Command::ReleaseAnswer { attempt, .. } => {
-                let event = DaemonEvent::Attempt { attempt, event: AttemptEvent::Flowing };
+                let event = DaemonEvent::Attempt { attempt, event: AttemptEvent::StreamStarted };
                 self.push_core(Duration::ZERO, life, event);
             }
             Command::Cancel(attempt) => {
@@ -77,7 +77,7 @@
                 let told = DaemonEvent::PoolWaitReported { pool: offered.pool, wait };
                 self.push_core(HOP, to, told);
                 let event = match outcome {
-                    Ok(results) => AttemptEvent::PiecesMade(results),
+                    Ok(results) => AttemptEvent::PiecesCompleted(results),
                     Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
                 };
                 self.push_core(HOP, to, DaemonEvent::Attempt { attempt, event });
--- a/crates/stand_ins/src/fleet_model/upstream_turns.rs
+++ b/crates/stand_ins/src/fleet_model/upstream_turns.rs
@@ -107,7 +107,7 @@
         });
         if gone {
             let head = AnswerHead { status: 503, proof: RunProof::InputGone };
-            let event = AttemptEvent::Headed(head);
+            let event = AttemptEvent::HeadReceived(head);
             self.push_core(HOP, self.life_of(attempt), DaemonEvent::Attempt { attempt, event });
             return;
         }
@@ -134,12 +134,13 @@
                 EngineNews::First(attempt) => {
                     self.first_event(attempt);
                     let head = AnswerHead { status: 200, proof: RunProof::Ran };
-                    let event = AttemptEvent::Headed(head);
+                    let event = AttemptEvent::HeadReceived(head);
                     let event = DaemonEvent::Attempt { attempt, event };
                     self.push_core(HOP, self.life_of(attempt), event);
                 }
                 EngineNews::Last(attempt) => {
-                    let event = DaemonEvent::Attempt { attempt, event: AttemptEvent::Passed };
+                    let event =
+                        DaemonEvent::Attempt { attempt, event: AttemptEvent::ResponseForwarded };
                     self.push_core(HOP * 2, self.life_of(attempt), event);
                 }
             }
