--- a/crates/crocusdale_core/src/claims/register_shard.rs
+++ b/crates/crocusdale_core/src/claims/register_shard.rs
@@ -27,7 +27,8 @@
         outcome: Option<Vec<u8>>,
     },
     /// Tombstone: no later claim of the key succeeds at this witness.
-    Buried,
+    #[serde(rename = "buried")]
+    Tombstone,
 }
 
 /// Reply of a witness.
@@ -81,13 +82,13 @@
     }
 
     /// Writes a tombstone unless the register is already written. Returns the content.
-    pub fn bury(
+    pub fn write_tombstone(
         &mut self,
         key: &RequestKey,
         now: MonotonicTime,
         key_life: Duration,
     ) -> RegisterReply {
-        self.write(key, RegisterState::Buried, now, key_life)
+        self.write(key, RegisterState::Tombstone, now, key_life)
     }
 
     /// Stores the outcome of a key that `reporter` claimed.
--- a/crates/crocusdale_core/src/claims/witness_poll.rs
+++ b/crates/crocusdale_core/src/claims/witness_poll.rs
@@ -121,7 +121,7 @@
     #[must_use]
     pub fn key_verdict(&self) -> KeyVerdict {
         let not_running = self.count_replies(|reply_state| {
-            *reply_state == ReplyState::Held(RegisterState::Buried)
+            *reply_state == ReplyState::Held(RegisterState::Tombstone)
                 || self.is_own_claim(reply_state)
         });
         if not_running >= WITNESS_QUORUM {
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -133,11 +133,11 @@
         let mut register = self.register(key);
         let reply = match claimant {
             Some(claimant) => register.claim(key, claimant, now, basis.key_life),
-            None => register.bury(key, now, basis.key_life),
+            None => register.write_tombstone(key, now, basis.key_life),
         };
         out.push(Command::Count(match &reply {
             RegisterReply::Holds(RegisterState::Claimed { .. }) => CounterName::WitnessClaims,
-            RegisterReply::Holds(RegisterState::Buried) => CounterName::WitnessTombstones,
+            RegisterReply::Holds(RegisterState::Tombstone) => CounterName::WitnessTombstones,
             RegisterReply::Abstains(_) => CounterName::WitnessAbstentions,
         }));
         reply
@@ -363,7 +363,7 @@
         steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let RegisterCall { call, witness, key, witnesses, bury } = register;
+        let RegisterCall { call, witness, key, witnesses, writes_tombstone: bury } = register;
         if witness != self.own_instance.vm {
             out.push(Command::Register { call, witness, key, witnesses, bury });
             return;
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -223,11 +223,11 @@
     key: &RequestKey,
     witnesses: &WitnessSet,
     recipients: Vec<String>,
-    bury: bool,
+    writes_tombstone: bool,
 ) -> Vec<ShardAction> {
     let to_action = |witness| {
         let (key, witnesses) = (key.clone(), witnesses.clone());
-        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, bury })
+        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, writes_tombstone })
     };
     recipients.into_iter().map(to_action).collect()
 }
--- a/crates/crocusdale_core/src/pipeline/shard_action.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -100,5 +100,5 @@
     /// All witnesses of the key.
     pub witnesses: WitnessSet,
     /// Whether to write a tombstone instead of a claim.
-    pub bury: bool,
+    pub writes_tombstone: bool,
 }
--- a/crates/crocusdale_core/src/wire/claim_messages.rs
+++ b/crates/crocusdale_core/src/wire/claim_messages.rs
@@ -26,7 +26,7 @@
                 wire.set_state(peer::RegisterState::Abstained);
                 wire.retry_after_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
             }
-            RegisterReply::Holds(RegisterState::Buried) => {
+            RegisterReply::Holds(RegisterState::Tombstone) => {
                 wire.set_state(peer::RegisterState::Buried)
             }
             RegisterReply::Holds(RegisterState::Claimed { holder, outcome }) => {
@@ -43,7 +43,7 @@
     fn from(wire: peer::RegisterReply) -> Self {
         let abstains = Self::Abstains(Duration::from_millis(wire.retry_after_ms));
         match (wire.state(), wire.holder) {
-            (peer::RegisterState::Buried, _) => Self::Holds(RegisterState::Buried),
+            (peer::RegisterState::Buried, _) => Self::Holds(RegisterState::Tombstone),
             (peer::RegisterState::Claimed, Some(holder)) => {
                 let outcome = wire.outcome.map(|outcome| outcome.body);
                 Self::Holds(RegisterState::Claimed { holder: holder.into(), outcome })
