--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -10,7 +10,7 @@
 use crate::identity::{CallId, InstanceId, MonotonicTime, RequestKey};
 use crate::membership::{LeavingUpstream, WitnessSet};
 use crate::pipeline::{
-    CallerRequest, FinalAnswer, FinalOutcome, InquiryBasis, OutcomeKind, RefusalReason,
+    CallerRequest, FinalAnswer, FinalOutcome, LookupRetention, OutcomeKind, RefusalReason,
     RegisterCall, RequestPlan, RequestShard, ShardAction,
 };
 use crate::routing::{AttemptReport, SlotGrant};
@@ -226,7 +226,7 @@
         if !shard.has_memory() {
             return Some(RefusalReason::RequestLimit);
         }
-        if plan.deadline >= plan.provable_until {
+        if plan.deadline >= plan.remembered_until {
             return Some(RefusalReason::KeyExpired);
         }
         match &plan.request.ticket {
@@ -277,8 +277,8 @@
             .zip(age)
             .map_or(Duration::ZERO, |(key_life, age)| key_life.saturating_sub(age));
         let inquiry =
-            InquiryBasis { key_life: basis.key_life, provable_until: now + provable_time };
-        self.shard(call.0).inquire(call, key, witnesses, refusal, inquiry, now)
+            LookupRetention { key_life: basis.key_life, remembered_until: now + provable_time };
+        self.shard(call.0).start_lookup(call, key, witnesses, refusal, inquiry, now)
     }
 
     /// Runs one step of a request shard and returns the steps that result from it.
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::request_shard::{ActiveRun, InquiryBasis, reply, set_timer};
+use super::request_shard::{ActiveRun, LookupRetention, reply, set_timer};
 use super::{
     FinalAnswer, FinalOutcome, HolderReply, LookupStep, OutcomeKind, OutcomeLookup, RefusalReason,
     RegisterCall, RequestPlan, RequestRun, RequestShard, ShardAction,
@@ -44,22 +44,29 @@
 
     /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
     /// the key never ran anywhere; `None` if the caller asked only for the outcome.
-    pub fn inquire(
+    pub fn start_lookup(
         &mut self,
         call: CallId,
         key: RequestKey,
         witnesses: WitnessSet,
         refusal: Option<Box<FinalOutcome>>,
-        basis: InquiryBasis,
+        retention: LookupRetention,
         now: MonotonicTime,
     ) -> Vec<ShardAction> {
-        let InquiryBasis { key_life, provable_until } = basis;
+        let LookupRetention { key_life, remembered_until } = retention;
         let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
         let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
         let answer_by = now + LOOKUP_TIMEOUT;
         actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
-        let lookup =
-            OutcomeLookup { key, poll, answer_by, key_life, provable_until, refusal, holder: None };
+        let lookup = OutcomeLookup {
+            key,
+            poll,
+            answer_by,
+            key_life,
+            remembered_until,
+            refusal,
+            holder: None,
+        };
         self.lookups.insert(call, lookup);
         self.advance_lookup(call, now, &mut actions);
         actions
@@ -139,7 +146,7 @@
         let Some(mut poll) = active_run.poll else { return };
         let key = active_run.run.plan().request.key.clone();
         let key_life = active_run.run.plan().declarations.deployment().key_life;
-        let provable_until = active_run.run.plan().provable_until;
+        let remembered_until = active_run.run.plan().remembered_until;
         self.key_table.mark_ended(key.clone(), None, key_life, now);
         actions.push(ShardAction::ReleasePermit(active_run.run.plan().permit.clone()));
         actions.push(ShardAction::Command(Command::Count(CounterName::ClaimsRefused)));
@@ -159,7 +166,7 @@
                 poll,
                 answer_by,
                 key_life,
-                provable_until,
+                remembered_until,
                 refusal,
                 holder: None,
             };
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -34,6 +34,6 @@
 pub use piece_order::{PieceOrder, PieceSource, PlacedResult};
 pub use request_plan::RequestPlan;
 pub use request_run::RequestRun;
-pub use request_shard::{InquiryBasis, RequestShard};
+pub use request_shard::{LookupRetention, RequestShard};
 pub use shard_action::{RegisterCall, ShardAction};
 pub use stream_assembler::{StreamAssembler, StreamFault, StreamLine};
--- a/crates/crocusdale_core/src/pipeline/outcome_lookup.rs
+++ b/crates/crocusdale_core/src/pipeline/outcome_lookup.rs
@@ -28,7 +28,7 @@
     pub key_life: Duration,
     /// Time until which the witnesses surely remember the key. Later, an empty register no longer
     /// proves that the key never ran.
-    pub provable_until: MonotonicTime,
+    pub remembered_until: MonotonicTime,
     /// Refusal to return if the key never ran; `None` if the caller asked only for the outcome.
     pub refusal: Option<Box<FinalOutcome>>,
     /// Claim holder that is being asked; `None` before the witnesses named one.
@@ -97,7 +97,7 @@
     /// tombstone, which would count as proof of "not run". No register is forgotten within the
     /// key's lifetime, so after that time the answer is "unknown".
     fn not_run_answer(&mut self, now: MonotonicTime) -> FinalAnswer {
-        if now >= self.provable_until {
+        if now >= self.remembered_until {
             let outcome = FinalOutcome::new(OutcomeKind::Unknown, &self.key);
             let detail = "the key may be older than its witnesses remember; say its age_ms";
             return FinalAnswer::from(outcome.reason(RefusalReason::KeyExpired).detail(detail));
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -37,7 +37,7 @@
     /// Time after which nothing is dispatched for the request.
     pub deadline: MonotonicTime,
     /// Time until which the witnesses surely remember the key.
-    pub provable_until: MonotonicTime,
+    pub remembered_until: MonotonicTime,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the key must be claimed at witnesses. A forwarded request is never claimed: its
@@ -102,7 +102,7 @@
             arrived: now,
             objective: now + request.deadline,
             deadline: now + request.deadline,
-            provable_until: now + declarations.deployment().key_life.saturating_sub(request.age),
+            remembered_until: now + declarations.deployment().key_life.saturating_sub(request.age),
             repeatable,
             claimed: !repeatable,
             is_flood: false,
@@ -156,7 +156,7 @@
             arrived: now,
             objective,
             deadline: now + timeout,
-            provable_until: now,
+            remembered_until: now,
             repeatable,
             claimed: false,
             is_flood: false,
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -35,11 +35,11 @@
 
 /// Retention times under which an outcome lookup may prove that a key never ran.
 #[derive(Clone, Copy, Debug)]
-pub struct InquiryBasis {
+pub struct LookupRetention {
     /// How long keys are remembered.
     pub key_life: Duration,
     /// Time until which the witnesses surely remember the key.
-    pub provable_until: MonotonicTime,
+    pub remembered_until: MonotonicTime,
 }
 
 impl RequestShard {
