--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -62,14 +62,14 @@
 
 /// Head of an upstream's response to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Whether the upstream ran the request.
-    pub proof: RunProof,
+    pub execution: ExecutionStatus,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Whether the HTTP status is a success (2xx).
     #[must_use]
     pub fn is_success(self) -> bool {
@@ -80,7 +80,7 @@
 /// Whether an upstream ran a forwarded request, as its response states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum RunProof {
+pub enum ExecutionStatus {
     /// The upstream ran the request, or may have run it.
     Ran,
     /// The upstream did not run the request because it lacks capacity or time.
@@ -98,7 +98,7 @@
 pub enum AttemptEvent {
     /// The response head of a forwarded request arrived, together with the whole body unless the
     /// response is a stream. The response is held until [`crate::daemon::Command::ReleaseAnswer`].
-    HeadReceived(AnswerHead),
+    HeadReceived(ResponseHead),
     /// The response to a forwarded request was passed on to the caller in full.
     ResponseForwarded,
     /// The first event of a forwarded stream was passed on to the caller.
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -3,8 +3,8 @@
 use super::request_run::{MAX_REBUILDS, count};
 use super::step_run::{AttemptFailure, StepOutput};
 use super::{
-    AnswerHead, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun, RunProof,
-    ShardAction,
+    ExecutionStatus, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun,
+    ResponseHead, ShardAction,
 };
 use crate::configuration::{PlanStep, StepWork};
 use crate::daemon::{Command, CounterName};
@@ -74,18 +74,20 @@
         &mut self,
         index: usize,
         id: AttemptId,
-        head: AnswerHead,
+        head: ResponseHead,
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        match head.proof {
-            RunProof::Ran => {}
-            RunProof::Declined | RunProof::WrongProcess | RunProof::Malformed => {
+        match head.execution {
+            ExecutionStatus::Ran => {}
+            ExecutionStatus::Declined
+            | ExecutionStatus::WrongProcess
+            | ExecutionStatus::Malformed => {
                 self.attempt_counts.possibly_sent -= 1;
                 self.step_runs[index].attempts -= 1;
                 return self.handle_attempt_failure(index, AttemptFailure::NotRun, now, actions);
             }
-            RunProof::InputGone => {
+            ExecutionStatus::InputGone => {
                 self.attempt_counts.possibly_sent -= 1;
                 self.step_runs[index].attempts -= 1;
                 self.release_slot(index, AttemptReport::Cancelled, actions);
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -23,7 +23,7 @@
 mod stream_assembler;
 
 pub use attempt::{
-    AnswerHead, AttemptEvent, AttemptOrder, BreakReason, PieceFault, RelayOrder, RunProof,
+    AttemptEvent, AttemptOrder, BreakReason, ExecutionStatus, PieceFault, RelayOrder, ResponseHead,
 };
 pub use attempt_counts::AttemptCounts;
 pub use caller_request::{CallerRequest, KEY_LIMIT, RequestContent, SubmittedRequest};
--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -16,7 +16,7 @@
 
 use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds};
 use crocusdale_core::identity::MonotonicTime;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 
 use forward_daemon::{Daemon, KEY, WITHOUT_KEYS};
 use reader_answer::answer_of_reader;
@@ -53,7 +53,7 @@
             last = Some(daemon.now);
         }
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/crashing_piece_test.rs
+++ b/crates/crocusdale_core/tests/crashing_piece_test.rs
@@ -10,7 +10,7 @@
 use crocusdale_core::batching::BatchOutcome;
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::CallId;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 
 use forward_daemon::{Daemon, KEY};
 
@@ -59,7 +59,7 @@
             }
         }
         for relay in std::mem::take(&mut self.daemon.relays) {
-            self.daemon.headed(relay.attempt, 200, RunProof::Ran);
+            self.daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             self.daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         self.daemon.advance(100);
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -19,8 +19,8 @@
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, BreakReason, CallerRequest, ForwardHead, OutcomeKind, RefusalReason,
-    RelayOrder, RequestContent, RunProof,
+    AttemptEvent, BreakReason, CallerRequest, ExecutionStatus, ForwardHead, OutcomeKind,
+    RefusalReason, RelayOrder, RequestContent, ResponseHead,
 };
 use crocusdale_core::quarantine::QUARANTINE;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
@@ -129,7 +129,7 @@
             self.fleet.run(self.fleet.now.since_start() + STEP);
             for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
                 self.sent.push(at);
-                let head = AnswerHead { status: 200, proof: RunProof::Ran };
+                let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
                 let (attempt, event) = (order.attempt, AttemptEvent::HeadReceived(head));
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
                 let mut until = at + RUN_TIME;
@@ -214,7 +214,7 @@
         self.fleet.run(self.fleet.now.since_start() + STEP);
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
             self.sent.push(at);
-            let head = AnswerHead { status: 200, proof: RunProof::Ran };
+            let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
             for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt: order.attempt, event });
             }
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use crocusdale_core::daemon::DaemonEvent;
-use crocusdale_core::pipeline::{AttemptEvent, BreakReason, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{
+    AttemptEvent, BreakReason, ExecutionStatus, OutcomeKind, RefusalReason,
+};
 
 use forward_daemon::Daemon;
 
@@ -20,10 +22,10 @@
     let first = daemon.last_relay();
     assert!(first.needs_new_connection, "a kept connection may close just as the order is written");
     assert_eq!(first.workspace.as_deref(), Some("letters"));
-    daemon.headed(first.attempt, 503, RunProof::Declined);
+    daemon.headed(first.attempt, 503, ExecutionStatus::Declined);
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
-    daemon.headed(second.attempt, 200, RunProof::Ran);
+    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
     assert_eq!(daemon.passed_on, [second.attempt]);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
@@ -51,11 +53,11 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 500, RunProof::Ran);
+    daemon.headed(first.attempt, 500, ExecutionStatus::Ran);
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     assert!(daemon.cancelled.contains(&first.attempt));
-    daemon.headed(second.attempt, 200, RunProof::Ran);
+    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -67,9 +69,9 @@
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2", "n3"], &[]);
     daemon.submit("/ask/7");
-    daemon.headed(daemon.last_relay().attempt, 500, RunProof::Ran);
+    daemon.headed(daemon.last_relay().attempt, 500, ExecutionStatus::Ran);
     let second = daemon.last_relay();
-    daemon.headed(second.attempt, 500, RunProof::Ran);
+    daemon.headed(second.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 2, "two attempts are declared");
     assert_eq!(daemon.passed_on, [second.attempt]);
 }
@@ -83,7 +85,7 @@
     let first = daemon.last_relay();
     let other = if first.upstream == "n1" { "n2" } else { "n1" };
     daemon.publish(&["n1", "n2"], &[other]);
-    daemon.headed(first.attempt, 500, RunProof::Ran);
+    daemon.headed(first.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 1);
     assert_eq!(daemon.passed_on, [first.attempt]);
 }
@@ -98,7 +100,7 @@
     daemon.make_pieces();
     let first = daemon.last_relay();
     assert_eq!(first.inputs.len(), 3);
-    daemon.headed(first.attempt, 200, RunProof::Ran);
+    daemon.headed(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::StreamStarted);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     assert_eq!(daemon.relays.len(), 1, "an engine would refuse it without its inputs");
@@ -107,7 +109,7 @@
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     assert_eq!(second.inputs.len(), 3);
-    daemon.headed(second.attempt, 200, RunProof::Ran);
+    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -121,11 +123,11 @@
     daemon.advance(220);
     daemon.make_pieces();
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 200, RunProof::Ran);
+    daemon.headed(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     let second = daemon.last_relay();
     assert_ne!(second.attempt, first.attempt);
-    daemon.headed(second.attempt, 500, RunProof::Ran);
+    daemon.headed(second.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.passed_on, [first.attempt]);
     assert_eq!(
         daemon.answer(call),
@@ -228,9 +230,9 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 421, RunProof::WrongProcess);
+    daemon.headed(first.attempt, 421, ExecutionStatus::WrongProcess);
     let second = daemon.last_relay();
-    daemon.headed(second.attempt, 200, RunProof::Ran);
+    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     let (_, answer) = daemon.answers.iter().find(|(each, _)| *each == call).expect("answered");
     let stage = &answer.stages[0];
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -9,7 +9,9 @@
 use crocusdale_core::batching::PoolWait;
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, PieceFault, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{
+    AttemptEvent, ExecutionStatus, OutcomeKind, PieceFault, RefusalReason,
+};
 
 use forward_daemon::Daemon;
 
@@ -33,7 +35,7 @@
     daemon.advance(800);
     assert_eq!(daemon.batches.len(), 1, "there is room again");
     daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, RunProof::Ran);
+    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -14,7 +14,7 @@
 use crocusdale_core::configuration::HomeRegions;
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest, stable_hash};
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 use crocusdale_core::rate_limiting::{
     LIMIT_WINDOW, RateLimiter, RateNotice, RateQuota, RateShare, RateUse, RequestRate,
 };
@@ -75,7 +75,7 @@
     let mut asked = Vec::new();
     for relay in std::mem::take(&mut daemon.relays) {
         asked.push(relay.upstream.clone());
-        daemon.headed(relay.attempt, 200, RunProof::Ran);
+        daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
         daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
     }
     asked
@@ -382,7 +382,7 @@
             }
             for relay in std::mem::take(&mut daemon.relays) {
                 asked.push(relay.upstream.clone());
-                daemon.headed(relay.attempt, 200, RunProof::Ran);
+                daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
                 // It is cut, and goes on at another engine.
                 let cut = crocusdale_core::pipeline::BreakReason::Cut;
                 daemon.attempt(relay.attempt, AttemptEvent::Broken(cut));
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -17,7 +17,7 @@
 
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::MonotonicTime;
-use crocusdale_core::pipeline::{AttemptEvent, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus};
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -57,7 +57,7 @@
         let to_leaving = daemon.relays.iter().filter(|relay| relay.upstream == "n1");
         last = last.max(to_leaving.map(|relay| relay.write_by).max());
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -11,7 +11,9 @@
 
 use batch_bench::{Bench, PIECES, made};
 use crocusdale_core::identity::AttemptId;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, PieceFault, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{
+    AttemptEvent, ExecutionStatus, OutcomeKind, PieceFault, RefusalReason,
+};
 use forward_daemon::Daemon;
 
 /// Every VM is restarted in turn, under load. The one that dispatches a pool is told to end while
@@ -75,7 +77,7 @@
     assert_eq!(daemon.answer(call), None);
     daemon.advance(110);
     daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, RunProof::Ran);
+    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
     let call = daemon.submit("/digest/8");
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -8,7 +8,7 @@
 
 use crocusdale_core::batching::PoolSection;
 use crocusdale_core::identity::stable_hash;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind};
 
 use forward_daemon::Daemon;
 
@@ -25,7 +25,7 @@
 fn answer_relays(daemon: &mut Daemon) {
     while !daemon.relays.is_empty() {
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -17,8 +17,8 @@
 };
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, CallerRequest, EngineDemand, FinalAnswer, ForwardHead, OutcomeKind,
-    PromptPart, RefusalReason, RelayOrder, RequestContent, ResultHandle, RunProof,
+    AttemptEvent, CallerRequest, EngineDemand, ExecutionStatus, FinalAnswer, ForwardHead,
+    OutcomeKind, PromptPart, RefusalReason, RelayOrder, RequestContent, ResponseHead, ResultHandle,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
@@ -325,8 +325,8 @@
         self.feed(DaemonEvent::Attempt { attempt, event });
     }
 
-    pub fn headed(&mut self, attempt: AttemptId, status: u16, proof: RunProof) {
-        self.attempt(attempt, AttemptEvent::HeadReceived(AnswerHead { status, proof }));
+    pub fn headed(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
+        self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
     pub fn make_pieces(&mut self) {
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -7,7 +7,8 @@
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, CallerRequest, ForwardHead, RelayOrder, RequestContent, RunProof,
+    AttemptEvent, CallerRequest, ExecutionStatus, ForwardHead, RelayOrder, RequestContent,
+    ResponseHead,
 };
 use crocusdale_core::rate_limiting::{RateNotice, RequestRate};
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
@@ -236,7 +237,7 @@
             self.told.entry(daemon).or_insert(self.fleet.now);
         }
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
-        let head = AnswerHead { status: 200, proof: RunProof::Ran };
+        let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
         for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
             self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
         }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -15,7 +15,7 @@
 
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::MonotonicTime;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 use crocusdale_core::rate_limiting::RateNotice;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
 
@@ -48,7 +48,7 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             asked.push((relay.upstream.clone(), relay.write_by));
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         daemon.advance(100);
@@ -104,7 +104,7 @@
             if relay.upstream == "n1" {
                 last = last.max(relay.write_by);
             }
-            daemon.headed(relay.attempt, 503, RunProof::Declined);
+            daemon.headed(relay.attempt, 503, ExecutionStatus::Declined);
         }
         let asked = ask(&mut daemon, 30);
         assert_eq!(count_of(&asked, "n1"), 0, "{notice_of:?}");
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -11,7 +11,7 @@
 
 use crocusdale_core::daemon::NewsBounds;
 use crocusdale_core::identity::{MonotonicTime, StorePosition};
-use crocusdale_core::pipeline::{AttemptEvent, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus};
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory, ZoneEvacuation};
 
 use forward_daemon::Daemon;
@@ -116,7 +116,7 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::{AttemptId, CallId};
-use crocusdale_core::pipeline::{AttemptEvent, BreakReason, EventVerdict, RelayOrder, RunProof};
+use crocusdale_core::pipeline::{
+    AttemptEvent, BreakReason, EventVerdict, ExecutionStatus, RelayOrder,
+};
 use crocusdale_core::sync::lock;
 use crocusdale_platform::notice::read_notice;
 use crocusdale_platform::relay::{RelayedHead, read_head, request_headers};
@@ -121,7 +123,7 @@
     }
     engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let success = parts.status.is_success();
-    if head.head.proof == RunProof::Ran && success && !head.signed {
+    if head.head.execution == ExecutionStatus::Ran && success && !head.signed {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if success && head.is_stream {
@@ -140,7 +142,7 @@
     };
     let body = body.to_bytes();
     pool.give_back(connection, &parts.headers, order.kept_connections);
-    if head.head.proof != RunProof::Ran {
+    if head.head.execution != ExecutionStatus::Ran {
         // Nobody ever wants this answer passed on. An attempt that waited for it would keep its
         // call, and with it the way of another attempt's events to the caller, open for good.
         return Some(AttemptEvent::HeadReceived(head.head));
--- a/crates/stand_ins/src/fleet_model/upstream_turns.rs
+++ b/crates/stand_ins/src/fleet_model/upstream_turns.rs
@@ -7,7 +7,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, PieceSource, RelayOrder, ResultHandle, RunProof,
+    AttemptEvent, ExecutionStatus, PieceSource, RelayOrder, ResponseHead, ResultHandle,
 };
 
 use super::batch_model::{BatchModel, PieceCost, SentCall, holder};
@@ -106,7 +106,7 @@
             !self.batches.get(holder(handle)).is_some_and(|each| each.has(handle, self.now))
         });
         if gone {
-            let head = AnswerHead { status: 503, proof: RunProof::InputGone };
+            let head = ResponseHead { status: 503, execution: ExecutionStatus::InputGone };
             let event = AttemptEvent::HeadReceived(head);
             self.push_core(HOP, self.life_of(attempt), DaemonEvent::Attempt { attempt, event });
             return;
@@ -133,7 +133,7 @@
             match news {
                 EngineNews::First(attempt) => {
                     self.first_event(attempt);
-                    let head = AnswerHead { status: 200, proof: RunProof::Ran };
+                    let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
                     let event = AttemptEvent::HeadReceived(head);
                     let event = DaemonEvent::Attempt { attempt, event };
                     self.push_core(HOP, self.life_of(attempt), event);
