--- a/crates/crocusdale_core/src/batching/batch_job.rs
+++ b/crates/crocusdale_core/src/batching/batch_job.rs
@@ -43,14 +43,14 @@
     /// with the earliest time goes first.
     pub(super) fn priority_time(&self) -> MonotonicTime {
         let flood_delay = if self.order.is_flood { FLOOD_DELAY } else { Duration::ZERO };
-        self.order.due + PRIORITY_LEVEL_DELAY * u32::from(self.order.level) + flood_delay
+        self.order.target_end + PRIORITY_LEVEL_DELAY * u32::from(self.order.level) + flood_delay
     }
 
     /// Whether the job is on time if its call ends at `end`. On-time jobs are served before late
     /// ones. Work already spent on the request does not count: otherwise, in a burst, each request
     /// would make the next one late.
     pub(super) fn can_meet_due(&self, end: MonotonicTime) -> bool {
-        end <= self.order.due
+        end <= self.order.target_end
     }
 
     /// Time that must remain between the end of a call and the due time for the job to wait for an
--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -170,7 +170,8 @@
             }
             let has_waiting = |job: &&mut BatchJob| !job.waiting.is_empty();
             let Some(job) = self.jobs.get_mut(attempt).filter(has_waiting) else { continue };
-            let useful_until = if now < job.order.due { job.order.due } else { job.order.expires };
+            let useful_until =
+                if now < job.order.target_end { job.order.target_end } else { job.order.expires };
             let margin = job.zone_wait_margin(default_margin);
             let waits_for_zone = job.order.zone.as_ref().is_some_and(|zone| {
                 let end = zones.get(zone.as_str());
--- a/crates/crocusdale_core/src/pipeline/piece_order.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_order.rs
@@ -32,7 +32,7 @@
     /// Whether the workspace sends far more than it usually does, so that others are served first.
     pub is_flood: bool,
     /// Time by which the results are needed for the request to meet its latency objective.
-    pub due: MonotonicTime,
+    pub target_end: MonotonicTime,
     /// Time after which the results are of no use.
     pub expires: MonotonicTime,
     /// Whether another dispatcher may already have worked on these pieces.
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -56,7 +56,7 @@
             zone: self.input_zone(position),
             level: self.plan.level,
             is_flood: self.plan.is_flood,
-            due: self.plan.target_end(position),
+            target_end: self.plan.target_end(position),
             expires: self.plan.latest_end(position),
             repeated: !self.step_runs[index].tried.is_empty() || self.rebuilds > 0,
         };
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -41,7 +41,7 @@
             results,
             zone: self.zone.clone().unwrap_or_default(),
             level: u32::from(self.level),
-            due_ms: millis(self.due.since(now)) - millis(now.since(self.due)),
+            due_ms: millis(self.target_end.since(now)) - millis(now.since(self.target_end)),
             left_ms: millis(self.expires.since(now)).unsigned_abs(),
             repeated: self.repeated,
             result_bytes: self.result_bytes,
@@ -76,7 +76,7 @@
             zone: (!wire.zone.is_empty()).then_some(wire.zone),
             level: u8::try_from(wire.level).unwrap_or(u8::MAX),
             is_flood: wire.is_flood,
-            due: MonotonicTime::from_start(due),
+            target_end: MonotonicTime::from_start(due),
             expires: now + Duration::from_millis(wire.left_ms),
             repeated: wire.repeated,
         })
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -124,7 +124,7 @@
             source: PieceSource::Caller("letter".to_owned()),
             zone: None,
             level: 1,
-            due: self.now + Duration::from_millis(due_ms),
+            target_end: self.now + Duration::from_millis(due_ms),
             expires: self.now + Duration::from_secs(6),
             inputs_pool: None,
             is_flood: false,
