--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -138,7 +138,7 @@
     #[must_use]
     pub fn mint_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
         let validity = self.state.basis().ticket_life();
-        (self.state.ticket_issuer.mint(key, now), validity)
+        (self.state.ticket_issuer.issue(key, now), validity)
     }
 
     /// Merges a peer's heartbeat and returns the heartbeat of this daemon as its answer.
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -232,7 +232,7 @@
         match &plan.request.ticket {
             Some(ticket) => {
                 let is_good =
-                    self.ticket_issuer.is_good(ticket, key, now, self.basis().ticket_life());
+                    self.ticket_issuer.is_valid(ticket, key, now, self.basis().ticket_life());
                 (!is_good).then_some(RefusalReason::BadTicket)
             }
             None => self.is_request_age_unknown(now).then_some(RefusalReason::KeyExpired),
--- a/crates/crocusdale_core/src/tickets/ticket_issuer.rs
+++ b/crates/crocusdale_core/src/tickets/ticket_issuer.rs
@@ -19,10 +19,10 @@
 /// use crocusdale_core::tickets::TicketIssuer;
 ///
 /// let (issuer, key) = (TicketIssuer::new(1, 7), RequestKey::new("mail", "order"));
-/// let ticket = issuer.mint(&key, MonotonicTime::from_millis(0));
+/// let ticket = issuer.issue(&key, MonotonicTime::from_millis(0));
 /// let life = Duration::from_millis(500);
-/// assert!(issuer.is_good(&ticket, &key, MonotonicTime::from_millis(400), life));
-/// assert!(!issuer.is_good(&ticket, &key, MonotonicTime::from_millis(501), life));
+/// assert!(issuer.is_valid(&ticket, &key, MonotonicTime::from_millis(400), life));
+/// assert!(!issuer.is_valid(&ticket, &key, MonotonicTime::from_millis(501), life));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct TicketIssuer {
@@ -40,14 +40,14 @@
 
     /// Issues a ticket for `key` at the time `now`.
     #[must_use]
-    pub fn mint(&self, key: &RequestKey, now: MonotonicTime) -> String {
+    pub fn issue(&self, key: &RequestKey, now: MonotonicTime) -> String {
         let issued_ms = u64::try_from(now.since_start().as_millis()).unwrap_or(u64::MAX);
         format!("{:x}-{issued_ms:x}-{:x}", self.incarnation, self.tag(key, issued_ms))
     }
 
     /// Whether this process incarnation issued `ticket` for `key` at most `life` ago.
     #[must_use]
-    pub fn is_good(
+    pub fn is_valid(
         &self,
         ticket: &str,
         key: &RequestKey,
