--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -8,7 +8,7 @@
 use crate::identity::{RequestDigest, RequestKey};
 
 /// Maximum length of a workspace name or of an idempotency key, in bytes.
-pub const KEY_LIMIT: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 
 /// JSON body of a request, as the caller submits it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -121,8 +121,8 @@
             ))
         };
         for (name, value) in [("workspace", &key.workspace), ("key", &key.key)] {
-            if value.is_empty() || value.len() > KEY_LIMIT {
-                let detail = format!("{name}: accepted: 1 to {KEY_LIMIT} bytes");
+            if value.is_empty() || value.len() > MAX_KEY_BYTES {
+                let detail = format!("{name}: accepted: 1 to {MAX_KEY_BYTES} bytes");
                 return refuse(RefusalReason::Malformed, detail);
             }
         }
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -26,7 +26,7 @@
     AttemptEvent, AttemptOrder, BreakReason, ExecutionStatus, PieceFault, RelayOrder, ResponseHead,
 };
 pub use attempt_counts::AttemptCounts;
-pub use caller_request::{CallerRequest, KEY_LIMIT, RequestContent, SubmittedRequest};
+pub use caller_request::{CallerRequest, MAX_KEY_BYTES, RequestContent, SubmittedRequest};
 pub use event_sequence::{EventSequence, EventVerdict};
 pub use final_answer::{FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, StageCost};
 pub use forward_head::{EngineDemand, ForwardHead, PromptPart, ResultHandle};
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -5,7 +5,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::RequestKey;
 use crocusdale_core::pipeline::{
-    CallerRequest, FinalAnswer, FinalOutcome, KEY_LIMIT, OutcomeKind, RefusalReason,
+    CallerRequest, FinalAnswer, FinalOutcome, MAX_KEY_BYTES, OutcomeKind, RefusalReason,
     SubmittedRequest,
 };
 use http::StatusCode;
@@ -111,7 +111,7 @@
             let detail = "accepted: /v1/outcomes?workspace=NAME&key=KEY[&age_ms=N]";
             return self.malformed(detail);
         };
-        if query.workspace.len() > KEY_LIMIT || query.key.len() > KEY_LIMIT {
+        if query.workspace.len() > MAX_KEY_BYTES || query.key.len() > MAX_KEY_BYTES {
             return self.malformed("workspace and key: accepted: 1 to 128 bytes");
         }
         let key = RequestKey::new(query.workspace, query.key);
