--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -7,7 +7,7 @@
 use crate::membership::{ExchangeMessage, WitnessSet};
 use crate::orders::EngineOrder;
 use crate::pipeline::{
-    AttemptOrder, FinalAnswer, PieceFault, PieceOrder, PlacedResult, RelayOrder, ResultHandle,
+    FinalAnswer, ForwardOrder, JsonCallOrder, PieceFault, PieceOrder, PlacedResult, ResultHandle,
 };
 
 /// Side effect that the state machine of the daemon asks its surrounding process to perform.
@@ -28,9 +28,9 @@
         text: String,
     },
     /// Send one attempt of a pipeline step to an upstream.
-    Send(AttemptOrder),
+    Send(JsonCallOrder),
     /// Proxy a caller's HTTP request to an upstream.
-    Relay(RelayOrder),
+    Relay(ForwardOrder),
     /// Stream the upstream's answer, which an attempt has held back so far, to the caller.
     ReleaseAnswer {
         /// Caller's call that receives the answer.
--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -8,7 +8,7 @@
 
 /// One HTTP call of an upstream, for the engine to send.
 #[derive(Clone, Debug)]
-pub struct AttemptOrder {
+pub struct JsonCallOrder {
     /// Identity of the attempt, which the upstream echoes in its answer.
     pub attempt: AttemptId,
     /// Name of the upstream.
@@ -32,7 +32,7 @@
 
 /// One forwarding of a caller's own HTTP request to an upstream.
 #[derive(Clone, Debug)]
-pub struct RelayOrder {
+pub struct ForwardOrder {
     /// Identity of the attempt.
     pub attempt: AttemptId,
     /// Name of the upstream.
@@ -49,7 +49,7 @@
     pub inputs: Vec<ResultHandle>,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Whether the request needs a new connection, see [`AttemptOrder::needs_new_connection`].
+    /// Whether the request needs a new connection, see [`JsonCallOrder::needs_new_connection`].
     pub needs_new_connection: bool,
     /// Maximum number of idle connections that may be kept to the upstream.
     pub kept_connections: usize,
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -3,7 +3,7 @@
 use super::request_run::{MAX_REBUILDS, count};
 use super::step_run::{AttemptFailure, StepOutput};
 use super::{
-    ExecutionStatus, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun,
+    ExecutionStatus, FinalAnswer, ForwardOrder, PlacedResult, RefusalReason, RequestRun,
     ResponseHead, ShardAction,
 };
 use crate::configuration::{PlanStep, StepWork};
@@ -17,9 +17,9 @@
         attempt: AttemptId,
         grant: &SlotGrant,
         now: MonotonicTime,
-    ) -> RelayOrder {
+    ) -> ForwardOrder {
         let workspace = &self.plan.request.key.workspace;
-        RelayOrder {
+        ForwardOrder {
             attempt,
             upstream: grant.upstream.clone(),
             process: grant.process.clone(),
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -5,7 +5,7 @@
 
 use super::step_run::{AttemptFailure, AttemptKind, StepOutput};
 use super::{
-    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardAction, StreamFault,
+    BreakReason, FinalAnswer, JsonCallOrder, RequestContent, RequestRun, ShardAction, StreamFault,
     StreamLine,
 };
 use crate::daemon::Command;
@@ -31,7 +31,7 @@
 }
 
 impl RequestRun {
-    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
+    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> JsonCallOrder {
         let stage = self.plan.stage(&grant.request.stage);
         let inputs = self.json_inputs(grant.request.branch);
         let RequestContent::Json(payload) = &self.plan.request.content else {
@@ -45,7 +45,7 @@
             request: payload,
             inputs: &inputs,
         };
-        AttemptOrder {
+        JsonCallOrder {
             attempt,
             upstream: grant.upstream.clone(),
             address: grant.address,
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -23,7 +23,8 @@
 mod stream_assembler;
 
 pub use attempt::{
-    AttemptEvent, AttemptOrder, BreakReason, ExecutionStatus, PieceFault, RelayOrder, ResponseHead,
+    AttemptEvent, BreakReason, ExecutionStatus, ForwardOrder, JsonCallOrder, PieceFault,
+    ResponseHead,
 };
 pub use attempt_counts::AttemptCounts;
 pub use caller_request::{CallerRequest, MAX_KEY_BYTES, RequestContent, SubmittedRequest};
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -19,8 +19,8 @@
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AttemptEvent, BreakReason, CallerRequest, ExecutionStatus, ForwardHead, OutcomeKind,
-    RefusalReason, RelayOrder, RequestContent, ResponseHead,
+    AttemptEvent, BreakReason, CallerRequest, ExecutionStatus, ForwardHead, ForwardOrder,
+    OutcomeKind, RefusalReason, RequestContent, ResponseHead,
 };
 use crocusdale_core::quarantine::QUARANTINE;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
@@ -50,7 +50,7 @@
 struct CrashingEngines {
     fleet: VirtualFleet,
     random: SmallRng,
-    running: Vec<(MonotonicTime, usize, RelayOrder)>,
+    running: Vec<(MonotonicTime, usize, ForwardOrder)>,
     engines: Vec<String>,
     leaving: Vec<String>,
     started: usize,
@@ -144,14 +144,14 @@
             let (over, running) =
                 std::mem::take(&mut self.running).into_iter().partition(|(at, ..)| now >= *at);
             self.running = running;
-            let over: Vec<(MonotonicTime, usize, RelayOrder)> = over;
+            let over: Vec<(MonotonicTime, usize, ForwardOrder)> = over;
             for (_, daemon, order) in over {
                 self.crash(daemon, &order);
             }
         }
     }
 
-    fn crash(&mut self, daemon: usize, order: &RelayOrder) {
+    fn crash(&mut self, daemon: usize, order: &ForwardOrder) {
         if !self.upstreams_live {
             self.crashed.push(self.fleet.now);
             self.fleet.ended.insert(order.upstream.clone());
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -18,7 +18,8 @@
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
     AttemptEvent, CallerRequest, EngineDemand, ExecutionStatus, FinalAnswer, ForwardHead,
-    OutcomeKind, PromptPart, RefusalReason, RelayOrder, RequestContent, ResponseHead, ResultHandle,
+    ForwardOrder, OutcomeKind, PromptPart, RefusalReason, RequestContent, ResponseHead,
+    ResultHandle,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
@@ -105,7 +106,7 @@
     pub now: MonotonicTime,
     pub timers: BTreeMap<(MonotonicTime, u64), TimerKey>,
     pub sequence: u64,
-    pub relays: Vec<RelayOrder>,
+    pub relays: Vec<ForwardOrder>,
     pub batches: Vec<BatchOrder>,
     /// Results that upstreams were told to give up.
     pub freed: Vec<ResultHandle>,
@@ -337,7 +338,7 @@
         self.feed(DaemonEvent::BatchEnded { batch: order.batch, outcome });
     }
 
-    pub fn last_relay(&self) -> RelayOrder {
+    pub fn last_relay(&self) -> ForwardOrder {
         self.relays.last().expect("the request was sent on").clone()
     }
 
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -7,7 +7,7 @@
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AttemptEvent, CallerRequest, ExecutionStatus, ForwardHead, RelayOrder, RequestContent,
+    AttemptEvent, CallerRequest, ExecutionStatus, ForwardHead, ForwardOrder, RequestContent,
     ResponseHead,
 };
 use crocusdale_core::rate_limiting::{RateNotice, RequestRate};
@@ -37,8 +37,8 @@
 
 /// What happens to an attempt next.
 enum AttemptStep {
-    Arrive(RelayOrder),
-    Answer { order: RelayOrder, rate: Option<RequestRate>, written: MonotonicTime },
+    Arrive(ForwardOrder),
+    Answer { order: ForwardOrder, rate: Option<RequestRate>, written: MonotonicTime },
 }
 
 /// A request that reached the upstream.
@@ -211,7 +211,7 @@
         self.fleet.run(until.since_start());
     }
 
-    fn arrive(&mut self, daemon: usize, order: RelayOrder, at: MonotonicTime) {
+    fn arrive(&mut self, daemon: usize, order: ForwardOrder, at: MonotonicTime) {
         let is_limited = order.process == LIMITED;
         if is_limited {
             self.arrivals.push(UpstreamArrival { at, daemon });
@@ -224,7 +224,7 @@
     fn answer(
         &mut self,
         daemon: usize,
-        order: &RelayOrder,
+        order: &ForwardOrder,
         rate: Option<RequestRate>,
         sent: MonotonicTime,
     ) {
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use crocusdale_core::identity::{AttemptId, CallId, InstanceId, MonotonicTime, RequestKey};
 use crocusdale_core::membership::{VmEntry, VmRole, VmRoster, VmState, WitnessSet};
 use crocusdale_core::pipeline::{
-    AttemptEvent, AttemptOrder, CallerRequest, FinalAnswer, HolderReply, OutcomeKind,
+    AttemptEvent, CallerRequest, FinalAnswer, HolderReply, JsonCallOrder, OutcomeKind,
     RequestContent,
 };
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder};
@@ -92,7 +92,7 @@
     pub nodes: Vec<Node>,
     pub network: Vec<Envelope>,
     /// Attempts that were sent and not answered.
-    pub attempts: Vec<(usize, u64, AttemptOrder)>,
+    pub attempts: Vec<(usize, u64, JsonCallOrder)>,
     /// Times that each key was run.
     pub runs: HashMap<RequestKey, u32>,
     /// Final answers by key.
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -8,7 +8,7 @@
 use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
 use crocusdale_core::identity::{CallId, InstanceId, MonotonicTime, StorePosition};
 use crocusdale_core::membership::{ExchangeMessage, MemberCapacity, MemberPlace, MemberStatus};
-use crocusdale_core::pipeline::{CallerRequest, FinalAnswer, RelayOrder};
+use crocusdale_core::pipeline::{CallerRequest, FinalAnswer, ForwardOrder};
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, DirectoryEntry};
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
@@ -87,7 +87,7 @@
     /// Entries of upstreams that daemons have told each other.
     pub told_entries: u64,
     /// Requests that were passed to upstreams, by which daemon and when.
-    pub relays: Vec<(usize, MonotonicTime, RelayOrder)>,
+    pub relays: Vec<(usize, MonotonicTime, ForwardOrder)>,
     /// Final answers, and the daemons that gave them.
     pub answers: Vec<(usize, CallId, FinalAnswer)>,
 }
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -5,7 +5,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::{AttemptId, CallId};
 use crocusdale_core::pipeline::{
-    AttemptEvent, BreakReason, EventVerdict, ExecutionStatus, RelayOrder,
+    AttemptEvent, BreakReason, EventVerdict, ExecutionStatus, ForwardOrder,
 };
 use crocusdale_core::sync::lock;
 use crocusdale_platform::notice::read_notice;
@@ -53,7 +53,7 @@
     }
 
     /// Carries `order` out; what the upstream does goes to the core.
-    pub fn send(&self, engine: &Arc<DaemonEngine>, order: RelayOrder) {
+    pub fn send(&self, engine: &Arc<DaemonEngine>, order: ForwardOrder) {
         let attempt = order.attempt;
         let Some(call) = lock(&self.calls).get(&attempt.call).cloned() else {
             engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
@@ -95,7 +95,7 @@
 async fn relay(
     engine: &Arc<DaemonEngine>,
     call: &RelayCall,
-    order: &RelayOrder,
+    order: &ForwardOrder,
     wanted: oneshot::Receiver<()>,
 ) -> Option<AttemptEvent> {
     let attempt = order.attempt;
@@ -159,7 +159,7 @@
 fn send_failed(
     engine: &DaemonEngine,
     call: &RelayCall,
-    order: &RelayOrder,
+    order: &ForwardOrder,
     fault: &SendFault,
 ) -> AttemptEvent {
     info!(engine.telemetry.log, "attempt_failed";
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -2,7 +2,7 @@
 
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
-use crocusdale_core::pipeline::{AttemptEvent, AttemptOrder, BreakReason, StreamLine};
+use crocusdale_core::pipeline::{AttemptEvent, BreakReason, JsonCallOrder, StreamLine};
 use futures::{StreamExt as _, TryStreamExt as _};
 use http_body_util::BodyStream;
 use serde::Deserialize;
@@ -36,7 +36,7 @@
 /// Reads an answer; its pieces go to the core, its end is returned.
 pub(super) async fn read_answer(
     engine: &Arc<DaemonEngine>,
-    order: &AttemptOrder,
+    order: &JsonCallOrder,
     response: Response,
 ) -> AttemptEvent {
     let attempt = order.attempt;
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -6,7 +6,7 @@
 
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
-use crocusdale_core::pipeline::{AttemptEvent, AttemptOrder, BreakReason};
+use crocusdale_core::pipeline::{AttemptEvent, BreakReason, JsonCallOrder};
 use crocusdale_core::sync::lock;
 use tokio::task::AbortHandle;
 use volo_http::body::Body;
@@ -38,7 +38,7 @@
 
 impl UpstreamClient {
     /// Carries `order` out; what the upstream does goes to the core.
-    pub fn send(&self, engine: &Arc<DaemonEngine>, order: AttemptOrder) {
+    pub fn send(&self, engine: &Arc<DaemonEngine>, order: JsonCallOrder) {
         let attempt = order.attempt;
         let Some(client) = self.client_for(&order) else {
             engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
@@ -70,7 +70,7 @@
         lock(&self.clients).remove(upstream);
     }
 
-    fn client_for(&self, order: &AttemptOrder) -> Option<Client> {
+    fn client_for(&self, order: &JsonCallOrder) -> Option<Client> {
         if order.needs_new_connection {
             return build_client(0);
         }
@@ -90,7 +90,7 @@
     }
 }
 
-async fn call(engine: &Arc<DaemonEngine>, client: &Client, order: AttemptOrder) -> AttemptEvent {
+async fn call(engine: &Arc<DaemonEngine>, client: &Client, order: JsonCallOrder) -> AttemptEvent {
     let left = engine.clock.until(order.expires);
     // The process may have been paused since the core decided; after the deadline nothing is
     // written any more.
@@ -116,7 +116,7 @@
 
 async fn answer(
     engine: &Arc<DaemonEngine>,
-    order: &AttemptOrder,
+    order: &JsonCallOrder,
     response: Response,
 ) -> AttemptEvent {
     if !response.status().is_success() {
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -12,7 +12,8 @@
 };
 use crocusdale_core::membership::{ExchangeMessage, MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
-    AttemptEvent, CallerRequest, FinalAnswer, ForwardHead, OutcomeKind, RelayOrder, RequestContent,
+    AttemptEvent, CallerRequest, FinalAnswer, ForwardHead, ForwardOrder, OutcomeKind,
+    RequestContent,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, DirectoryEntry};
@@ -53,7 +54,7 @@
     Try { request: u64 },
     Call { life: u64, order: BatchOrder },
     CallEnd { upstream: String },
-    Relay(RelayOrder),
+    Relay(ForwardOrder),
     EngineStep { engine: String },
     FaultBegin { fault: usize },
     FaultEnd { fault: usize },
--- a/crates/stand_ins/src/fleet_model/upstream_turns.rs
+++ b/crates/stand_ins/src/fleet_model/upstream_turns.rs
@@ -7,7 +7,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
 use crocusdale_core::pipeline::{
-    AttemptEvent, ExecutionStatus, PieceSource, RelayOrder, ResponseHead, ResultHandle,
+    AttemptEvent, ExecutionStatus, ForwardOrder, PieceSource, ResponseHead, ResultHandle,
 };
 
 use super::batch_model::{BatchModel, PieceCost, SentCall, holder};
@@ -95,7 +95,7 @@
     }
 
     /// A request reaches an engine.
-    pub(super) fn relay(&mut self, order: &RelayOrder) {
+    pub(super) fn relay(&mut self, order: &ForwardOrder) {
         let attempt = order.attempt;
         let call = (self.life_of(attempt), attempt.call);
         let Some(number) = self.calls.get(&call).copied() else { return };
