--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -32,7 +32,7 @@
             refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), steps);
             return;
         }
-        plan.delays = self.expected_delays(&plan, now);
+        plan.queueing_delays = self.expected_delays(&plan, now);
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
@@ -57,7 +57,7 @@
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
         let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
-            plan.delays = self.expected_delays(&plan, now);
+            plan.queueing_delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
                 self.refuse_overloaded(call, &plan, now, steps);
             } else {
@@ -151,7 +151,7 @@
     fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
-        self.router().refused_for(&forwarded.stage, &plan.homes, plan.deadline, now)
+        self.router().refused_for(&forwarded.stage, &plan.home_regions, plan.deadline, now)
     }
 
     /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -54,7 +54,7 @@
         let (forwarded, age) = (request.forward().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
-            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut steps),
+            Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut steps),
             Ok(plan) => self.start_claimed(call, plan, now, &mut steps),
             Err((refusal, is_pipeline_repeatable)) => {
                 let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
@@ -153,8 +153,8 @@
         now: MonotonicTime,
     ) -> Result<RequestPlan, (Box<FinalOutcome>, bool)> {
         let key = request.key.clone();
-        let mut plan =
-            RequestPlan::make(request, declarations, arrived).map_err(|refusal| (refusal, true))?;
+        let mut plan = RequestPlan::build(request, declarations, arrived)
+            .map_err(|refusal| (refusal, true))?;
         let repeatable = plan.repeatable;
         if let Some(quarantine) = self.quarantine_left(plan.digest, now) {
             return Err((refusal(&key, RefusalReason::Quarantined, quarantine), repeatable));
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -31,7 +31,7 @@
     /// Priority level; 0 is the most urgent.
     pub level: u8,
     /// Time at which the request arrived.
-    pub arrived: MonotonicTime,
+    pub arrived_at: MonotonicTime,
     /// Time by which the answer, or the first event of a stream, should be sent.
     pub objective: MonotonicTime,
     /// Time after which nothing is dispatched for the request.
@@ -40,19 +40,19 @@
     pub remembered_until: MonotonicTime,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the key must be claimed at witnesses. A forwarded request is never claimed: its
+    /// Whether the key must be claimed at witnesses. A forwarded request is never needs_claim: its
     /// caller gives every try a new identity, so only the daemon that received it can run it.
-    pub claimed: bool,
+    pub needs_claim: bool,
     /// Whether the workspace sends far more than it usually does.
     pub is_flood: bool,
     /// Admission permit, which counts the request against the concurrency limits until it is
     /// released.
     pub permit: AdmissionPermit,
     /// Regions in which upstreams may process the request.
-    pub homes: HomeRegions,
+    pub home_regions: HomeRegions,
     /// Expected queueing delay of each step on top of [`Self::step_time`], by position, from the
     /// load of the pools when the request started. Missing entries count as zero.
-    pub delays: Vec<Duration>,
+    pub queueing_delays: Vec<Duration>,
 }
 
 impl RequestPlan {
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// Returns the refusal if the configuration does not allow the request.
-    pub fn make(
+    pub fn build(
         request: CallerRequest,
         declarations: &Arc<Declarations>,
         now: MonotonicTime,
@@ -99,16 +99,16 @@
             digest: request.digest(&request.key.workspace),
             pipeline: pipeline.clone(),
             level: declarations.level_for(&labels),
-            arrived: now,
+            arrived_at: now,
             objective: now + request.deadline,
             deadline: now + request.deadline,
             remembered_until: now + declarations.deployment().key_life.saturating_sub(request.age),
             repeatable,
-            claimed: !repeatable,
+            needs_claim: !repeatable,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            homes: HomeRegions::default(),
-            delays: Vec::new(),
+            home_regions: HomeRegions::default(),
+            queueing_delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
             request,
@@ -153,16 +153,16 @@
             digest: request.digest(&request.key.workspace),
             pipeline,
             level,
-            arrived: now,
+            arrived_at: now,
             objective,
             deadline: now + timeout,
             remembered_until: now,
             repeatable,
-            claimed: false,
+            needs_claim: false,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            homes,
-            delays: Vec::new(),
+            home_regions: homes,
+            queueing_delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
             request,
@@ -217,12 +217,12 @@
 
     /// Time by which the step at `position` should end for the request to meet its latency
     /// objective, if the later steps take their expected time and the queueing delay in
-    /// [`Self::delays`].
+    /// [`Self::queueing_delays`].
     #[must_use]
     pub fn target_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
         let time_after = plan.way_after(position, |step, position| {
-            let delay = self.delays.get(position).copied().unwrap_or_default();
+            let delay = self.queueing_delays.get(position).copied().unwrap_or_default();
             self.step_time(position, step) + delay
         });
         let since_start = self.objective.since_start().saturating_sub(time_after);
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -277,7 +277,7 @@
         }
         outcome.stage = stage;
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived));
+        outcome.took = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 
@@ -348,7 +348,7 @@
             tried: step_run.tried.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            homes: self.plan.homes.clone(),
+            homes: self.plan.home_regions.clone(),
         }
     }
 
@@ -409,7 +409,7 @@
             outcome.answer = Some(self.combined_answer());
         }
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived));
+        outcome.took = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -112,7 +112,7 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        debug_assert!(!plan.claimed);
+        debug_assert!(!plan.needs_claim);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
         let mut run = RequestRun::new(call, self.own_instance.mark(), plan);
         run.begin(now, actions);
@@ -338,7 +338,7 @@
         let Some(active_run) = self.runs.remove(&call) else { return };
         let plan = active_run.run.plan();
         actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
-        if plan.claimed {
+        if plan.needs_claim {
             let key = plan.request.key.clone();
             for witness in active_run.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
