--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -10,7 +10,7 @@
 use crate::identity::{CallId, InstanceId, MonotonicTime, RequestKey};
 use crate::membership::{LeavingUpstream, WitnessSet};
 use crate::pipeline::{
-    CallerRequest, FinalAnswer, FinalOutcome, InquiryBasis, OutcomeKind, RefusalReason,
+    CallerRequest, FinalAnswer, FinalOutcome, LookupRetention, OutcomeKind, RefusalReason,
     RegisterCall, RequestPlan, RequestShard, ShardAction,
 };
 use crate::routing::{AttemptReport, SlotGrant};
@@ -54,7 +54,7 @@
         let (forwarded, age) = (request.forward().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
-            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut steps),
+            Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut steps),
             Ok(plan) => self.start_claimed(call, plan, now, &mut steps),
             Err((refusal, is_pipeline_repeatable)) => {
                 let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
@@ -133,11 +133,11 @@
         let mut register = self.register(key);
         let reply = match claimant {
             Some(claimant) => register.claim(key, claimant, now, basis.key_life),
-            None => register.bury(key, now, basis.key_life),
+            None => register.write_tombstone(key, now, basis.key_life),
         };
         out.push(Command::Count(match &reply {
             RegisterReply::Holds(RegisterState::Claimed { .. }) => CounterName::WitnessClaims,
-            RegisterReply::Holds(RegisterState::Buried) => CounterName::WitnessTombstones,
+            RegisterReply::Holds(RegisterState::Tombstone) => CounterName::WitnessTombstones,
             RegisterReply::Abstains(_) => CounterName::WitnessAbstentions,
         }));
         reply
@@ -153,8 +153,8 @@
         now: MonotonicTime,
     ) -> Result<RequestPlan, (Box<FinalOutcome>, bool)> {
         let key = request.key.clone();
-        let mut plan =
-            RequestPlan::make(request, declarations, arrived).map_err(|refusal| (refusal, true))?;
+        let mut plan = RequestPlan::build(request, declarations, arrived)
+            .map_err(|refusal| (refusal, true))?;
         let repeatable = plan.repeatable;
         if let Some(quarantine) = self.quarantine_left(plan.digest, now) {
             return Err((refusal(&key, RefusalReason::Quarantined, quarantine), repeatable));
@@ -226,13 +226,13 @@
         if !shard.has_memory() {
             return Some(RefusalReason::RequestLimit);
         }
-        if plan.deadline >= plan.provable_until {
+        if plan.deadline >= plan.remembered_until {
             return Some(RefusalReason::KeyExpired);
         }
         match &plan.request.ticket {
             Some(ticket) => {
                 let is_good =
-                    self.ticket_issuer.is_good(ticket, key, now, self.basis().ticket_life());
+                    self.ticket_issuer.is_valid(ticket, key, now, self.basis().ticket_life());
                 (!is_good).then_some(RefusalReason::BadTicket)
             }
             None => self.is_request_age_unknown(now).then_some(RefusalReason::KeyExpired),
@@ -277,8 +277,8 @@
             .zip(age)
             .map_or(Duration::ZERO, |(key_life, age)| key_life.saturating_sub(age));
         let inquiry =
-            InquiryBasis { key_life: basis.key_life, provable_until: now + provable_time };
-        self.shard(call.0).inquire(call, key, witnesses, refusal, inquiry, now)
+            LookupRetention { key_life: basis.key_life, remembered_until: now + provable_time };
+        self.shard(call.0).start_lookup(call, key, witnesses, refusal, inquiry, now)
     }
 
     /// Runs one step of a request shard and returns the steps that result from it.
@@ -363,7 +363,7 @@
         steps: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let RegisterCall { call, witness, key, witnesses, bury } = register;
+        let RegisterCall { call, witness, key, witnesses, writes_tombstone: bury } = register;
         if witness != self.own_instance.vm {
             out.push(Command::Register { call, witness, key, witnesses, bury });
             return;
--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -8,7 +8,7 @@
 
 /// One HTTP call of an upstream, for the engine to send.
 #[derive(Clone, Debug)]
-pub struct AttemptOrder {
+pub struct JsonCallOrder {
     /// Identity of the attempt, which the upstream echoes in its answer.
     pub attempt: AttemptId,
     /// Name of the upstream.
@@ -23,7 +23,7 @@
     pub stream: bool,
     /// Whether the call needs a new connection. The peer can close a pooled connection just as the
     /// call is written, and then it is unknown whether the call ran.
-    pub fresh: bool,
+    pub needs_new_connection: bool,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
     /// Time after which the call must no longer be written.
@@ -32,7 +32,7 @@
 
 /// One forwarding of a caller's own HTTP request to an upstream.
 #[derive(Clone, Debug)]
-pub struct RelayOrder {
+pub struct ForwardOrder {
     /// Identity of the attempt.
     pub attempt: AttemptId,
     /// Name of the upstream.
@@ -49,8 +49,8 @@
     pub inputs: Vec<ResultHandle>,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Whether the request needs a new connection, see [`AttemptOrder::fresh`].
-    pub fresh: bool,
+    /// Whether the request needs a new connection, see [`JsonCallOrder::needs_new_connection`].
+    pub needs_new_connection: bool,
     /// Maximum number of idle connections that may be kept to the upstream.
     pub kept_connections: usize,
     /// Deadline of the request, after which it must no longer be written.
@@ -62,14 +62,14 @@
 
 /// Head of an upstream's response to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Whether the upstream ran the request.
-    pub proof: RunProof,
+    pub execution: ExecutionStatus,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Whether the HTTP status is a success (2xx).
     #[must_use]
     pub fn is_success(self) -> bool {
@@ -80,7 +80,7 @@
 /// Whether an upstream ran a forwarded request, as its response states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum RunProof {
+pub enum ExecutionStatus {
     /// The upstream ran the request, or may have run it.
     Ran,
     /// The upstream did not run the request because it lacks capacity or time.
@@ -98,27 +98,27 @@
 pub enum AttemptEvent {
     /// The response head of a forwarded request arrived, together with the whole body unless the
     /// response is a stream. The response is held until [`crate::daemon::Command::ReleaseAnswer`].
-    Headed(AnswerHead),
+    HeadReceived(ResponseHead),
     /// The response to a forwarded request was passed on to the caller in full.
-    Passed,
+    ResponseForwarded,
     /// The first event of a forwarded stream was passed on to the caller.
-    Flowing,
-    /// All work items of a batched step have results.
-    PiecesMade(Vec<PlacedResult>),
-    /// Work items of a batched step have no results, and the dispatcher no longer retries them.
+    StreamStarted,
+    /// All pieces of a batched step have results.
+    PiecesCompleted(Vec<PlacedResult>),
+    /// Pieces of a batched step have no results, and the dispatcher no longer retries them.
     PiecesFailed {
         /// Reason for the failure.
         fault: PieceFault,
         /// Time after which the pool is expected to have capacity again.
         retry_after: Duration,
     },
-    /// The daemon that dispatches the work items can't be reached, or has stopped. Holds its VM
+    /// The daemon that dispatches the pieces can't be reached, or has stopped. Holds its VM
     /// name.
     DispatcherLost(String),
     /// No byte of the call was written.
     NotSent,
     /// The response head arrived from the upstream process `life`.
-    Greeted {
+    ProcessIdentified {
         /// Identity of the process behind the upstream.
         life: String,
         /// Whether the process announced that it is shutting down.
@@ -151,28 +151,30 @@
     /// The answer could not be parsed.
     Malformed,
     /// The answer carried the id of another attempt.
-    Foreign,
+    #[strum(serialize = "foreign")]
+    OtherAttempt,
     /// No data arrived for longer than the stage's silence timeout.
     Silent,
     /// The answer exceeded the size limit.
     TooLarge,
     /// The caller disconnected before the answer ended.
-    Unwanted,
+    #[strum(serialize = "unwanted")]
+    CallerDisconnected,
 }
 
-/// Why work items of a batched step have no results.
+/// Why pieces of a batched step have no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum PieceFault {
-    /// The time limit of the work items passed while they were still queued.
+    /// The time limit of the pieces passed while they were still queued.
     Late,
-    /// An input result of the work items no longer exists.
+    /// An input result of the pieces no longer exists.
     InputGone,
-    /// Upstreams failed the work items more often than the retry budget allows.
+    /// Upstreams failed the pieces more often than the retry budget allows.
     Failed,
     /// The pool has no upstreams.
     NoUpstream,
-    /// Another daemon now dispatches the pool, and no work item had been sent in a call.
+    /// Another daemon now dispatches the pool, and no piece had been sent in a call.
     Moved,
     /// Upstreams crashed while they ran this request, so it is quarantined.
     Quarantined,
--- a/crates/crocusdale_core/src/pipeline/json_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/json_steps.rs
@@ -5,7 +5,7 @@
 
 use super::step_run::{AttemptFailure, AttemptKind, StepOutput};
 use super::{
-    AttemptOrder, BreakReason, FinalAnswer, RequestContent, RequestRun, ShardAction, StreamFault,
+    BreakReason, FinalAnswer, JsonCallOrder, RequestContent, RequestRun, ShardAction, StreamFault,
     StreamLine,
 };
 use crate::daemon::Command;
@@ -31,7 +31,7 @@
 }
 
 impl RequestRun {
-    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> AttemptOrder {
+    pub(super) fn json_order(&self, attempt: AttemptId, grant: &SlotGrant) -> JsonCallOrder {
         let stage = self.plan.stage(&grant.request.stage);
         let inputs = self.json_inputs(grant.request.branch);
         let RequestContent::Json(payload) = &self.plan.request.content else {
@@ -45,7 +45,7 @@
             request: payload,
             inputs: &inputs,
         };
-        AttemptOrder {
+        JsonCallOrder {
             attempt,
             upstream: grant.upstream.clone(),
             address: grant.address,
@@ -53,7 +53,7 @@
             body: serde_json::to_vec(&input)
                 .expect("a stage input has no maps, so it always serializes to JSON"),
             stream: stage.stream,
-            fresh: !self.plan.repeatable,
+            needs_new_connection: !self.plan.repeatable,
             level: self.plan.level,
             expires: self.plan.deadline,
         }
@@ -102,7 +102,7 @@
             }
             Err(fault) => {
                 let reason = match fault {
-                    StreamFault::Foreign => BreakReason::Foreign,
+                    StreamFault::OtherAttempt => BreakReason::OtherAttempt,
                     StreamFault::OutOfOrder => BreakReason::Malformed,
                     StreamFault::TooLarge => BreakReason::TooLarge,
                 };
--- a/crates/crocusdale_core/src/pipeline/mod.rs
+++ b/crates/crocusdale_core/src/pipeline/mod.rs
@@ -23,10 +23,11 @@
 mod stream_assembler;
 
 pub use attempt::{
-    AnswerHead, AttemptEvent, AttemptOrder, BreakReason, PieceFault, RelayOrder, RunProof,
+    AttemptEvent, BreakReason, ExecutionStatus, ForwardOrder, JsonCallOrder, PieceFault,
+    ResponseHead,
 };
 pub use attempt_counts::AttemptCounts;
-pub use caller_request::{CallerRequest, KEY_LIMIT, RequestContent, SubmittedRequest};
+pub use caller_request::{CallerRequest, MAX_KEY_BYTES, RequestContent, SubmittedRequest};
 pub use event_sequence::{EventSequence, EventVerdict};
 pub use final_answer::{FinalAnswer, FinalOutcome, OutcomeKind, RefusalReason, StageCost};
 pub use forward_head::{EngineDemand, ForwardHead, PromptPart, ResultHandle};
@@ -34,6 +35,6 @@
 pub use piece_order::{PieceOrder, PieceSource, PlacedResult};
 pub use request_plan::RequestPlan;
 pub use request_run::RequestRun;
-pub use request_shard::{InquiryBasis, RequestShard};
+pub use request_shard::{LookupRetention, RequestShard};
 pub use shard_action::{RegisterCall, ShardAction};
 pub use stream_assembler::{StreamAssembler, StreamFault, StreamLine};
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -35,11 +35,11 @@
 
 /// Retention times under which an outcome lookup may prove that a key never ran.
 #[derive(Clone, Copy, Debug)]
-pub struct InquiryBasis {
+pub struct LookupRetention {
     /// How long keys are remembered.
     pub key_life: Duration,
     /// Time until which the witnesses surely remember the key.
-    pub provable_until: MonotonicTime,
+    pub remembered_until: MonotonicTime,
 }
 
 impl RequestShard {
@@ -112,7 +112,7 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        debug_assert!(!plan.claimed);
+        debug_assert!(!plan.needs_claim);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
         let mut run = RequestRun::new(call, self.own_instance.mark(), plan);
         run.begin(now, actions);
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Records that `section` of the pool runs the work items of `attempt`.
+    /// Records that `section` of the pool runs the pieces of `attempt`.
     pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
         if let Some(active_run) = self.runs.get_mut(&attempt.call) {
             active_run.run.note_section(attempt, section);
@@ -257,11 +257,11 @@
     pub fn denied_for(
         &mut self,
         call: CallId,
-        why: (RefusalReason, Duration),
+        refusal: (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.settle_run(call, now, actions, |run, actions| run.denied_for(why, now, actions));
+        self.settle_run(call, now, actions, |run, actions| run.denied_for(refusal, now, actions));
     }
 
     /// Ends every run with `reason`.
@@ -338,7 +338,7 @@
         let Some(active_run) = self.runs.remove(&call) else { return };
         let plan = active_run.run.plan();
         actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
-        if plan.claimed {
+        if plan.needs_claim {
             let key = plan.request.key.clone();
             for witness in active_run.witnesses.iter().flat_map(WitnessSet::vms) {
                 let (key, body) = (key.clone(), answer.body.clone());
--- a/crates/crocusdale_core/src/wire/claim_messages.rs
+++ b/crates/crocusdale_core/src/wire/claim_messages.rs
@@ -26,7 +26,7 @@
                 message.set_state(peer::RegisterState::Abstained);
                 message.retry_after_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
             }
-            RegisterReply::Holds(RegisterState::Buried) => {
+            RegisterReply::Holds(RegisterState::Tombstone) => {
                 message.set_state(peer::RegisterState::Buried)
             }
             RegisterReply::Holds(RegisterState::Claimed { holder, outcome }) => {
@@ -43,7 +43,7 @@
     fn from(message: peer::RegisterReply) -> Self {
         let abstains = Self::Abstains(Duration::from_millis(message.retry_after_ms));
         match (message.state(), message.holder) {
-            (peer::RegisterState::Buried, _) => Self::Holds(RegisterState::Buried),
+            (peer::RegisterState::Buried, _) => Self::Holds(RegisterState::Tombstone),
             (peer::RegisterState::Claimed, Some(holder)) => {
                 let outcome = message.outcome.map(|outcome| outcome.body);
                 Self::Holds(RegisterState::Claimed { holder: holder.into(), outcome })
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -46,7 +46,7 @@
             results,
             zone: self.zone.clone().unwrap_or_default(),
             level: u32::from(self.level),
-            due_ms: signed_millis(self.due.since(now)) - signed_millis(now.since(self.due)),
+            due_ms: signed_millis(self.target_end.since(now)) - signed_millis(now.since(self.target_end)),
             left_ms: signed_millis(self.expires.since(now)).unsigned_abs(),
             repeated: self.repeated,
             result_bytes: self.result_bytes,
@@ -82,7 +82,7 @@
             zone: (!message.zone.is_empty()).then_some(message.zone),
             level: u8::try_from(message.level).unwrap_or(u8::MAX),
             is_flood: message.is_flood,
-            due: MonotonicTime::from_start(due),
+            target_end: MonotonicTime::from_start(due),
             expires: now + Duration::from_millis(message.left_ms),
             repeated: message.repeated,
         })
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -7,7 +7,8 @@
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, CallerRequest, ForwardHead, RelayOrder, RequestContent, RunProof,
+    AttemptEvent, CallerRequest, ExecutionStatus, ForwardHead, ForwardOrder, RequestContent,
+    ResponseHead,
 };
 use crocusdale_core::rate_limiting::{RateNotice, RequestRate};
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
@@ -36,8 +37,8 @@
 
 /// What happens to an attempt next.
 enum AttemptStep {
-    Arrive(RelayOrder),
-    Answer { order: RelayOrder, rate: Option<RequestRate>, written: MonotonicTime },
+    Arrive(ForwardOrder),
+    Answer { order: ForwardOrder, rate: Option<RequestRate>, written: MonotonicTime },
 }
 
 /// A request that reached the upstream.
@@ -210,7 +211,7 @@
         self.fleet.run(until.since_start());
     }
 
-    fn arrive(&mut self, daemon: usize, order: RelayOrder, at: MonotonicTime) {
+    fn arrive(&mut self, daemon: usize, order: ForwardOrder, at: MonotonicTime) {
         let is_limited = order.process == LIMITED;
         if is_limited {
             self.arrivals.push(UpstreamArrival { at, daemon });
@@ -223,7 +224,7 @@
     fn answer(
         &mut self,
         daemon: usize,
-        order: &RelayOrder,
+        order: &ForwardOrder,
         rate: Option<RequestRate>,
         sent: MonotonicTime,
     ) {
@@ -236,8 +237,8 @@
             self.told.entry(daemon).or_insert(self.fleet.now);
         }
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
-        let head = AnswerHead { status: 200, proof: RunProof::Ran };
-        for event in [AttemptEvent::Headed(head), AttemptEvent::Passed] {
+        let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
+        for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
             self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
         }
     }
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -2,7 +2,7 @@
 
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::AttemptId;
-use crocusdale_core::pipeline::{AttemptEvent, AttemptOrder, BreakReason, StreamLine};
+use crocusdale_core::pipeline::{AttemptEvent, BreakReason, JsonCallOrder, StreamLine};
 use futures::{StreamExt as _, TryStreamExt as _};
 use http_body_util::BodyStream;
 use serde::Deserialize;
@@ -36,7 +36,7 @@
 /// Reads an answer; its pieces go to the core, its end is returned.
 pub(super) async fn read_answer(
     engine: &Arc<DaemonEngine>,
-    order: &AttemptOrder,
+    order: &JsonCallOrder,
     response: Response,
 ) -> AttemptEvent {
     let attempt = order.attempt;
@@ -45,9 +45,9 @@
     let leaving = header(LEAVING_HEADER) == Some("1");
     let echo: Option<AttemptId> = header(ATTEMPT_HEADER).and_then(|text| text.parse().ok());
     if echo.is_some_and(|echo| echo != attempt) {
-        return AttemptEvent::Broken(BreakReason::Foreign);
+        return AttemptEvent::Broken(BreakReason::OtherAttempt);
     }
-    let greeting = AttemptEvent::Greeted { life, leaving };
+    let greeting = AttemptEvent::ProcessIdentified { life, leaving };
     engine.feed(DaemonEvent::Attempt { attempt, event: greeting });
     if order.stream {
         read_lines(engine, attempt, response).await
