--- a/crates/crocusdale_core/src/admission/admission_gate.rs
+++ b/crates/crocusdale_core/src/admission/admission_gate.rs
@@ -81,7 +81,10 @@
 
     /// Releases the permit of a request that has ended.
     pub fn release(&mut self, permit: &AdmissionPermit) {
-        debug_assert!(self.running > 0, "a permit is given back once");
+        debug_assert!(
+            self.running > 0,
+            "released a permit while no request holds one; each permit is released exactly once"
+        );
         self.running = self.running.saturating_sub(1);
         decrement(&mut self.running_by_workspace, &permit.workspace);
         for rule in &permit.rules {
--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -37,12 +37,12 @@
     /// Removes the request of `call` from the queue and returns its plan, or `None` if it is not
     /// queued.
     pub fn withdraw(&mut self, call: CallId) -> Option<RequestPlan> {
-        let rank = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
-        self.waiting.remove(&rank)
+        let key = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
+        self.waiting.remove(&key)
     }
 
-    /// Removes the requests that need not wait any longer, as classified by `decide`, and returns
-    /// each with its verdict. At most `max_late` requests with the verdict
+    /// Removes the requests that need not wait any longer according to `decide`, and returns each
+    /// with its verdict. At most `max_late` requests with the verdict
     /// [`EntryVerdict::LateWithRoom`] are removed.
     pub fn take(
         &mut self,
@@ -51,7 +51,7 @@
     ) -> Vec<(CallId, RequestPlan, EntryVerdict)> {
         let mut late_left = max_late;
         let mut ready = Vec::new();
-        for (rank, plan) in &self.waiting {
+        for (key, plan) in &self.waiting {
             let verdict = decide(plan);
             let is_ready = match verdict {
                 EntryVerdict::InTime | EntryVerdict::Unservable => true,
@@ -62,12 +62,12 @@
                 EntryVerdict::LateWithRoom | EntryVerdict::Late => false,
             };
             if is_ready {
-                ready.push((*rank, verdict));
+                ready.push((*key, verdict));
             }
         }
-        let remove = |(rank, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
-            let plan = self.waiting.remove(&rank)?;
-            Some((rank.2, plan, verdict))
+        let remove = |(key, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
+            let plan = self.waiting.remove(&key)?;
+            Some((key.2, plan, verdict))
         };
         ready.into_iter().filter_map(remove).collect()
     }
--- a/crates/crocusdale_core/src/batching/batch_call.rs
+++ b/crates/crocusdale_core/src/batching/batch_call.rs
@@ -26,7 +26,7 @@
     pub write_by: MonotonicTime,
 }
 
-/// One piece in a batch call.
+/// One piece in a batch call: a single work item of a pipeline step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchItem {
     /// Request identifier, as chosen by the caller.
@@ -37,7 +37,8 @@
     pub piece: u32,
     /// Input of the piece.
     pub source: PieceSource,
-    /// Time after which the result is useless.
+    /// Time after which the result of the piece is useless, because its request can no longer be
+    /// answered in time.
     pub expires: MonotonicTime,
 }
 
--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -84,7 +84,7 @@
 }
 
 impl DispatchAction {
-    /// Reports that the pieces of `attempt` have failed with `fault`.
+    /// An action that reports that all pieces of `attempt` have failed with `fault`.
     #[must_use]
     pub fn fail(attempt: AttemptId, pool: &str, fault: PieceFault) -> Self {
         Self::ReportOutcome { attempt, pool: pool.to_owned(), outcome: Err(fault) }
@@ -108,21 +108,21 @@
         self.is_paused = is_paused;
     }
 
-    /// Applies the current pools and upstreams. Each upstream in `away` asked not to be called
-    /// until the given time.
+    /// Applies the current pools and upstreams. `backoffs` holds, by upstream name, the time until
+    /// which the upstream has asked not to be called.
     pub fn reconfigure(
         &mut self,
         declarations: &Declarations,
         directory: &UpstreamDirectory,
-        away: &HashMap<String, MonotonicTime>,
+        backoffs: &HashMap<String, MonotonicTime>,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
         for (name, stage) in declarations.stages() {
             let PoolKind::Batch(rules) = stage.kind else { continue };
-            let staying = directory.staying().filter(|entry| entry.pool == name);
-            let staying = staying.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
-            self.upstreams.insert(name.to_owned(), staying.collect());
+            let remaining = directory.staying().filter(|entry| entry.pool == name);
+            let remaining = remaining.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
+            self.upstreams.insert(name.to_owned(), remaining.collect());
             for section in PoolSection::all(name, self.sections(name)) {
                 self.open_section(&section, rules, now);
             }
@@ -138,7 +138,7 @@
             declarations.stage(pool).is_some_and(|stage| matches!(stage.kind, PoolKind::Batch(_)))
         };
         self.upstreams.retain(|name, _| is_declared(name));
-        for (upstream, until) in away {
+        for (upstream, until) in backoffs {
             self.stay_away(upstream, *until);
         }
         self.turn(now, actions);
@@ -150,7 +150,7 @@
         self.pools.retain(|name, pool| {
             let section = PoolSection::named(name);
             let count = upstreams.get(&section.pool).map(|all| PoolSection::count(all.len()));
-            count.is_some_and(|count| section.is_one_of(count)) || !pool.is_idle()
+            count.is_some_and(|count| section.has_section_count(count)) || !pool.is_idle()
         });
     }
 
@@ -175,19 +175,19 @@
     /// Does nothing if the pool is unknown.
     fn open_unlisted_section(&mut self, name: &str, now: MonotonicTime) {
         let section = PoolSection::named(name);
-        let mut known = self.pools.iter();
-        let known = known.find(|(known, _)| PoolSection::named(known).pool == section.pool);
-        if let Some(rules) = known.map(|(_, pool)| pool.rules()) {
+        let mut sections = self.pools.iter();
+        let sibling = sections.find(|(name, _)| PoolSection::named(name).pool == section.pool);
+        if let Some(rules) = sibling.map(|(_, pool)| pool.rules()) {
             self.open_section(&section, rules, now);
         }
     }
 
-    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
-    /// their request.
+    /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
+    /// while they ran the request of the step.
     pub fn offer(
         &mut self,
         order: PieceOrder,
-        ends: usize,
+        crash_count: usize,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
@@ -199,11 +199,12 @@
             actions.push(DispatchAction::fail(order.attempt, &name, PieceFault::NoUpstream));
             return;
         };
-        pool.offer(order, ends, now, actions);
+        pool.offer(order, crash_count, now, actions);
         self.advance_section(&name, now, actions);
     }
 
-    /// Fails the pieces of all requests with `digest`, under which upstreams have crashed.
+    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests have
+    /// crashed.
     pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         for pool in self.pools.values_mut() {
             pool.end_quarantined(digest, actions);
@@ -240,7 +241,8 @@
         }
     }
 
-    /// Handles the outcome of a batch call. Outcomes of unknown calls are ignored.
+    /// Updates the pool after a batch call has ended with `outcome`. Outcomes of unknown calls are
+    /// ignored.
     pub fn answered(
         &mut self,
         batch: BatchId,
@@ -260,14 +262,14 @@
     pub fn room_told(
         &mut self,
         upstream: &str,
-        free: Option<u64>,
+        free_bytes: Option<u64>,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
-        let owners = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
-        let names: Vec<String> = owners
+        let owning_pools = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
+        let names: Vec<String> = owning_pools
             .map(|(name, pool)| {
-                pool.room_told(upstream, free, now);
+                pool.room_told(upstream, free_bytes, now);
                 name.clone()
             })
             .collect();
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Adjusts all timers after a pause of this process that lasted `pause` and ends now.
+    /// Adjusts all timeouts after this process was paused for `pause`, which ended at `now`.
     pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
         for pool in self.pools.values_mut() {
             pool.woke(pause, now);
@@ -348,10 +350,10 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let Some(pool) = self.pools.get_mut(name) else { return };
-        let (last_id, calls) = (&mut self.last_batch_id, &mut self.call_sections);
+        let (last_id, call_sections) = (&mut self.last_batch_id, &mut self.call_sections);
         let mut next_batch_id = || {
             *last_id += 1;
-            calls.insert(BatchId(*last_id), name.to_owned());
+            call_sections.insert(BatchId(*last_id), name.to_owned());
             BatchId(*last_id)
         };
         let first_new = actions.len();
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -127,17 +127,17 @@
         self.jobs.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
-    /// their request.
+    /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
+    /// while they ran the request of the step.
     pub fn offer(
         &mut self,
         order: PieceOrder,
-        ends: usize,
+        crash_count: usize,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
         let attempt = order.attempt;
-        self.note_activity(order.repeated, now);
+        self.record_activity(order.repeated, now);
         if order.pieces == 0 {
             let pool = order.pool;
             actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(Vec::new()) });
@@ -157,7 +157,7 @@
             return;
         }
         let mut job = BatchJob::new(order);
-        job.add_suspected_crashes(ends);
+        job.add_suspected_crashes(crash_count);
         if job.can_meet_due(now + self.rules.expected(1)) {
             self.record_on_time_load(job.order.pieces, now);
         }
@@ -168,7 +168,7 @@
     /// Marks the free memory of all upstreams as unverified if another dispatcher may have stored
     /// results there. That is the case after an idle time as long as the lifetime of results, and
     /// when pieces arrive from a failed dispatcher.
-    fn note_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
+    fn record_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
         let idle_time = self.last_active_at.replace(now).map(|last| now.since(last));
         let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_life);
         if was_idle || (is_takeover && !self.has_recent_takeover(now)) {
@@ -192,10 +192,10 @@
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
     /// the query.
-    pub fn room_told(&mut self, upstream: &str, free: Option<u64>, now: MonotonicTime) {
+    pub fn room_told(&mut self, upstream: &str, free_bytes: Option<u64>, now: MonotonicTime) {
         let rules = self.rules;
         if let Some(worker) = self.workers.get_mut(upstream) {
-            worker.result_memory.record_free_bytes(free, &rules, now);
+            worker.result_memory.record_free_bytes(free_bytes, &rules, now);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/batch_worker.rs
+++ b/crates/crocusdale_core/src/batching/batch_worker.rs
@@ -21,9 +21,9 @@
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
 /// Maximum number of times that the failure pause is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
-/// Pause of an upstream that had no capacity for a call. A call of another daemon occupies it,
-/// which takes some tenths of a second.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(100);
+/// Pause of an upstream that had no capacity for a call, or no memory for its results. A call of
+/// another daemon probably occupies it, which takes some tenths of a second.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(100);
 /// Share of the pieces of a call that may fail before the upstream is paused. At a healthy
 /// upstream, one piece in several hundred fails.
 const MAX_FAILED_SHARE: f64 = 0.2;
@@ -207,7 +207,7 @@
     /// Records that the upstream had no capacity for a call.
     pub(super) fn record_declined(&mut self, now: MonotonicTime) {
         self.open_calls = self.open_calls.saturating_sub(1);
-        self.pause(NO_ROOM_PAUSE, now);
+        self.pause(NO_CAPACITY_PAUSE, now);
     }
 
     /// Sends nothing to the upstream until `until`, as it has requested.
@@ -230,7 +230,7 @@
     /// Records that the upstream ran out of memory for results, although it should have had enough
     /// by the dispatcher's accounting.
     pub(super) fn record_memory_full(&mut self, now: MonotonicTime) {
-        self.pause(NO_ROOM_PAUSE, now);
+        self.pause(NO_CAPACITY_PAUSE, now);
     }
 
     fn pause(&mut self, duration: Duration, now: MonotonicTime) {
--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -114,11 +114,12 @@
     /// level and expiry.
     pub(super) fn service_order(&self, now: MonotonicTime) -> Vec<AttemptId> {
         let call_time = self.average_call_time();
-        let in_time = |attempt: &AttemptId| {
+        let can_be_on_time = |attempt: &AttemptId| {
             self.jobs.get(attempt).is_some_and(|job| job.can_meet_due(now + call_time))
         };
         let attempts = self.queue.keys().map(|(_, attempt)| *attempt);
-        let (mut on_time, mut late): (Vec<AttemptId>, Vec<AttemptId>) = attempts.partition(in_time);
+        let (mut on_time, mut late): (Vec<AttemptId>, Vec<AttemptId>) =
+            attempts.partition(can_be_on_time);
         late.sort_by_key(|attempt| {
             self.jobs
                 .get(attempt)
@@ -163,7 +164,7 @@
         let (own_zone, free_bytes) =
             (worker.zone.clone(), worker.result_memory.free_bytes(&self.rules));
         let default_margin = self.rules.expected(self.rules.pieces / 2) / 2;
-        let zones = earliest_zone_ends(&self.workers, &self.rules, now);
+        let zone_ends = earliest_zone_ends(&self.workers, &self.rules, now);
         for attempt in &jobs.attempts {
             if items.len() == max_items || is_exclusive {
                 break;
@@ -173,7 +174,7 @@
             let useful_until = if now < job.order.due { job.order.due } else { job.order.expires };
             let margin = job.zone_wait_margin(default_margin);
             let waits_for_zone = job.order.zone.as_ref().is_some_and(|zone| {
-                let end = zones.get(zone.as_str());
+                let end = zone_ends.get(zone.as_str());
                 *zone != own_zone && end.is_some_and(|end| *end + margin <= useful_until)
             });
             let max_pieces = free_bytes.saturating_sub(bytes) / job.order.result_bytes.max(1);
@@ -210,11 +211,11 @@
     rules: &BatchRules,
     now: MonotonicTime,
 ) -> BTreeMap<&'a str, MonotonicTime> {
-    let mut ends = BTreeMap::new();
+    let mut earliest_ends = BTreeMap::new();
     for worker in workers.values().filter(|worker| worker.accepts_calls) {
         let end = worker.next_call_end(rules, rules.pieces / 2, now);
-        let earliest = ends.entry(worker.zone.as_str()).or_insert(end);
+        let earliest = earliest_ends.entry(worker.zone.as_str()).or_insert(end);
         *earliest = end.min(*earliest);
     }
-    ends
+    earliest_ends
 }
--- a/crates/crocusdale_core/src/batching/pool_changes.rs
+++ b/crates/crocusdale_core/src/batching/pool_changes.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adjusts timeouts after a pause of this process that lasted `pause` and ends now. The
+    /// Adjusts timeouts after this process was paused for `pause`, which ended at `now`. The
     /// durations of calls that were in flight say nothing about their upstreams, and their answers
     /// may be waiting to be read. So these calls time out later by the length of the pause. The
     /// overload of the pool is measured anew.
--- a/crates/crocusdale_core/src/batching/pool_forecast.rs
+++ b/crates/crocusdale_core/src/batching/pool_forecast.rs
@@ -66,14 +66,14 @@
 }
 
 impl BatchPool {
-    /// Expected wait of new pieces until their call starts. The result is cached for a
-    /// short time.
+    /// Expected wait of new pieces until their call starts. The result is cached for some
+    /// milliseconds, because computing it scans all jobs.
     #[must_use]
     pub fn expected_wait(&mut self, now: MonotonicTime) -> PoolWait {
         if let Some((wait, at)) =
             self.cached_wait.as_ref().filter(|(_, at)| now.since(*at) < WAIT_CACHE_TIME)
         {
-            return wait.after(now.since(*at));
+            return wait.reduced_by(now.since(*at));
         }
         self.refresh_limits(now);
         let mut wait = self.compute_wait(now);
@@ -139,15 +139,20 @@
                 *late_by_level.entry(job.order.level).or_default() += job.waiting.len();
             }
         }
-        let in_time = late_queue.first_free_in
+        let on_time_wait = late_queue.first_free_in
             + upstream_time(&self.rules, on_time_pieces).div_f64(self.capacity(now));
         let levels = 0..=late_by_level.last_key_value().map_or(0, |(level, _)| *level);
-        let waits = levels.map(|level| {
+        let late_waits = levels.map(|level| {
             let late_pieces: usize = late_by_level.range(..=level).map(|(_, pieces)| pieces).sum();
             late_queue.wait(upstream_time(&self.rules, on_time_pieces + late_pieces))
         });
-        let call = self.average_call_time();
-        PoolWait { in_time, late: waits.collect(), overloaded: Duration::ZERO, call }
+        let call_time = self.average_call_time();
+        PoolWait {
+            in_time: on_time_wait,
+            late: late_waits.collect(),
+            overloaded: Duration::ZERO,
+            call: call_time,
+        }
     }
 
     fn late_queue(&self, now: MonotonicTime) -> Option<LateQueue> {
@@ -172,7 +177,8 @@
     }
 }
 
-/// Time for which `pieces` pieces occupy one upstream, if they are processed in full calls.
+/// Time that a single upstream needs to process as many work items as `pieces`, if all calls are
+/// full.
 fn upstream_time(rules: &BatchRules, pieces: usize) -> Duration {
     let calls = pieces as f64 / f64::from(rules.pieces.max(1));
     rules.call_time.mul_f64(calls) + rules.piece_time.mul_f64(pieces as f64)
--- a/crates/crocusdale_core/src/batching/pool_section.rs
+++ b/crates/crocusdale_core/src/batching/pool_section.rs
@@ -57,20 +57,20 @@
         hash % self.count as u64 == self.index as u64
     }
 
-    /// Whether the section belongs to a pool with `count` sections.
+    /// Whether the pool of this section is divided into `count` sections.
     #[must_use]
-    pub fn is_one_of(&self, count: usize) -> bool {
+    pub fn has_section_count(&self, count: usize) -> bool {
         self.count == count
     }
 
-    /// Two sections of `count` for a request with `hash`, which is sent to the one with the shorter
-    /// wait.
+    /// The two candidate sections for a request with `hash`, out of the `count` sections of `pool`.
+    /// The caller sends the request to the one with the shorter wait.
     #[must_use]
     pub fn candidates(pool: &str, count: usize, hash: u64) -> [Self; 2] {
         let count = count.max(1);
         let first = hash as usize % count;
-        let step = 1 + (hash >> 32) as usize % (count - 1).max(1);
-        [Self::new(pool, first, count), Self::new(pool, first + step, count)]
+        let offset = 1 + (hash >> 32) as usize % (count - 1).max(1);
+        [Self::new(pool, first, count), Self::new(pool, first + offset, count)]
     }
 }
 
--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -5,7 +5,7 @@
 
 /// Wait of on-time pieces up to which late requests are admitted: less than half of a call's
 /// duration.
-const MAX_WAIT_WITH_ROOM: Duration = Duration::from_millis(120);
+const MAX_WAIT_WITH_SPARE_CAPACITY: Duration = Duration::from_millis(120);
 
 /// Wait of late pieces above which a pool is overloaded: longer than a call with other pieces in
 /// it.
@@ -37,10 +37,10 @@
     /// Whether there is spare capacity for late requests, so that they hardly delay on-time ones.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.in_time <= MAX_WAIT_WITH_ROOM
+        self.in_time <= MAX_WAIT_WITH_SPARE_CAPACITY
     }
 
-    /// Whether late requests have a long wait or are not admitted.
+    /// Whether late requests are not admitted, or would wait for a long time.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         !self.has_room() || self.late_for(u8::MAX) > MIN_OVERLOAD_WAIT
@@ -55,9 +55,9 @@
         self.late_for(u8::MAX).max(self.overloaded)
     }
 
-    /// Estimate of the wait after `age` has passed without an update.
+    /// Estimate of the current wait, if the estimate in `self` was made `age` ago.
     #[must_use]
-    pub fn after(&self, age: Duration) -> Self {
+    pub fn reduced_by(&self, age: Duration) -> Self {
         let remaining = |wait: &Duration| wait.saturating_sub(age);
         let late = self.late.iter().map(remaining).collect();
         Self { in_time: remaining(&self.in_time), late, ..self.clone() }
@@ -75,7 +75,7 @@
 }
 
 impl PoolWaits {
-    /// Stores the report of the dispatcher of `pool`.
+    /// Stores `wait` as the wait that the dispatcher of `pool` reported at `now`.
     pub fn note(&mut self, pool: &str, wait: PoolWait, now: MonotonicTime) {
         match self.waits.get_mut(pool) {
             Some(known) => *known = (wait, now),
@@ -90,6 +90,6 @@
     #[must_use]
     pub fn wait(&self, pool: &str, now: MonotonicTime) -> PoolWait {
         let known = self.waits.get(pool);
-        known.map_or(PoolWait::default(), |(wait, at)| wait.after(now.since(*at)))
+        known.map_or(PoolWait::default(), |(wait, at)| wait.reduced_by(now.since(*at)))
     }
 }
--- a/crates/crocusdale_core/src/batching/result_memory.rs
+++ b/crates/crocusdale_core/src/batching/result_memory.rs
@@ -24,7 +24,8 @@
 pub(super) struct ResultMemory {
     /// Memory reserved for the results of calls in flight, in bytes.
     reserved_bytes: u64,
-    /// Results of this dispatcher's calls, with their size in bytes and their expiry.
+    /// Results of this dispatcher's calls, with their size in bytes and the time at which the
+    /// upstream drops them.
     own_results: HashMap<ResultHandle, (u64, MonotonicTime)>,
     /// Memory occupied by results of other dispatchers, in bytes, and the time by which all of them
     /// have expired. `None` if there are none.
@@ -54,9 +55,15 @@
         self.reserved_bytes = self.reserved_bytes.saturating_sub(bytes);
     }
 
-    /// Adds a result that occupies memory until it is freed or expires.
-    pub(super) fn add_result(&mut self, result: ResultHandle, bytes: u64, expires: MonotonicTime) {
-        self.own_results.insert(result, (bytes, expires));
+    /// Adds a result of `bytes` bytes, which occupies memory until it is freed or the upstream
+    /// drops it at `expires_at`.
+    pub(super) fn add_result(
+        &mut self,
+        result: ResultHandle,
+        bytes: u64,
+        expires_at: MonotonicTime,
+    ) {
+        self.own_results.insert(result, (bytes, expires_at));
     }
 
     /// Removes a result that has been freed.
@@ -66,8 +73,8 @@
 
     /// Removes results that have expired.
     pub(super) fn remove_expired(&mut self, now: MonotonicTime) {
-        self.own_results.retain(|_, (_, expires)| now < *expires);
-        self.others_memory = self.others_memory.filter(|(_, expires)| now < *expires);
+        self.own_results.retain(|_, (_, expires_at)| now < *expires_at);
+        self.others_memory = self.others_memory.filter(|(_, expires_at)| now < *expires_at);
     }
 
     /// Marks the free memory as unknown, because another dispatcher may have stored results at the
@@ -115,7 +122,7 @@
             rules.result_bytes.saturating_sub(free_bytes).saturating_sub(accounted_bytes);
         self.others_memory = match self.others_memory {
             None if is_first_answer => Some((others_bytes, now + rules.result_life)),
-            known => known.map(|(bytes, expires)| (bytes.min(others_bytes), expires)),
+            known => known.map(|(bytes, expires_at)| (bytes.min(others_bytes), expires_at)),
         };
         self.others_memory = self.others_memory.filter(|(bytes, _)| *bytes > 0);
     }
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -23,7 +23,7 @@
     has_instance_names: bool,
     log: CrashLog,
     successes: RecentSuccesses,
-    /// Requests whose attempts failed at an upstream that is being probed, by the name of the
+    /// Requests that may have crashed an upstream which is being probed, by the name of the
     /// upstream.
     suspects: HashMap<String, BTreeSet<RequestDigest>>,
     /// Requests whose latest records have not been sent to other daemons.
@@ -60,16 +60,20 @@
         }
     }
 
-    /// Records that an attempt at `upstream` failed. Returns whether the upstream must be probed
-    /// now: a running probe serves all attempts that fail in the meantime.
+    /// Records that `upstream` may have crashed while it ran a request with `digest`. Returns whether
+    /// it must be probed now: a running probe serves all requests that are recorded in the meantime.
+    ///
+    /// A request that was sent on its own is recorded if the connection was closed before the answer
+    /// was complete. An answer with an error status is no sign of a crash. The requests of a batch
+    /// call are recorded if the call had no valid answer in time.
     pub fn suspect(&mut self, digest: RequestDigest, upstream: &str) -> bool {
         let needs_probe = !self.suspects.contains_key(upstream);
         self.suspects.entry(upstream.to_owned()).or_default().insert(digest);
         needs_probe
     }
 
-    /// Handles the result of probing `upstream`. If it has crashed, all requests whose attempts
-    /// failed there are suspected.
+    /// Ends the probe of `upstream`. If the upstream has crashed, the crash is counted for all
+    /// requests that [`Self::suspect`] has recorded for it.
     pub fn probed(
         &mut self,
         upstream: &str,
@@ -83,12 +87,12 @@
                 continue;
             }
             let Some(crash) = self.crash_id(digest, upstream, now) else { continue };
-            let quarantine_before = self.log.quarantine(digest, now);
+            let old_time_left = self.log.quarantine(digest, now);
             if self.log.note_end(digest, crash, now) {
                 self.unsent.insert(digest);
                 verdict.has_news = true;
             }
-            if self.log.quarantine(digest, now) > quarantine_before {
+            if self.log.quarantine(digest, now) > old_time_left {
                 verdict.quarantined.push(digest);
             }
         }
@@ -113,7 +117,7 @@
         let mut verdict = CrashVerdict::default();
         for record in records {
             let digest = record.digest;
-            let quarantine_before = self.log.quarantine(digest, now);
+            let old_time_left = self.log.quarantine(digest, now);
             if !self.log.take(record, now) {
                 continue;
             }
@@ -123,10 +127,10 @@
                 verdict.has_news |= self.log.clear(digest, now);
                 self.unsent.insert(digest);
             }
-            let quarantine_after = self.log.quarantine(digest, now);
-            if quarantine_after > quarantine_before {
+            let new_time_left = self.log.quarantine(digest, now);
+            if new_time_left > old_time_left {
                 verdict.quarantined.push(digest);
-            } else if quarantine_after.is_none() && quarantine_before.is_some() {
+            } else if new_time_left.is_none() && old_time_left.is_some() {
                 verdict.lifted.push(digest);
             }
         }
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -20,11 +20,12 @@
 /// Offset added to the clock of this process, so that crashes from before its start have a valid
 /// time.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
-/// Number of crashes kept for one request: those that led to the quarantine, and those of the
-/// attempts that were running when it began. Beyond it, all daemons keep the crashes with the
-/// lowest identifiers, so that their logs agree.
+/// Maximum number of upstream crashes that the log keeps for one request. It leaves space for the
+/// crashes that start a quarantine, and for the crashes of other upstreams that were already running
+/// the same request at that time. If there are more, all daemons keep the crashes with the lowest
+/// upstream identifiers, so that their logs agree.
 const MAX_CRASHES_PER_REQUEST: usize = 8;
-/// Number of requests in the log. It is enough for everything that ran on a few upstreams that
+/// Maximum number of requests in the log. It is enough for everything that ran on a few upstreams that
 /// crashed at the same time. More would not fit into one message.
 const MAX_LOGGED_REQUESTS: usize = 512;
 
@@ -39,9 +40,10 @@
 
 #[derive(Debug, Default)]
 struct LoggedRequest {
+    /// Identifier of each crashed upstream, with the time of its crash.
     crashes: Vec<(u64, MonotonicTime)>,
     /// Time of the last known complete answer to a request with this digest.
-    cleared: Option<MonotonicTime>,
+    cleared_at: Option<MonotonicTime>,
 }
 
 impl CrashLog {
@@ -56,27 +58,27 @@
     pub fn clear(&mut self, digest: RequestDigest, now: MonotonicTime) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else { return false };
         let had_crashes = !entry.crashes.is_empty();
-        entry.cleared = Some(now + CLOCK_OFFSET);
+        entry.cleared_at = Some(now + CLOCK_OFFSET);
         entry.crashes.clear();
         had_crashes
     }
 
     /// Merges a record of another daemon. Returns whether it contained anything new.
     pub fn take(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
-        let time = |age: Duration| {
+        let time_at_age = |age: Duration| {
             MonotonicTime::from_start((now + CLOCK_OFFSET).since_start().saturating_sub(age))
         };
         let mut has_news = false;
         if let Some(age) = record.cleared.filter(|age| *age < CLEARANCE_TIME) {
             let entry = self.entries.entry(record.digest).or_default();
-            if entry.cleared.is_none() {
-                entry.cleared = Some(time(age));
-                entry.crashes.retain(|(_, at)| *at >= time(age) + CLEARANCE_TIME);
+            if entry.cleared_at.is_none() {
+                entry.cleared_at = Some(time_at_age(age));
+                entry.crashes.retain(|(_, at)| *at >= time_at_age(age) + CLEARANCE_TIME);
                 has_news = true;
             }
         }
         for crash in &record.ends {
-            has_news |= self.add_crash(record.digest, crash.upstream, time(crash.age));
+            has_news |= self.add_crash(record.digest, crash.upstream, time_at_age(crash.age));
         }
         has_news
     }
@@ -101,10 +103,10 @@
     #[must_use]
     pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         let entry = self.entries.get(&digest)?;
-        let left = entry
+        let time_left = entry
             .quarantine_time()?
             .saturating_sub((now + CLOCK_OFFSET).since(entry.last_crash()?));
-        (!left.is_zero()).then_some(left)
+        (!time_left.is_zero()).then_some(time_left)
     }
 
     /// Number of upstreams that crashed while running a request with `digest`.
@@ -130,7 +132,7 @@
             crashes.sort_unstable();
             stable_hash(&[
                 &digest.to_string(),
-                &format!("{crashes:x?}/{}", entry.cleared.is_some()),
+                &format!("{crashes:x?}/{}", entry.cleared_at.is_some()),
             ])
         };
         self.entries.iter().map(entry_hash).fold(0, |summary, entry_hash| summary ^ entry_hash)
@@ -149,7 +151,7 @@
         Some(CrashRecord {
             digest,
             ends: entry.crashes.iter().map(crash).collect(),
-            cleared: entry.cleared.map(age),
+            cleared: entry.cleared_at.map(age),
         })
     }
 
@@ -185,7 +187,7 @@
     /// answer has cleared it, and the list has space for its identifier.
     fn can_add_crash(&self, upstream: u64, at: MonotonicTime) -> bool {
         let is_known = self.crashes.iter().any(|(known, _)| *known == upstream);
-        let is_cleared = self.cleared.is_some_and(|cleared| at < cleared + CLEARANCE_TIME);
+        let is_cleared = self.cleared_at.is_some_and(|cleared_at| at < cleared_at + CLEARANCE_TIME);
         let has_space = self.crashes.len() < MAX_CRASHES_PER_REQUEST
             || self.crashes.iter().any(|(known, _)| *known > upstream);
         !is_known && !is_cleared && has_space
@@ -204,6 +206,6 @@
         let retention = self.quarantine_time().unwrap_or_default().max(CRASH_RETENTION);
         let has_recent_crashes = self.last_crash().is_some_and(|last| now.since(last) < retention);
         has_recent_crashes
-            || self.cleared.is_some_and(|cleared| now.since(cleared) < CLEARANCE_TIME)
+            || self.cleared_at.is_some_and(|cleared_at| now.since(cleared_at) < CLEARANCE_TIME)
     }
 }
--- a/crates/crocusdale_core/src/quarantine/recent_successes.rs
+++ b/crates/crocusdale_core/src/quarantine/recent_successes.rs
@@ -32,8 +32,8 @@
         self.current.insert(digest);
     }
 
-    /// Whether a request with `digest` was completely answered within [`CLEARANCE_TIME`]. Answers
-    /// up to twice as old may count too.
+    /// Whether a request with `digest` was completely answered within the last 10 seconds. Answers
+    /// that are up to 20 seconds old may count too.
     #[must_use]
     pub fn contains(&mut self, digest: RequestDigest, now: MonotonicTime) -> bool {
         self.rotate(now);
