--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -203,8 +203,8 @@
         self.advance_section(&name, now, actions);
     }
 
-    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests have
-    /// crashed.
+    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests
+    /// have crashed.
     pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         for pool in self.pools.values_mut() {
             pool.end_quarantined(digest, actions);
--- a/crates/crocusdale_core/src/batching/crash_suspicion.rs
+++ b/crates/crocusdale_core/src/batching/crash_suspicion.rs
@@ -8,8 +8,8 @@
 use crate::pipeline::PieceFault;
 
 impl BatchPool {
-    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests have
-    /// crashed.
+    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests
+    /// have crashed.
     pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         let matching = self.jobs.iter().filter(|(_, job)| job.order.digest == Some(digest));
         let mut matching: Vec<AttemptId> = matching.map(|(attempt, _)| *attempt).collect();
--- a/crates/crocusdale_core/src/batching/mod.rs
+++ b/crates/crocusdale_core/src/batching/mod.rs
@@ -1,7 +1,7 @@
 //! Batching: pieces of many requests share calls to upstreams, which one dispatcher per pool forms.
 //!
 //! A piece is one of the work items that a pipeline step consists of. Upstreams process the pieces
-//! of a step independently of each other, and the step is complete once all its pieces have results.
+//! of a step independently of each other. The step is complete once all its pieces have results.
 //!
 //! An upstream of a batched pool runs one call at a time, and most of the time of a call does not
 //! depend on its number of pieces. So calls should be full, which needs a view of all waiting
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -60,12 +60,13 @@
         }
     }
 
-    /// Records that `upstream` may have crashed while it ran a request with `digest`. Returns whether
-    /// it must be probed now: a running probe serves all requests that are recorded in the meantime.
+    /// Records that `upstream` may have crashed while it ran a request with `digest`. Returns
+    /// whether it must be probed now: a running probe serves all requests that are recorded in the
+    /// meantime.
     ///
-    /// A request that was sent on its own is recorded if the connection was closed before the answer
-    /// was complete. An answer with an error status is no sign of a crash. The requests of a batch
-    /// call are recorded if the call had no valid answer in time.
+    /// A request that was sent on its own is recorded if the connection was closed before the
+    /// answer was complete. An answer with an error status is no sign of a crash. The requests of a
+    /// batch call are recorded if the call had no valid answer in time.
     pub fn suspect(&mut self, digest: RequestDigest, upstream: &str) -> bool {
         let needs_probe = !self.suspects.contains_key(upstream);
         self.suspects.entry(upstream.to_owned()).or_default().insert(digest);
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -21,12 +21,12 @@
 /// time.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 /// Maximum number of upstream crashes that the log keeps for one request. It leaves space for the
-/// crashes that start a quarantine, and for the crashes of other upstreams that were already running
-/// the same request at that time. If there are more, all daemons keep the crashes with the lowest
-/// upstream identifiers, so that their logs agree.
+/// crashes that start a quarantine, and for the crashes of other upstreams that were already
+/// running the same request at that time. If there are more, all daemons keep the crashes with the
+/// lowest upstream identifiers, so that their logs agree.
 const MAX_CRASHES_PER_REQUEST: usize = 8;
-/// Maximum number of requests in the log. It is enough for everything that ran on a few upstreams that
-/// crashed at the same time. More would not fit into one message.
+/// Maximum number of requests in the log. It is enough for everything that ran on a few upstreams
+/// that crashed at the same time. More would not fit into one message.
 const MAX_LOGGED_REQUESTS: usize = 512;
 
 /// Upstream crashes per request, as observed by this daemon or reported by others.
