--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{CrashLog, CrashRecord, RecentSuccesses, UpstreamEnd};
+use super::{CrashLog, CrashRecord, RecentSuccesses, UpstreamCrash};
 use crate::identity::{MonotonicTime, RequestDigest};
 
 /// Time within which a second crash of one declared upstream under the same request counts as the
@@ -197,7 +197,7 @@
         now: MonotonicTime,
     ) -> Option<u64> {
         if self.has_instance_names {
-            return Some(UpstreamEnd::hash_of(upstream));
+            return Some(UpstreamCrash::hash_of(upstream));
         }
         let observed = self.observed_crashes.entry((digest, upstream.to_owned()));
         let (last_seen, count) = observed.or_insert((now, 0));
@@ -206,8 +206,8 @@
         }
         (*last_seen, *count) = (now, *count + 1);
         Some(match *count {
-            1 => UpstreamEnd::hash_of(upstream),
-            count => UpstreamEnd::hash_of(&format!("{upstream} {count} {}", self.own_vm)),
+            1 => UpstreamCrash::hash_of(upstream),
+            count => UpstreamCrash::hash_of(&format!("{upstream} {count} {}", self.own_vm)),
         })
     }
 }
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use super::recent_successes::CLEARANCE_TIME;
-use super::{CrashRecord, UpstreamEnd};
+use super::{CrashRecord, UpstreamCrash};
 use crate::identity::{MonotonicTime, RequestDigest, stable_hash};
 
 /// Number of upstream crashes under a request after which it is quarantined.
@@ -77,7 +77,7 @@
                 has_news = true;
             }
         }
-        for crash in &record.ends {
+        for crash in &record.crashes {
             has_news |= self.add_crash(record.digest, crash.upstream, time_at_age(crash.age));
         }
         has_news
@@ -144,13 +144,13 @@
     pub fn record(&self, digest: RequestDigest, now: MonotonicTime) -> Option<CrashRecord> {
         let entry = self.entries.get(&digest)?;
         let age = |at: MonotonicTime| (now + CLOCK_OFFSET).since(at);
-        let crash = |(upstream, at): &(u64, MonotonicTime)| UpstreamEnd {
+        let crash = |(upstream, at): &(u64, MonotonicTime)| UpstreamCrash {
             upstream: *upstream,
             age: age(*at),
         };
         Some(CrashRecord {
             digest,
-            ends: entry.crashes.iter().map(crash).collect(),
+            crashes: entry.crashes.iter().map(crash).collect(),
             cleared: entry.cleared_at.map(age),
         })
     }
--- a/crates/crocusdale_core/src/quarantine/mod.rs
+++ b/crates/crocusdale_core/src/quarantine/mod.rs
@@ -12,5 +12,5 @@
 
 pub use crash_detector::{CrashDetector, CrashVerdict};
 pub use crash_log::{CrashLog, QUARANTINE};
-pub use crash_record::{CrashRecord, UpstreamEnd};
+pub use crash_record::{CrashRecord, UpstreamCrash};
 pub use recent_successes::RecentSuccesses;
--- a/crates/crocusdale_core/src/wire/exchange_messages.rs
+++ b/crates/crocusdale_core/src/wire/exchange_messages.rs
@@ -6,7 +6,7 @@
 use crate::membership::{
     ExchangeMessage, LeavingUpstream, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
 };
-use crate::quarantine::{CrashRecord, UpstreamEnd};
+use crate::quarantine::{CrashRecord, UpstreamCrash};
 use crate::rate_limiting::{LimitRecord, RequestRate};
 
 /// A message lacked a part that it must have.
@@ -106,13 +106,13 @@
 
 impl From<CrashRecord> for peer::CrashRecord {
     fn from(record: CrashRecord) -> Self {
-        let end = |end: UpstreamEnd| peer::UpstreamEnd {
-            upstream: end.upstream,
-            age_ms: whole_millis(end.age),
+        let crash = |crash: UpstreamCrash| peer::UpstreamEnd {
+            upstream: crash.upstream,
+            age_ms: whole_millis(crash.age),
         };
         Self {
             digest: record.digest.0.to_vec(),
-            ends: record.ends.into_iter().map(end).collect(),
+            ends: record.crashes.into_iter().map(crash).collect(),
             cleared_age_ms: record.cleared.map(whole_millis),
         }
     }
@@ -125,13 +125,13 @@
         let digest = wire.digest.try_into();
         let digest = digest.map_err(|_| MissingPart("the digest of a crash record"))?;
         let millis = |millis: u32| Duration::from_millis(millis.into());
-        let end = |end: peer::UpstreamEnd| UpstreamEnd {
-            upstream: end.upstream,
-            age: millis(end.age_ms),
+        let crash = |crash: peer::UpstreamEnd| UpstreamCrash {
+            upstream: crash.upstream,
+            age: millis(crash.age_ms),
         };
         Ok(Self {
             digest: RequestDigest(digest),
-            ends: wire.ends.into_iter().map(end).collect(),
+            crashes: wire.ends.into_iter().map(crash).collect(),
             cleared: wire.cleared_age_ms.map(millis),
         })
     }
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crocusdale_core::identity::{MonotonicTime, RequestDigest};
-use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE, UpstreamEnd};
+use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE, UpstreamCrash};
 use proptest::prelude::*;
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(5_000);
@@ -14,10 +14,10 @@
 
 fn record(number: u32, upstreams: &[u64], cleared: bool) -> CrashRecord {
     let age = Duration::from_millis(700);
-    let end = |upstream: &u64| UpstreamEnd { upstream: *upstream, age };
+    let crash = |upstream: &u64| UpstreamCrash { upstream: *upstream, age };
     CrashRecord {
         digest: digest(number),
-        ends: upstreams.iter().map(end).collect(),
+        crashes: upstreams.iter().map(crash).collect(),
         cleared: cleared.then_some(age / 2),
     }
 }
@@ -61,15 +61,17 @@
     }
     assert_eq!(book.quarantine(digest(1), NOW), None);
     let age = Duration::from_secs(400);
-    let old =
-        CrashRecord { ends: vec![UpstreamEnd { upstream: 12, age }; 2], ..record(2, &[], false) };
+    let old = CrashRecord {
+        crashes: vec![UpstreamCrash { upstream: 12, age }; 2],
+        ..record(2, &[], false)
+    };
     book.take(&old, NOW);
     book.note_end(digest(1), 12, NOW);
     assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE));
     assert_eq!(book.quarantine(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
-    assert_eq!(told.ends[0].age, age);
+    assert_eq!(told.crashes[0].age, age);
     assert!(book.forget(NOW), "two minutes without a third end");
     assert_eq!(book.ends(digest(2)), 0);
     assert_eq!(book.ends(digest(1)), 3);
