--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -89,7 +89,7 @@
             }
             let Some(crash) = self.crash_id(digest, upstream, now) else { continue };
             let old_time_left = self.log.quarantine(digest, now);
-            if self.log.note_end(digest, crash, now) {
+            if self.log.record_crash(digest, crash, now) {
                 self.unsent.insert(digest);
                 verdict.has_news = true;
             }
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -49,7 +49,12 @@
 impl CrashLog {
     /// Records that the upstream with the identifier `upstream` crashed under a request. Returns
     /// whether the crash is new.
-    pub fn note_end(&mut self, digest: RequestDigest, upstream: u64, now: MonotonicTime) -> bool {
+    pub fn record_crash(
+        &mut self,
+        digest: RequestDigest,
+        upstream: u64,
+        now: MonotonicTime,
+    ) -> bool {
         self.add_crash(digest, upstream, now + CLOCK_OFFSET)
     }
 
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -66,7 +66,7 @@
         ..record(2, &[], false)
     };
     book.take(&old, NOW);
-    book.note_end(digest(1), 12, NOW);
+    book.record_crash(digest(1), 12, NOW);
     assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE));
     assert_eq!(book.quarantine(digest(2), NOW), None);
     let told = book.records(NOW);
@@ -84,7 +84,7 @@
     let mut book = CrashLog::default();
     book.take(&record(0, &[1, 2, 3], false), NOW);
     for number in 1..5_000 {
-        book.note_end(digest(number), u64::from(number % 7), NOW);
+        book.record_crash(digest(number), u64::from(number % 7), NOW);
     }
     assert!(book.records(NOW).len() <= 512);
     assert!(book.quarantine(digest(0), NOW).is_some());
