--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns the records that other daemons have not received, and marks them as sent.
-    pub fn take_fresh(&mut self, now: MonotonicTime) -> Vec<CrashRecord> {
+    pub fn take_unsent(&mut self, now: MonotonicTime) -> Vec<CrashRecord> {
         let unsent = std::mem::take(&mut self.unsent);
         unsent.into_iter().filter_map(|digest| self.log.record(digest, now)).collect()
     }
