--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -13,7 +13,7 @@
 /// Duration of a quarantine, from the last crash. Each further trial would cost an upstream and
 /// everything that runs on it. The duration leaves operators time to investigate. After it the
 /// request may be harmless, because the upstreams may have been fixed.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 /// Time after the last crash for which a request below the quarantine threshold stays in the log.
 /// It is longer than callers wait between two retries.
 const CRASH_RETENTION: Duration = Duration::from_secs(120);
@@ -200,7 +200,7 @@
 
     /// Duration of the quarantine from the last crash, or `None` below the quarantine threshold.
     fn quarantine_time(&self) -> Option<Duration> {
-        (self.crashes.len() >= QUARANTINE_CRASHES).then_some(QUARANTINE)
+        (self.crashes.len() >= QUARANTINE_CRASHES).then_some(QUARANTINE_DURATION)
     }
 
     fn last_crash(&self) -> Option<MonotonicTime> {
--- a/crates/crocusdale_core/src/quarantine/mod.rs
+++ b/crates/crocusdale_core/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! Callers retry such a request with a new key and the same content, at any daemon. All retries
 //! share one [`RequestDigest`](crate::identity::RequestDigest), under which the daemons jointly
 //! count the upstreams that crashed. After the third crash the request is refused for
-//! [`QUARANTINE`].
+//! [`QUARANTINE_DURATION`].
 
 mod crash_detector;
 mod crash_log;
@@ -11,6 +11,6 @@
 mod recent_successes;
 
 pub use crash_detector::{CrashDetector, CrashVerdict};
-pub use crash_log::{CrashLog, QUARANTINE};
+pub use crash_log::{CrashLog, QUARANTINE_DURATION};
 pub use crash_record::{CrashRecord, UpstreamCrash};
 pub use recent_successes::RecentSuccesses;
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crocusdale_core::identity::{MonotonicTime, RequestDigest};
-use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE, UpstreamCrash};
+use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE_DURATION, UpstreamCrash};
 use proptest::prelude::*;
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(5_000);
@@ -67,7 +67,7 @@
     };
     book.take(&old, NOW);
     book.record_crash(digest(1), 12, NOW);
-    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE));
+    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE_DURATION));
     assert_eq!(book.quarantine(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -22,7 +22,7 @@
     AnswerHead, AttemptEvent, BreakReason, CallerRequest, ForwardHead, OutcomeKind, RefusalReason,
     RelayOrder, RequestContent, RunProof,
 };
-use crocusdale_core::quarantine::QUARANTINE;
+use crocusdale_core::quarantine::QUARANTINE_DURATION;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -376,7 +376,7 @@
         (OutcomeKind::Refused, Some(RefusalReason::Quarantined))
     );
     let retry_after = answer.retry_after.expect("it is told when to come back");
-    assert!(retry_after <= QUARANTINE);
+    assert!(retry_after <= QUARANTINE_DURATION);
     engines.run(engines.fleet.now + retry_after + STEP);
     engines.try_again();
     engines.answer_all();
