--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -39,7 +39,7 @@
         // An upstream that had announced its departure has not crashed: it exited as planned, with
         // requests still running.
         let has_crashed = has_ended && !lock(&self.directory).directory.is_leaving(upstream);
-        let verdict = lock(&self.crash_detector).probed(upstream, has_crashed, now);
+        let verdict = lock(&self.crash_detector).finish_probe(upstream, has_crashed, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
@@ -50,7 +50,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let verdict = lock(&self.crash_detector).succeeded(digest, now);
+        let verdict = lock(&self.crash_detector).record_success(digest, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -75,7 +75,7 @@
 
     /// Ends the probe of `upstream`. If the upstream has crashed, the crash is counted for all
     /// requests that [`Self::suspect`] has recorded for it.
-    pub fn probed(
+    pub fn finish_probe(
         &mut self,
         upstream: &str,
         has_crashed: bool,
@@ -101,7 +101,7 @@
     }
 
     /// Records a complete answer to a request with `digest`, which clears it.
-    pub fn succeeded(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
+    pub fn record_success(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
         self.successes.record(digest, now);
         let mut verdict = CrashVerdict::default();
         let was_quarantined = self.log.quarantine(digest, now).is_some();
