--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -123,7 +123,7 @@
             let remaining = directory.staying().filter(|entry| entry.pool == name);
             let remaining = remaining.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
             self.upstreams.insert(name.to_owned(), remaining.collect());
-            for section in PoolSection::all(name, self.sections(name)) {
+            for section in PoolSection::all(name, self.section_count(name)) {
                 self.open_section(&section, rules, now);
             }
             // Sections of a previous section count may still hold work. They share their upstreams
@@ -156,7 +156,7 @@
 
     /// Number of sections of `pool`, derived from the upstreams known to this daemon.
     #[must_use]
-    pub fn sections(&self, pool: &str) -> usize {
+    pub fn section_count(&self, pool: &str) -> usize {
         PoolSection::count(self.upstreams.get(pool).map_or(0, Vec::len))
     }
 
@@ -165,7 +165,8 @@
         if self.pools.contains_key(&name) {
             return;
         }
-        let budget = self.retries.budget(MAX_DISPATCHERS_PER_POOL * self.sections(&section.pool));
+        let budget =
+            self.retries.budget(MAX_DISPATCHERS_PER_POOL * self.section_count(&section.pool));
         let mut pool = BatchPool::new(rules, budget).limiter(Arc::clone(&self.limiter));
         pool.set_upstreams(section_upstreams(section, &self.upstreams), now);
         self.pools.insert(name, pool);
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -39,7 +39,7 @@
     /// Guards against a herd: with full choice, all daemons would pick the section that was last
     /// reported as idle.
     pub(super) fn section_for(&self, pool: &str, key: &str, now: MonotonicTime) -> String {
-        let section_count = lock(&self.dispatcher).sections(pool);
+        let section_count = lock(&self.dispatcher).section_count(pool);
         if section_count == 1 {
             return pool.to_owned();
         }
