--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -128,7 +128,8 @@
             }
             // Sections of a previous section count may still hold work. They share their upstreams
             // with the current sections.
-            let pools = self.pools.iter_mut().map(|(name, pool)| (PoolSection::named(name), pool));
+            let pools =
+                self.pools.iter_mut().map(|(name, pool)| (PoolSection::from_name(name), pool));
             for (section, pool) in pools.filter(|(section, _)| section.pool == name) {
                 pool.set_rules(rules);
                 pool.set_upstreams(section_upstreams(&section, &self.upstreams), now);
@@ -148,7 +149,7 @@
     fn close_sections(&mut self) {
         let upstreams = &self.upstreams;
         self.pools.retain(|name, pool| {
-            let section = PoolSection::named(name);
+            let section = PoolSection::from_name(name);
             let count = upstreams.get(&section.pool).map(|all| PoolSection::count(all.len()));
             count.is_some_and(|count| section.has_section_count(count)) || !pool.is_idle()
         });
@@ -175,9 +176,9 @@
     /// Opens a section that another daemon with a different upstream list has submitted pieces to.
     /// Does nothing if the pool is unknown.
     fn open_unlisted_section(&mut self, name: &str, now: MonotonicTime) {
-        let section = PoolSection::named(name);
+        let section = PoolSection::from_name(name);
         let mut sections = self.pools.iter();
-        let sibling = sections.find(|(name, _)| PoolSection::named(name).pool == section.pool);
+        let sibling = sections.find(|(name, _)| PoolSection::from_name(name).pool == section.pool);
         if let Some(rules) = sibling.map(|(_, pool)| pool.rules()) {
             self.open_section(&section, rules, now);
         }
--- a/crates/crocusdale_core/src/batching/pool_section.rs
+++ b/crates/crocusdale_core/src/batching/pool_section.rs
@@ -42,7 +42,7 @@
 
     /// Parses a section name. A name without index and count denotes a whole pool.
     #[must_use]
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         let parts = name.rsplit_once(SECTION_SEPARATOR).and_then(|(pool, rest)| {
             let (index, count) = rest.split_once(COUNT_SEPARATOR)?;
             Some((pool, index.parse().ok()?, count.parse().ok()?))
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -58,13 +58,13 @@
 fn name_of_a_section_says_what_belongs_to_it() {
     for count in [1, 2, 8, 16] {
         for section in PoolSection::all("scan", count) {
-            assert_eq!(PoolSection::named(&section.to_string()), section);
+            assert_eq!(PoolSection::from_name(&section.to_string()), section);
         }
     }
-    assert_eq!(PoolSection::named("scan"), PoolSection::new("scan", 0, 1));
+    assert_eq!(PoolSection::from_name("scan"), PoolSection::new("scan", 0, 1));
     assert_eq!(PoolSection::new("scan", 0, 1).to_string(), "scan");
     for odd in ["scan#", "scan#1", "scan#x/2", "a#b"] {
-        assert_eq!(PoolSection::named(odd), PoolSection::new(odd, 0, 1), "a pool of that name");
+        assert_eq!(PoolSection::from_name(odd), PoolSection::new(odd, 0, 1), "a pool of that name");
     }
 }
 
@@ -114,7 +114,7 @@
     assert!(called.len() > 30, "{} upstreams of both sections", called.len());
     assert_eq!(daemon.freed.len(), calls.len() * PIECES, "all results are given up");
     let waiting = daemon.core.dump(daemon.now).waiting_pieces;
-    let sections = waiting.iter().filter(|(name, _)| PoolSection::named(name).pool == "scan");
+    let sections = waiting.iter().filter(|(name, _)| PoolSection::from_name(name).pool == "scan");
     assert_eq!(sections.count(), PoolSection::count(100));
 }
 
