--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -378,5 +378,5 @@
     upstreams_by_pool: &'a HashMap<String, Vec<(u64, DirectoryEntry)>>,
 ) -> impl Iterator<Item = &'a DirectoryEntry> {
     let upstreams = upstreams_by_pool.get(&section.pool).into_iter().flatten();
-    upstreams.filter(|(hash, _)| section.holds(*hash)).map(|(_, entry)| entry)
+    upstreams.filter(|(hash, _)| section.contains_hash(*hash)).map(|(_, entry)| entry)
 }
--- a/crates/crocusdale_core/src/batching/pool_section.rs
+++ b/crates/crocusdale_core/src/batching/pool_section.rs
@@ -53,7 +53,7 @@
 
     /// Whether an upstream belongs to the section, by the `hash` of its name.
     #[must_use]
-    pub fn holds(&self, hash: u64) -> bool {
+    pub fn contains_hash(&self, hash: u64) -> bool {
         hash % self.count as u64 == self.index as u64
     }
 
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -44,7 +44,7 @@
             let holders = sections
                 .iter()
                 .enumerate()
-                .filter(|(_, section)| section.holds(stable_hash(&[&name])));
+                .filter(|(_, section)| section.contains_hash(stable_hash(&[&name])));
             let holders: Vec<usize> = holders.map(|(index, _)| index).collect();
             assert_eq!(holders.len(), 1, "{name} of {upstreams}");
             sizes[holders[0]] += 1;
