--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -261,7 +261,7 @@
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
     /// the query.
-    pub fn room_told(
+    pub fn record_free_memory(
         &mut self,
         upstream: &str,
         free_bytes: Option<u64>,
@@ -271,7 +271,7 @@
         let owning_pools = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
         let names: Vec<String> = owning_pools
             .map(|(name, pool)| {
-                pool.room_told(upstream, free_bytes, now);
+                pool.record_free_memory(upstream, free_bytes, now);
                 name.clone()
             })
             .collect();
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -192,7 +192,12 @@
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
     /// the query.
-    pub fn room_told(&mut self, upstream: &str, free_bytes: Option<u64>, now: MonotonicTime) {
+    pub fn record_free_memory(
+        &mut self,
+        upstream: &str,
+        free_bytes: Option<u64>,
+        now: MonotonicTime,
+    ) {
         let rules = self.rules;
         if let Some(worker) = self.workers.get_mut(upstream) {
             worker.result_memory.record_free_bytes(free_bytes, &rules, now);
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -130,7 +130,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).room_told(upstream, free, now, &mut dispatch_steps);
+        lock(&self.dispatcher).record_free_memory(upstream, free, now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -161,7 +161,7 @@
 
     pub fn tell_room(&mut self, upstream: &str, free: Option<u64>) {
         let mut steps = Vec::new();
-        self.dispatcher.room_told(upstream, free, self.now, &mut steps);
+        self.dispatcher.record_free_memory(upstream, free, self.now, &mut steps);
         self.take(steps);
     }
 
