--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -288,9 +288,9 @@
     }
 
     /// Adjusts all timeouts after this process was paused for `pause`, which ended at `now`.
-    pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
+    pub fn resume_after_pause(&mut self, pause: Duration, now: MonotonicTime) {
         for pool in self.pools.values_mut() {
-            pool.woke(pause, now);
+            pool.resume_after_pause(pause, now);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/pool_changes.rs
+++ b/crates/crocusdale_core/src/batching/pool_changes.rs
@@ -53,7 +53,7 @@
     /// durations of calls that were in flight say nothing about their upstreams, and their answers
     /// may be waiting to be read. So these calls time out later by the length of the pause. The
     /// overload of the pool is measured anew.
-    pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
+    pub fn resume_after_pause(&mut self, pause: Duration, now: MonotonicTime) {
         for call in self.in_flight.values_mut() {
             call.started_at = None;
             call.lost_at = call.lost_at + pause;
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -470,7 +470,7 @@
     fn detect_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let Some(pause) = lock(&self.state.pause_watch).note_event(now) else { return };
         out.push(Command::Count(CounterName::PausesNoticed));
-        lock(&self.state.dispatcher).woke(pause, now);
+        lock(&self.state.dispatcher).resume_after_pause(pause, now);
         lock(&self.state.directory).woke(pause, now);
         if pause >= REFRESH_PAUSE {
             self.refresh_peer_view(pause, now, out);
