--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -302,9 +302,9 @@
     }
 
     /// Sets whether this daemon considers itself the only dispatcher of the section `pool`.
-    pub fn set_sole(&mut self, pool: &str, is_sole: bool, now: MonotonicTime) {
+    pub fn set_sole_dispatcher(&mut self, pool: &str, is_sole: bool, now: MonotonicTime) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.set_sole(is_sole, now);
+            pool.set_sole_dispatcher(is_sole, now);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/call_limits.rs
+++ b/crates/crocusdale_core/src/batching/call_limits.rs
@@ -22,7 +22,7 @@
     /// Sets whether this daemon considers itself the only dispatcher of the pool.
     ///
     /// Guards against two dispatchers that each use the whole rate of an upstream.
-    pub fn set_sole(&mut self, is_sole: bool, now: MonotonicTime) {
+    pub fn set_sole_dispatcher(&mut self, is_sole: bool, now: MonotonicTime) {
         self.sole_dispatcher_since = is_sole.then(|| self.sole_dispatcher_since.unwrap_or(now));
     }
 
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -171,7 +171,7 @@
                 let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
                 choice.dispatcher(&pool, &[]) == self.own_instance.vm
             };
-            lock(&self.dispatcher).set_sole(&pool, is_sole, now);
+            lock(&self.dispatcher).set_sole_dispatcher(&pool, is_sole, now);
         }
     }
 
