--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -229,14 +229,14 @@
 
     /// Requests that unneeded results be freed, and forms calls that use the memory of those freed
     /// before.
-    pub fn turn_unwanted(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
+    pub fn free_unneeded_results(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
             if let Some(pool) = self.pools.get_mut(&name) {
                 pool.free_fetched_inputs(now, actions);
             }
             let has_freed =
-                self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(actions));
+                self.pools.get_mut(&name).is_some_and(|pool| pool.free_unneeded_results(actions));
             if has_freed {
                 self.advance_section(&name, now, actions);
             }
--- a/crates/crocusdale_core/src/batching/result_release.rs
+++ b/crates/crocusdale_core/src/batching/result_release.rs
@@ -14,7 +14,7 @@
     /// Requests that unneeded results be freed, and counts the memory of those from the previous
     /// cycle as free. The delay makes sure that a call which needs the memory does not overtake the
     /// message that frees it. Returns whether there were results in either cycle.
-    pub fn turn_unwanted(&mut self, actions: &mut Vec<DispatchAction>) -> bool {
+    pub fn free_unneeded_results(&mut self, actions: &mut Vec<DispatchAction>) -> bool {
         let freed_before =
             std::mem::replace(&mut self.freed_results, std::mem::take(&mut self.unneeded_results));
         // Results at an upstream with a rate limit are left to expire, because its requests are
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -102,7 +102,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn_unwanted(now, &mut dispatch_steps);
+        lock(&self.dispatcher).free_unneeded_results(now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -25,10 +25,10 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, 2);
     bench.offer(order);
-    turn_unwanted(&mut bench);
+    free_unneeded_results(&mut bench);
     assert!(bench.fetched.is_empty(), "the call may not have begun yet");
     bench.advance(FETCHED_MS);
-    turn_unwanted(&mut bench);
+    free_unneeded_results(&mut bench);
     assert_eq!(bench.calls.len(), 1, "the call goes on");
     assert_eq!(bench.fetched, [ResultHandle::new("10.0.0.1:9/1")]);
 }
@@ -41,11 +41,11 @@
     let order = order_with_inputs(&mut bench, PIECES + 1);
     bench.offer(order);
     bench.advance(FETCHED_MS);
-    turn_unwanted(&mut bench);
+    free_unneeded_results(&mut bench);
     assert!(bench.fetched.is_empty(), "one piece still waits");
     bench.end_call(made);
     bench.advance(FETCHED_MS);
-    turn_unwanted(&mut bench);
+    free_unneeded_results(&mut bench);
     assert_eq!(bench.fetched.len(), 1);
 }
 
@@ -57,12 +57,12 @@
     order.inputs_pool = None;
     bench.offer(order);
     bench.advance(FETCHED_MS);
-    turn_unwanted(&mut bench);
+    free_unneeded_results(&mut bench);
     assert!(bench.fetched.is_empty());
 }
 
-fn turn_unwanted(bench: &mut Bench) {
+fn free_unneeded_results(bench: &mut Bench) {
     let mut steps = Vec::new();
-    bench.dispatcher.turn_unwanted(bench.now, &mut steps);
+    bench.dispatcher.free_unneeded_results(bench.now, &mut steps);
     bench.take(steps);
 }
