--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -114,7 +114,8 @@
             out.push(Command::LogStateChange(StateChange::QuarantineLifted { digest }));
         }
         for digest in verdict.quarantined {
-            let (ends, peer) = (lock(&self.crash_detector).ends(digest), peer.map(str::to_owned));
+            let (ends, peer) =
+                (lock(&self.crash_detector).crash_count(digest), peer.map(str::to_owned));
             out.push(Command::Count(CounterName::RequestsQuarantined));
             out.push(Command::LogStateChange(StateChange::RequestQuarantined {
                 digest,
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -68,7 +68,7 @@
             dispatch_steps.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let crash_count =
-                order.digest.map_or(0, |digest| lock(&self.crash_detector).ends(digest));
+                order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
             lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_steps);
         }
         self.run_dispatch(dispatch_steps, now, steps, out);
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -147,8 +147,8 @@
 
     /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
-    pub fn ends(&self, digest: RequestDigest) -> usize {
-        self.log.ends(digest)
+    pub fn crash_count(&self, digest: RequestDigest) -> usize {
+        self.log.crash_count(digest)
     }
 
     /// Digests of all quarantined requests.
@@ -179,7 +179,7 @@
     pub fn forget(&mut self, now: MonotonicTime) -> bool {
         let has_removed = self.log.forget(now);
         let log = &self.log;
-        self.observed_crashes.retain(|(digest, _), _| log.ends(*digest) > 0);
+        self.observed_crashes.retain(|(digest, _), _| log.crash_count(*digest) > 0);
         has_removed
     }
 
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -116,7 +116,7 @@
 
     /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
-    pub fn ends(&self, digest: RequestDigest) -> usize {
+    pub fn crash_count(&self, digest: RequestDigest) -> usize {
         self.entries.get(&digest).map_or(0, |entry| entry.crashes.len())
     }
 
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -73,8 +73,8 @@
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
     assert_eq!(told.crashes[0].age, age);
     assert!(book.forget(NOW), "two minutes without a third end");
-    assert_eq!(book.ends(digest(2)), 0);
-    assert_eq!(book.ends(digest(1)), 3);
+    assert_eq!(book.crash_count(digest(2)), 0);
+    assert_eq!(book.crash_count(digest(1)), 3);
 }
 
 /// Upstreams end by the dozen under requests that come once: the book stays small, and what has ended
