--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -142,7 +142,7 @@
         for (upstream, until) in backoffs {
             self.stay_away(upstream, *until);
         }
-        self.turn(now, actions);
+        self.run_cycle(now, actions);
     }
 
     /// Removes idle sections that are not part of their pool's current section count.
@@ -316,7 +316,7 @@
     }
 
     /// Handles timeouts of all sections, and forms calls.
-    pub fn turn(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
+    pub fn run_cycle(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         self.close_sections();
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
@@ -362,7 +362,7 @@
         if self.is_paused {
             pool.expire(now, actions);
         } else {
-            pool.turn(&mut next_batch_id, now, actions);
+            pool.run_cycle(&mut next_batch_id, now, actions);
         }
         for action in &actions[first_new..] {
             if let DispatchAction::Cancel(batch) = action {
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -275,7 +275,7 @@
     }
 
     /// Handles timeouts, queries the free memory of upstreams, and forms calls.
-    pub fn turn(
+    pub fn run_cycle(
         &mut self,
         next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -183,7 +183,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn(now, &mut dispatch_steps);
+        lock(&self.dispatcher).run_cycle(now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -170,7 +170,7 @@
         while self.now < end {
             self.now = (self.now + Duration::from_millis(50)).min(end);
             let mut steps = Vec::new();
-            self.dispatcher.turn(self.now, &mut steps);
+            self.dispatcher.run_cycle(self.now, &mut steps);
             self.take(steps);
         }
     }
