--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -104,7 +104,7 @@
 
     /// Pauses or resumes forming calls. Calls are paused while the list of available upstreams is
     /// unreliable.
-    pub fn hold(&mut self, is_paused: bool) {
+    pub fn set_paused(&mut self, is_paused: bool) {
         self.is_paused = is_paused;
     }
 
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -26,7 +26,7 @@
         };
         let Some(released_work) = released_work else { return };
         self.router().set_suspended(is_expired);
-        lock(&self.dispatcher).hold(is_expired);
+        lock(&self.dispatcher).set_paused(is_expired);
         if is_expired {
             return;
         }
