--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -245,7 +245,7 @@
 
     /// Updates the pool after a batch call has ended with `outcome`. Outcomes of unknown calls are
     /// ignored.
-    pub fn answered(
+    pub fn handle_outcome(
         &mut self,
         batch: BatchId,
         outcome: BatchOutcome,
@@ -254,7 +254,7 @@
     ) {
         let Some(name) = self.call_sections.remove(&batch) else { return };
         if let Some(pool) = self.pools.get_mut(&name) {
-            pool.answered(batch, outcome, now, actions);
+            pool.handle_outcome(batch, outcome, now, actions);
         }
         self.advance_section(&name, now, actions);
     }
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -219,7 +219,7 @@
 
     /// Handles the outcome of a batch call: updates the state of its upstream, records results, and
     /// queues failed pieces for a retry.
-    pub fn answered(
+    pub fn handle_outcome(
         &mut self,
         batch: BatchId,
         outcome: BatchOutcome,
@@ -317,7 +317,7 @@
         let lost: Vec<BatchId> = lost.map(|(batch, _)| *batch).collect();
         for batch in lost {
             actions.push(DispatchAction::Cancel(batch));
-            self.answered(batch, BatchOutcome::Broken, now, actions);
+            self.handle_outcome(batch, BatchOutcome::Broken, now, actions);
         }
     }
 
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -116,7 +116,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).answered(batch, outcome, now, &mut dispatch_steps);
+        lock(&self.dispatcher).handle_outcome(batch, outcome, now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -181,7 +181,7 @@
         let items = (0..order.items.len()).map(outcome).collect();
         let mut steps = Vec::new();
         let outcome = BatchOutcome::Answered(items);
-        self.dispatcher.answered(order.batch, outcome, self.now, &mut steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
         self.take(steps);
         order
     }
@@ -189,7 +189,7 @@
     pub fn end_call_as(&mut self, outcome: BatchOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
         let mut steps = Vec::new();
-        self.dispatcher.answered(order.batch, outcome, self.now, &mut steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
         self.take(steps);
         order
     }
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -73,7 +73,7 @@
     assert_eq!(bench.calls[0].items.len(), 4);
     let mut steps = Vec::new();
     let outcome = BatchOutcome::Answered((0..4).map(made).collect());
-    bench.dispatcher.answered(ended.batch, outcome, bench.now, &mut steps);
+    bench.dispatcher.handle_outcome(ended.batch, outcome, bench.now, &mut steps);
     bench.take(steps);
     assert!(bench.settled.is_empty(), "results that are gone were settled");
     bench.advance(200);
