--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -140,7 +140,7 @@
         };
         self.upstreams.retain(|name, _| is_declared(name));
         for (upstream, until) in backoffs {
-            self.stay_away(upstream, *until);
+            self.back_off(upstream, *until);
         }
         self.run_cycle(now, actions);
     }
@@ -281,9 +281,9 @@
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
-    pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&mut self, upstream: &str, until: MonotonicTime) {
         for pool in self.pools.values_mut() {
-            pool.stay_away(upstream, until);
+            pool.back_off(upstream, until);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -184,7 +184,7 @@
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
-    pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&mut self, upstream: &str, until: MonotonicTime) {
         if let Some(worker) = self.workers.get_mut(upstream) {
             worker.back_off(until);
         }
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -39,7 +39,7 @@
             unavailable_until.insert(upstream.to_owned(), now + duration);
             drop(unavailable_until);
             self.router().stay_away(upstream, now + duration);
-            lock(&self.dispatcher).stay_away(upstream, now + duration);
+            lock(&self.dispatcher).back_off(upstream, now + duration);
             let stay_away_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
             out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
