--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -36,7 +36,7 @@
 
     /// Removes the request of `call` from the queue and returns its plan, or `None` if it is not
     /// queued.
-    pub fn withdraw(&mut self, call: CallId) -> Option<RequestPlan> {
+    pub fn remove(&mut self, call: CallId) -> Option<RequestPlan> {
         let key = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
         self.waiting.remove(&key)
     }
--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -214,9 +214,9 @@
     }
 
     /// Drops the pieces of `attempt`, whose results are no longer needed.
-    pub fn withdraw(&mut self, attempt: AttemptId, pool: &str) {
+    pub fn cancel_attempt(&mut self, attempt: AttemptId, pool: &str) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.withdraw(attempt);
+            pool.cancel_job(attempt);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -205,7 +205,7 @@
     }
 
     /// Drops the job of `attempt`, whose results are no longer needed.
-    pub fn withdraw(&mut self, attempt: AttemptId) {
+    pub fn cancel_job(&mut self, attempt: AttemptId) {
         let Some(job) = self.jobs.remove(&attempt) else { return };
         self.queue.remove(&(job.priority_time(), attempt));
         let finished: Vec<ResultHandle> =
@@ -422,7 +422,7 @@
     ) {
         if let Some(job) = self.jobs.get(&attempt) {
             actions.push(DispatchAction::fail(attempt, &job.order.pool, fault));
-            self.withdraw(attempt);
+            self.cancel_job(attempt);
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -105,7 +105,7 @@
                 self.state.dispatch_pieces(*order, now, &mut steps, out);
             }
             DaemonEvent::PiecesCancelled { attempt, pool } => {
-                lock(&self.state.dispatcher).withdraw(attempt, &pool);
+                lock(&self.state.dispatcher).cancel_attempt(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
                 lock(&self.state.pool_waits).note(&pool, wait, now);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -69,7 +69,7 @@
     /// Removes the queued request of `call`, whose caller has disconnected.
     pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardAction>) {
         lock(&self.held).abandon(call);
-        if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
+        if let Some(plan) = lock(&self.entry_backlog).remove(call) {
             steps.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -324,7 +324,7 @@
                 self.offer_pieces(*order, &tried, now, &mut steps, out);
             }
             ShardAction::CancelPieces { attempt, pool } => {
-                lock(&self.dispatcher).withdraw(attempt, &pool);
+                lock(&self.dispatcher).cancel_attempt(attempt, &pool);
                 out.push(Command::CancelPieces(attempt));
             }
             ShardAction::CheckCrash { digest, upstream, address } => {
