--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -207,9 +207,9 @@
 
     /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests
     /// have crashed.
-    pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
+    pub fn fail_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         for pool in self.pools.values_mut() {
-            pool.end_quarantined(digest, actions);
+            pool.fail_quarantined(digest, actions);
         }
     }
 
--- a/crates/crocusdale_core/src/batching/crash_suspicion.rs
+++ b/crates/crocusdale_core/src/batching/crash_suspicion.rs
@@ -10,7 +10,7 @@
 impl BatchPool {
     /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests
     /// have crashed.
-    pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
+    pub fn fail_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         let matching = self.jobs.iter().filter(|(_, job)| job.order.digest == Some(digest));
         let mut matching: Vec<AttemptId> = matching.map(|(attempt, _)| *attempt).collect();
         matching.sort_unstable();
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -144,7 +144,7 @@
             lock(shard).end_quarantined(digest, left, now, &mut steps);
         }
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_steps);
+        lock(&self.dispatcher).fail_quarantined(digest, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, &mut steps, out);
         self.run_steps(steps, now, out);
     }
