--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -73,7 +73,7 @@
     }
 
     /// Removes all requests whose digest equals `digest`.
-    pub fn take_like(&mut self, digest: RequestDigest) -> Vec<(CallId, RequestPlan)> {
+    pub fn take_matching(&mut self, digest: RequestDigest) -> Vec<(CallId, RequestPlan)> {
         let matching = self.waiting.extract_if(.., |_, plan| plan.digest == digest);
         matching.map(|((_, _, call), plan)| (call, plan)).collect()
     }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -136,7 +136,7 @@
     ) {
         let Some(left) = self.quarantine_left(digest, now) else { return };
         let mut steps = Vec::new();
-        let queued = lock(&self.entry_backlog).take_like(digest);
+        let queued = lock(&self.entry_backlog).take_matching(digest);
         for (call, plan) in queued {
             self.refuse_quarantined(call, &plan, left, &mut steps);
         }
