--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -296,7 +296,7 @@
 
     /// Names of the sections that have an upstream with a rate limit.
     #[must_use]
-    pub fn limited_pools(&self) -> Vec<String> {
+    pub fn rate_limited_sections(&self) -> Vec<String> {
         let limited = self.pools.iter().filter(|(_, pool)| pool.has_limits());
         limited.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -164,7 +164,7 @@
         if !self.limiter.has_limits() {
             return;
         }
-        let pools = lock(&self.dispatcher).limited_pools();
+        let pools = lock(&self.dispatcher).rate_limited_sections();
         for pool in pools {
             let is_sole = {
                 let fleet = lock(&self.fleet);
