--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -29,7 +29,7 @@
 impl PoolWait {
     /// Expected wait of the pieces of a late request with the priority `level`.
     #[must_use]
-    pub fn late_for(&self, level: u8) -> Duration {
+    pub fn late_wait(&self, level: u8) -> Duration {
         let known = self.late.get(usize::from(level)).or(self.late.last());
         known.copied().unwrap_or_default().max(self.in_time)
     }
@@ -43,7 +43,7 @@
     /// Whether late requests are not admitted, or would wait for a long time.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        !self.has_room() || self.late_for(u8::MAX) > MIN_OVERLOAD_WAIT
+        !self.has_room() || self.late_wait(u8::MAX) > MIN_OVERLOAD_WAIT
     }
 
     /// Time after which a refused caller should retry: by then, all queued work should be done and
@@ -52,7 +52,7 @@
     /// Guards against callers that retry in vain.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
-        self.late_for(u8::MAX).max(self.overloaded)
+        self.late_wait(u8::MAX).max(self.overloaded)
     }
 
     /// Estimate of the current wait, if the estimate in `self` was made `age` ago.
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -164,7 +164,7 @@
         }
         let expected = self.expected_duration(plan, now);
         let waits = self.needed_pool_waits(plan, now);
-        let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
+        let late_wait = waits.iter().map(|wait| wait.late_wait(plan.level)).max();
         let unqueued =
             plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
