--- a/crates/crocusdale_core/src/batching/pool_forecast.rs
+++ b/crates/crocusdale_core/src/batching/pool_forecast.rs
@@ -78,11 +78,11 @@
         self.refresh_limits(now);
         let mut wait = self.compute_wait(now);
         self.overloaded_since = wait.is_overloaded().then(|| self.overloaded_since.unwrap_or(now));
-        wait.overloaded = self.overloaded_since.map_or(Duration::ZERO, |since| now.since(since));
+        wait.overload_time = self.overloaded_since.map_or(Duration::ZERO, |since| now.since(since));
         // The estimated end is valid only while the pool is overloaded.
         self.overload_until = self.overload_until.filter(|_| wait.is_overloaded());
         let overload_left = self.overload_until.map_or(Duration::ZERO, |until| until.since(now));
-        wait.overloaded = wait.overloaded.max(overload_left);
+        wait.overload_time = wait.overload_time.max(overload_left);
         self.cached_wait = Some((wait.clone(), now));
         wait
     }
@@ -148,10 +148,10 @@
         });
         let call_time = self.average_call_time();
         PoolWait {
-            in_time: on_time_wait,
-            late: late_waits.collect(),
-            overloaded: Duration::ZERO,
-            call: call_time,
+            on_time_wait,
+            late_waits: late_waits.collect(),
+            overload_time: Duration::ZERO,
+            call_time,
         }
     }
 
--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -15,29 +15,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolWait {
     /// Wait of pieces whose request can still be on time.
-    pub in_time: Duration,
+    pub on_time_wait: Duration,
     /// Wait of pieces whose request will be late, by its priority level, starting with the most
     /// urgent level 0. Levels beyond the last entry wait as long as that.
-    pub late: Vec<Duration>,
+    pub late_waits: Vec<Duration>,
     /// Time for which the pool has been overloaded, or for which the overload is still expected to
     /// last, whichever is longer. A burst is assumed to last as long again as it has lasted.
-    pub overloaded: Duration,
+    pub overload_time: Duration,
     /// Duration of a call with the recent average number of pieces. Zero if unknown.
-    pub call: Duration,
+    pub call_time: Duration,
 }
 
 impl PoolWait {
     /// Expected wait of the pieces of a late request with the priority `level`.
     #[must_use]
     pub fn late_wait(&self, level: u8) -> Duration {
-        let known = self.late.get(usize::from(level)).or(self.late.last());
-        known.copied().unwrap_or_default().max(self.in_time)
+        let known = self.late_waits.get(usize::from(level)).or(self.late_waits.last());
+        known.copied().unwrap_or_default().max(self.on_time_wait)
     }
 
     /// Whether there is spare capacity for late requests, so that they hardly delay on-time ones.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.in_time <= MAX_WAIT_WITH_SPARE_CAPACITY
+        self.on_time_wait <= MAX_WAIT_WITH_SPARE_CAPACITY
     }
 
     /// Whether late requests are not admitted, or would wait for a long time.
@@ -52,15 +52,15 @@
     /// Guards against callers that retry in vain.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
-        self.late_wait(u8::MAX).max(self.overloaded)
+        self.late_wait(u8::MAX).max(self.overload_time)
     }
 
     /// Estimate of the current wait, if the estimate in `self` was made `age` ago.
     #[must_use]
     pub fn reduced_by(&self, age: Duration) -> Self {
         let remaining = |wait: &Duration| wait.saturating_sub(age);
-        let late = self.late.iter().map(remaining).collect();
-        Self { in_time: remaining(&self.in_time), late, ..self.clone() }
+        let late_waits = self.late_waits.iter().map(remaining).collect();
+        Self { on_time_wait: remaining(&self.on_time_wait), late_waits, ..self.clone() }
     }
 }
 
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -100,7 +100,7 @@
                 return Duration::ZERO;
             }
             let wait = self.step_wait(plan, step, now);
-            wait.in_time + wait.call.saturating_sub(plan.step_time(position, step))
+            wait.on_time_wait + wait.call_time.saturating_sub(plan.step_time(position, step))
         };
         steps.map(delay).collect()
     }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -48,7 +48,7 @@
         let waits = lock(&self.pool_waits);
         let queueing_time = |section: &str| {
             let wait = waits.wait(section, now);
-            (wait.in_time, wait.late_wait(u8::MAX))
+            (wait.on_time_wait, wait.late_wait(u8::MAX))
         };
         if queueing_time(&second) < queueing_time(&first) { second } else { first }
     }
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -96,10 +96,10 @@
     peer::MakePiecesReply {
         results,
         fault,
-        wait_ms: short_millis(wait.in_time),
-        late_wait_ms: wait.late.iter().copied().map(short_millis).collect(),
-        overloaded_ms: short_millis(wait.overloaded),
-        call_ms: short_millis(wait.call),
+        wait_ms: short_millis(wait.on_time_wait),
+        late_wait_ms: wait.late_waits.iter().copied().map(short_millis).collect(),
+        overloaded_ms: short_millis(wait.overload_time),
+        call_ms: short_millis(wait.call_time),
     }
 }
 
@@ -108,10 +108,10 @@
 pub fn read_pool_wait(wire: &peer::MakePiecesReply) -> PoolWait {
     let wait = |millis: &u32| Duration::from_millis(u64::from(*millis));
     PoolWait {
-        in_time: wait(&wire.wait_ms),
-        late: wire.late_wait_ms.iter().map(wait).collect(),
-        overloaded: wait(&wire.overloaded_ms),
-        call: wait(&wire.call_ms),
+        on_time_wait: wait(&wire.wait_ms),
+        late_waits: wire.late_wait_ms.iter().map(wait).collect(),
+        overload_time: wait(&wire.overloaded_ms),
+        call_time: wait(&wire.call_ms),
     }
 }
 
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -16,7 +16,12 @@
 /// A pool in which new pieces wait for `millis`, those of late requests no longer than others.
 fn crowd(millis: u64) -> PoolWait {
     let wait = Duration::from_millis(millis);
-    PoolWait { in_time: wait, late: vec![wait], overloaded: Duration::ZERO, call: Duration::ZERO }
+    PoolWait {
+        on_time_wait: wait,
+        late_waits: vec![wait],
+        overload_time: Duration::ZERO,
+        call_time: Duration::ZERO,
+    }
 }
 
 /// A burst has filled the pool of the first step for longer than the objective. Requests that come
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -66,8 +66,8 @@
         let _ = bench.dispatcher.expected_wait(POOL, bench.now);
     }
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
-    assert!(wait.overloaded >= Duration::from_millis(2_000), "{wait:?}");
-    assert!(wait.retry_after() >= wait.overloaded);
+    assert!(wait.overload_time >= Duration::from_millis(2_000), "{wait:?}");
+    assert!(wait.retry_after() >= wait.overload_time);
 }
 
 /// The crowd is over: the queue is made. A caller that is refused now for another reason must not be
