--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -127,17 +127,17 @@
         self.jobs.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
-    /// their request.
+    /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
+    /// while they ran the request of the step.
     pub fn offer(
         &mut self,
         order: PieceOrder,
-        ends: usize,
+        crash_count: usize,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
         let attempt = order.attempt;
-        self.note_activity(order.repeated, now);
+        self.record_activity(order.repeated, now);
         if order.pieces == 0 {
             let pool = order.pool;
             actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(Vec::new()) });
@@ -157,7 +157,7 @@
             return;
         }
         let mut job = BatchJob::new(order);
-        job.add_suspected_crashes(ends);
+        job.add_suspected_crashes(crash_count);
         if job.can_meet_due(now + self.rules.expected(1)) {
             self.record_on_time_load(job.order.pieces, now);
         }
@@ -168,7 +168,7 @@
     /// Marks the free memory of all upstreams as unverified if another dispatcher may have stored
     /// results there. That is the case after an idle time as long as the lifetime of results, and
     /// when pieces arrive from a failed dispatcher.
-    fn note_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
+    fn record_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
         let idle_time = self.last_active_at.replace(now).map(|last| now.since(last));
         let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_life);
         if was_idle || (is_takeover && !self.has_recent_takeover(now)) {
@@ -184,7 +184,7 @@
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
-    pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&mut self, upstream: &str, until: MonotonicTime) {
         if let Some(worker) = self.workers.get_mut(upstream) {
             worker.back_off(until);
         }
@@ -192,15 +192,20 @@
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
     /// the query.
-    pub fn room_told(&mut self, upstream: &str, free: Option<u64>, now: MonotonicTime) {
+    pub fn record_free_memory(
+        &mut self,
+        upstream: &str,
+        free_bytes: Option<u64>,
+        now: MonotonicTime,
+    ) {
         let rules = self.rules;
         if let Some(worker) = self.workers.get_mut(upstream) {
-            worker.result_memory.record_free_bytes(free, &rules, now);
+            worker.result_memory.record_free_bytes(free_bytes, &rules, now);
         }
     }
 
     /// Drops the job of `attempt`, whose results are no longer needed.
-    pub fn withdraw(&mut self, attempt: AttemptId) {
+    pub fn cancel_job(&mut self, attempt: AttemptId) {
         let Some(job) = self.jobs.remove(&attempt) else { return };
         self.queue.remove(&(job.priority_time(), attempt));
         let finished: Vec<ResultHandle> =
@@ -214,7 +219,7 @@
 
     /// Handles the outcome of a batch call: updates the state of its upstream, records results, and
     /// queues failed pieces for a retry.
-    pub fn answered(
+    pub fn handle_outcome(
         &mut self,
         batch: BatchId,
         outcome: BatchOutcome,
@@ -270,7 +275,7 @@
     }
 
     /// Handles timeouts, queries the free memory of upstreams, and forms calls.
-    pub fn turn(
+    pub fn run_cycle(
         &mut self,
         next_batch_id: &mut impl FnMut() -> BatchId,
         now: MonotonicTime,
@@ -312,7 +317,7 @@
         let lost: Vec<BatchId> = lost.map(|(batch, _)| *batch).collect();
         for batch in lost {
             actions.push(DispatchAction::Cancel(batch));
-            self.answered(batch, BatchOutcome::Broken, now, actions);
+            self.handle_outcome(batch, BatchOutcome::Broken, now, actions);
         }
     }
 
@@ -417,7 +422,7 @@
     ) {
         if let Some(job) = self.jobs.get(&attempt) {
             actions.push(DispatchAction::fail(attempt, &job.order.pool, fault));
-            self.withdraw(attempt);
+            self.cancel_job(attempt);
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -39,7 +39,7 @@
         // An upstream that had announced its departure has not crashed: it exited as planned, with
         // requests still running.
         let has_crashed = has_ended && !lock(&self.directory).directory.is_leaving(upstream);
-        let verdict = lock(&self.crash_detector).probed(upstream, has_crashed, now);
+        let verdict = lock(&self.crash_detector).finish_probe(upstream, has_crashed, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
@@ -50,7 +50,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let verdict = lock(&self.crash_detector).succeeded(digest, now);
+        let verdict = lock(&self.crash_detector).record_success(digest, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
@@ -71,7 +71,7 @@
 
     /// Sends peers the crash records and rate limits of upstreams that they have not been sent yet.
     pub(super) fn tell_upstream_news(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let crashes = lock(&self.crash_detector).take_fresh(now);
+        let crashes = lock(&self.crash_detector).take_unsent(now);
         let limits = self.limiter.take_untold(now);
         if !(crashes.is_empty() && limits.is_empty()) {
             lock(&self.fleet).tell_readers(&crashes, &limits, now, out);
@@ -114,7 +114,8 @@
             out.push(Command::LogStateChange(StateChange::QuarantineLifted { digest }));
         }
         for digest in verdict.quarantined {
-            let (ends, peer) = (lock(&self.crash_detector).ends(digest), peer.map(str::to_owned));
+            let (ends, peer) =
+                (lock(&self.crash_detector).crash_count(digest), peer.map(str::to_owned));
             out.push(Command::Count(CounterName::RequestsQuarantined));
             out.push(Command::LogStateChange(StateChange::RequestQuarantined {
                 digest,
@@ -135,7 +136,7 @@
     ) {
         let Some(left) = self.quarantine_left(digest, now) else { return };
         let mut steps = Vec::new();
-        let queued = lock(&self.entry_backlog).take_like(digest);
+        let queued = lock(&self.entry_backlog).take_matching(digest);
         for (call, plan) in queued {
             self.refuse_quarantined(call, &plan, left, &mut steps);
         }
@@ -143,7 +144,7 @@
             lock(shard).end_quarantined(digest, left, now, &mut steps);
         }
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_steps);
+        lock(&self.dispatcher).fail_quarantined(digest, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, &mut steps, out);
         self.run_steps(steps, now, out);
     }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -105,7 +105,7 @@
                 self.state.dispatch_pieces(*order, now, &mut steps, out);
             }
             DaemonEvent::PiecesCancelled { attempt, pool } => {
-                lock(&self.state.dispatcher).withdraw(attempt, &pool);
+                lock(&self.state.dispatcher).cancel_attempt(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
                 lock(&self.state.pool_waits).note(&pool, wait, now);
@@ -470,7 +470,7 @@
     fn detect_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let Some(pause) = lock(&self.state.pause_watch).note_event(now) else { return };
         out.push(Command::Count(CounterName::PausesNoticed));
-        lock(&self.state.dispatcher).woke(pause, now);
+        lock(&self.state.dispatcher).resume_after_pause(pause, now);
         lock(&self.state.directory).woke(pause, now);
         if pause >= REFRESH_PAUSE {
             self.refresh_peer_view(pause, now, out);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -69,7 +69,7 @@
     /// Removes the queued request of `call`, whose caller has disconnected.
     pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardAction>) {
         lock(&self.held).abandon(call);
-        if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
+        if let Some(plan) = lock(&self.entry_backlog).remove(call) {
             steps.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
@@ -100,7 +100,7 @@
                 return Duration::ZERO;
             }
             let wait = self.step_wait(plan, step, now);
-            wait.in_time + wait.call.saturating_sub(plan.step_time(position, step))
+            wait.on_time_wait + wait.call_time.saturating_sub(plan.step_time(position, step))
         };
         steps.map(delay).collect()
     }
@@ -164,7 +164,7 @@
         }
         let expected = self.expected_duration(plan, now);
         let waits = self.needed_pool_waits(plan, now);
-        let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
+        let late_wait = waits.iter().map(|wait| wait.late_wait(plan.level)).max();
         let unqueued =
             plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -39,7 +39,7 @@
     /// Guards against a herd: with full choice, all daemons would pick the section that was last
     /// reported as idle.
     pub(super) fn section_for(&self, pool: &str, key: &str, now: MonotonicTime) -> String {
-        let section_count = lock(&self.dispatcher).sections(pool);
+        let section_count = lock(&self.dispatcher).section_count(pool);
         if section_count == 1 {
             return pool.to_owned();
         }
@@ -48,7 +48,7 @@
         let waits = lock(&self.pool_waits);
         let queueing_time = |section: &str| {
             let wait = waits.wait(section, now);
-            (wait.in_time, wait.late_for(u8::MAX))
+            (wait.on_time_wait, wait.late_wait(u8::MAX))
         };
         if queueing_time(&second) < queueing_time(&first) { second } else { first }
     }
@@ -68,7 +68,7 @@
             dispatch_steps.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let crash_count =
-                order.digest.map_or(0, |digest| lock(&self.crash_detector).ends(digest));
+                order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
             lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_steps);
         }
         self.run_dispatch(dispatch_steps, now, steps, out);
@@ -102,7 +102,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn_unwanted(now, &mut dispatch_steps);
+        lock(&self.dispatcher).free_unneeded_results(now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
@@ -116,7 +116,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).answered(batch, outcome, now, &mut dispatch_steps);
+        lock(&self.dispatcher).handle_outcome(batch, outcome, now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
@@ -130,7 +130,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).room_told(upstream, free, now, &mut dispatch_steps);
+        lock(&self.dispatcher).record_free_memory(upstream, free, now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
@@ -164,14 +164,14 @@
         if !self.limiter.has_limits() {
             return;
         }
-        let pools = lock(&self.dispatcher).limited_pools();
+        let pools = lock(&self.dispatcher).rate_limited_sections();
         for pool in pools {
             let is_sole = {
                 let fleet = lock(&self.fleet);
                 let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
                 choice.dispatcher(&pool, &[]) == self.own_instance.vm
             };
-            lock(&self.dispatcher).set_sole(&pool, is_sole, now);
+            lock(&self.dispatcher).set_sole_dispatcher(&pool, is_sole, now);
         }
     }
 
@@ -183,7 +183,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn(now, &mut dispatch_steps);
+        lock(&self.dispatcher).run_cycle(now, &mut dispatch_steps);
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
 
--- a/crates/crocusdale_core/src/wire/exchange_messages.rs
+++ b/crates/crocusdale_core/src/wire/exchange_messages.rs
@@ -6,7 +6,7 @@
 use crate::membership::{
     ExchangeMessage, LeavingUpstream, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
 };
-use crate::quarantine::{CrashRecord, UpstreamEnd};
+use crate::quarantine::{CrashRecord, UpstreamCrash};
 use crate::rate_limiting::{LimitRecord, RequestRate};
 
 /// Error for a message in which a required field is missing or invalid.
@@ -106,13 +106,13 @@
 
 impl From<CrashRecord> for peer::CrashRecord {
     fn from(record: CrashRecord) -> Self {
-        let to_message = |crash: UpstreamEnd| peer::UpstreamEnd {
+        let to_message = |crash: UpstreamCrash| peer::UpstreamEnd {
             upstream: crash.upstream,
             age_ms: saturating_millis(crash.age),
         };
         Self {
             digest: record.digest.0.to_vec(),
-            ends: record.ends.into_iter().map(to_message).collect(),
+            ends: record.crashes.into_iter().map(to_message).collect(),
             cleared_age_ms: record.cleared.map(saturating_millis),
         }
     }
@@ -125,13 +125,13 @@
         let digest = message.digest.try_into();
         let digest = digest.map_err(|_| InvalidField("the digest of a crash record"))?;
         let to_duration = |millis: u32| Duration::from_millis(millis.into());
-        let from_message = |crash: peer::UpstreamEnd| UpstreamEnd {
+        let from_message = |crash: peer::UpstreamEnd| UpstreamCrash {
             upstream: crash.upstream,
             age: to_duration(crash.age_ms),
         };
         Ok(Self {
             digest: RequestDigest(digest),
-            ends: message.ends.into_iter().map(from_message).collect(),
+            crashes: message.ends.into_iter().map(from_message).collect(),
             cleared: message.cleared_age_ms.map(to_duration),
         })
     }
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -103,10 +103,10 @@
     peer::MakePiecesReply {
         results,
         fault,
-        wait_ms: saturating_millis(wait.in_time),
-        late_wait_ms: wait.late.iter().copied().map(saturating_millis).collect(),
-        overloaded_ms: saturating_millis(wait.overloaded),
-        call_ms: saturating_millis(wait.call),
+        wait_ms: saturating_millis(wait.on_time_wait),
+        late_wait_ms: wait.late_waits.iter().copied().map(saturating_millis).collect(),
+        overloaded_ms: saturating_millis(wait.overload_time),
+        call_ms: saturating_millis(wait.call_time),
     }
 }
 
@@ -115,10 +115,10 @@
 pub fn read_pool_wait(message: &peer::MakePiecesReply) -> PoolWait {
     let to_duration = |millis: &u32| Duration::from_millis(u64::from(*millis));
     PoolWait {
-        in_time: to_duration(&message.wait_ms),
-        late: message.late_wait_ms.iter().map(to_duration).collect(),
-        overloaded: to_duration(&message.overloaded_ms),
-        call: to_duration(&message.call_ms),
+        on_time_wait: to_duration(&message.wait_ms),
+        late_waits: message.late_wait_ms.iter().map(to_duration).collect(),
+        overload_time: to_duration(&message.overloaded_ms),
+        call_time: to_duration(&message.call_ms),
     }
 }
 
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crocusdale_core::identity::{MonotonicTime, RequestDigest};
-use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE, UpstreamEnd};
+use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE_DURATION, UpstreamCrash};
 use proptest::prelude::*;
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(5_000);
@@ -14,10 +14,10 @@
 
 fn record(number: u32, upstreams: &[u64], cleared: bool) -> CrashRecord {
     let age = Duration::from_millis(700);
-    let end = |upstream: &u64| UpstreamEnd { upstream: *upstream, age };
+    let crash = |upstream: &u64| UpstreamCrash { upstream: *upstream, age };
     CrashRecord {
         digest: digest(number),
-        ends: upstreams.iter().map(end).collect(),
+        crashes: upstreams.iter().map(crash).collect(),
         cleared: cleared.then_some(age / 2),
     }
 }
@@ -61,18 +61,20 @@
     }
     assert_eq!(book.quarantine(digest(1), NOW), None);
     let age = Duration::from_secs(400);
-    let old =
-        CrashRecord { ends: vec![UpstreamEnd { upstream: 12, age }; 2], ..record(2, &[], false) };
+    let old = CrashRecord {
+        crashes: vec![UpstreamCrash { upstream: 12, age }; 2],
+        ..record(2, &[], false)
+    };
     book.take(&old, NOW);
-    book.note_end(digest(1), 12, NOW);
-    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE));
+    book.record_crash(digest(1), 12, NOW);
+    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE_DURATION));
     assert_eq!(book.quarantine(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
-    assert_eq!(told.ends[0].age, age);
+    assert_eq!(told.crashes[0].age, age);
     assert!(book.forget(NOW), "two minutes without a third end");
-    assert_eq!(book.ends(digest(2)), 0);
-    assert_eq!(book.ends(digest(1)), 3);
+    assert_eq!(book.crash_count(digest(2)), 0);
+    assert_eq!(book.crash_count(digest(1)), 3);
 }
 
 /// Upstreams end by the dozen under requests that come once: the book stays small, and what has ended
@@ -82,7 +84,7 @@
     let mut book = CrashLog::default();
     book.take(&record(0, &[1, 2, 3], false), NOW);
     for number in 1..5_000 {
-        book.note_end(digest(number), u64::from(number % 7), NOW);
+        book.record_crash(digest(number), u64::from(number % 7), NOW);
     }
     assert!(book.records(NOW).len() <= 512);
     assert!(book.quarantine(digest(0), NOW).is_some());
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -161,7 +161,7 @@
 
     pub fn tell_room(&mut self, upstream: &str, free: Option<u64>) {
         let mut steps = Vec::new();
-        self.dispatcher.room_told(upstream, free, self.now, &mut steps);
+        self.dispatcher.record_free_memory(upstream, free, self.now, &mut steps);
         self.take(steps);
     }
 
@@ -170,7 +170,7 @@
         while self.now < end {
             self.now = (self.now + Duration::from_millis(50)).min(end);
             let mut steps = Vec::new();
-            self.dispatcher.turn(self.now, &mut steps);
+            self.dispatcher.run_cycle(self.now, &mut steps);
             self.take(steps);
         }
     }
@@ -181,7 +181,7 @@
         let items = (0..order.items.len()).map(outcome).collect();
         let mut steps = Vec::new();
         let outcome = BatchOutcome::Answered(items);
-        self.dispatcher.answered(order.batch, outcome, self.now, &mut steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
         self.take(steps);
         order
     }
@@ -189,7 +189,7 @@
     pub fn end_call_as(&mut self, outcome: BatchOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
         let mut steps = Vec::new();
-        self.dispatcher.answered(order.batch, outcome, self.now, &mut steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
         self.take(steps);
         order
     }
