--- a/crates/crocusdale_core/src/orders/engine_order.rs
+++ b/crates/crocusdale_core/src/orders/engine_order.rs
@@ -29,8 +29,9 @@
 /// with the same revision send the same order, even on different sides of a network partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing token: the revision that the order was derived from. Engines reject an order with a
-    /// lower one.
+    /// Fencing token: the revision that the order was derived from. Engines that check the token
+    /// reject an order whose token is lower than that of the order they hold. Some engines don't
+    /// check it, so that the sending daemon compares the tokens before it sends an order.
     pub fence: u64,
     /// Name of the model to load.
     pub model: String,
@@ -45,7 +46,8 @@
 }
 
 impl EngineOrder {
-    /// Whether an engine that holds the order `held` needs no change, apart from the fencing token.
+    /// Whether an engine whose latest accepted order is `held` needs no change. The fencing tokens
+    /// may differ.
     #[must_use]
     pub fn is_fulfilled_by(&self, held: &Self) -> bool {
         let without_fence = |order: &Self| Self { fence: 0, ..order.clone() };
--- a/crates/crocusdale_core/src/orders/order_reconciler.rs
+++ b/crates/crocusdale_core/src/orders/order_reconciler.rs
@@ -10,9 +10,10 @@
 ///
 /// Each engine is managed by one daemon, as far as membership is known. In a network partition
 /// there may be two. Guards against an order that replaces a newer one, after which the engine
-/// would return to an older model. Engines that check the fencing token reject such an order. For
-/// other engines, the daemon reads the held order first and leaves a newer one unchanged. A newer
-/// order can then be lost only if another daemon writes it between this daemon's read and write.
+/// would return to an older model. Engines that check the fencing token reject such an order. Not
+/// all engines check it. The daemon therefore reads the order that an engine holds before it sends
+/// another, and leaves a newer order unchanged. At an engine that doesn't check the token, a newer
+/// order can be lost only if another daemon writes it between this daemon's read and write.
 #[derive(Debug)]
 pub struct OrderReconciler<'a> {
     declarations: &'a Declarations,
@@ -74,8 +75,8 @@
         Some((rules.address, EngineOrder { fence: self.revision, ..placement.order.clone() }))
     }
 
-    /// Decides what to do about the engine `upstream`, which reports that it holds the order
-    /// `held`.
+    /// Decides what to do about the engine `upstream`, which reports `held` as the latest order
+    /// that it has accepted.
     #[must_use]
     pub fn decide(&self, upstream: &str, held: &EngineOrder) -> ReconcileAction {
         match self.order_for(upstream) {
