--- a/crates/crocusdale_core/src/rate_limiting/rate_share.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_share.rs
@@ -10,6 +10,8 @@
 pub struct RateShare {
     own_hash: u64,
     other_hashes: Vec<u64>,
+    /// Whether this daemon has no share for now, because it and the other daemons may not know each
+    /// other yet.
     withheld: bool,
 }
 
--- a/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
+++ b/crates/crocusdale_core/src/rate_limiting/upstream_limit.rs
@@ -80,7 +80,7 @@
         match (self.rate, notice) {
             (_, RateNotice::Unreadable) | (None, RateNotice::Unlimited) => (None, false),
             (Some(_), RateNotice::Unlimited) if !is_sent_later => (None, false),
-            (Some(known), RateNotice::Limited(rate)) if rate > known && !is_sent_later => {
+            (Some(recorded), RateNotice::Limited(rate)) if rate > recorded && !is_sent_later => {
                 (None, false)
             }
             (Some(_), RateNotice::Unlimited) => {
@@ -88,18 +88,18 @@
                 self.confirmed_at = sent + CLOCK_OFFSET;
                 (Some(LimitChange::Ended(std::mem::take(&mut self.sent))), true)
             }
-            (known, RateNotice::Limited(rate)) => {
+            (recorded, RateNotice::Limited(rate)) => {
                 let must_gossip =
                     self.gossiped_rate.is_none_or(|gossiped| needs_gossip(gossiped, rate));
                 if must_gossip {
                     self.set_rate(self.version + 1, Some(rate), now);
-                } else if known != Some(rate) {
+                } else if recorded != Some(rate) {
                     self.rate = Some(rate);
                     self.learned_at = now;
                 }
                 self.last_announced_at = Some(now);
                 self.confirmed_at = now + CLOCK_OFFSET;
-                ((known != Some(rate)).then_some(LimitChange::Limited(rate)), must_gossip)
+                ((recorded != Some(rate)).then_some(LimitChange::Limited(rate)), must_gossip)
             }
         }
     }
