--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -97,7 +97,7 @@
     pub fn pop_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
         let mut candidates = self.waiting.iter();
         let key = candidates.find(|(_, request)| {
-            request.tried.iter().all(|tried| tried != upstream) && request.homes.allow(region)
+            request.tried.iter().all(|failed| failed != upstream) && request.homes.allow(region)
         });
         let key = *key?.0;
         self.waiting.remove(&key)
--- a/crates/crocusdale_core/src/routing/engine_choice.rs
+++ b/crates/crocusdale_core/src/routing/engine_choice.rs
@@ -107,6 +107,7 @@
         candidates.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
         let min_backlog = candidates.iter().map(|candidate| candidate.backlog_tokens).min()?;
         let fleet_load = FleetLoad::new(self.daemons.load(Ordering::Relaxed), &candidates);
+        // The subject is the last segment of the prompt prefix that other requests may share.
         let traffic_share = demand
             .subject()
             .map_or(0.0, |prefix| lock(&routed.queue).prefixes.traffic_share(prefix.id));
@@ -147,7 +148,8 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> Vec<EngineCandidate> {
-        let prefix_id = demand.subject().map(|part| part.id.to_string()).unwrap_or_default();
+        // The subject is the last segment of the prompt prefix that other requests may share.
+        let prefix_id = demand.subject().map(|prefix| prefix.id.to_string()).unwrap_or_default();
         let to_candidate = |position: usize| {
             let upstream = &self.upstreams[position];
             let state = lock(&upstream.state);
@@ -161,9 +163,10 @@
                 in_flight: u64::from(state.in_flight()),
             })
         };
-        let all: Vec<usize> = routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
+        let pool_positions: Vec<usize> =
+            routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
         let usable_candidates = |require_healthy| {
-            let positions = all.iter().copied();
+            let positions = pool_positions.iter().copied();
             let is_usable = move |position: &usize| {
                 self.cost_if_usable(routed, *position, request, require_healthy, now).is_some()
             };
--- a/crates/crocusdale_core/src/routing/router_update.rs
+++ b/crates/crocusdale_core/src/routing/router_update.rs
@@ -33,7 +33,7 @@
         router.is_suspended = AtomicBool::new(self.is_suspended());
         router.has_known_list = directory.is_known();
         for rules in declarations.upstreams() {
-            router.add_upstream(rules, self.known_state(rules));
+            router.add_upstream(rules, self.current_state(rules));
         }
         for (stage, rules) in declarations.stages() {
             let mut pool = rules.pool.clone();
@@ -70,8 +70,8 @@
             queue.retry_budget = self.retries.budget(self.daemons.load(Ordering::Relaxed));
             Arc::new(Mutex::new(queue))
         };
-        let known_queue = self.pools.get(stage).map(|known| Arc::clone(&known.queue));
-        let queue = known_queue.unwrap_or_else(new_queue);
+        let current_queue = self.pools.get(stage).map(|routed| Arc::clone(&routed.queue));
+        let queue = current_queue.unwrap_or_else(new_queue);
         router.pools.insert(
             stage.to_owned(),
             RoutedPool {
@@ -93,10 +93,10 @@
         directory: &UpstreamDirectory,
         now: MonotonicTime,
     ) -> Arc<Mutex<UpstreamState>> {
-        let known = self.known_state(rules);
-        let is_recently_added = self.has_known_list && known.is_none();
+        let current_state = self.current_state(rules);
+        let is_recently_added = self.has_known_list && current_state.is_none();
         let new_state = || Arc::new(Mutex::new(UpstreamState::new(&rules.name, rules.concurrency)));
-        let state = known.unwrap_or_else(new_state);
+        let state = current_state.unwrap_or_else(new_state);
         {
             let mut locked = lock(&state);
             locked.set_cold_until(directory.cold_until(&rules.name));
@@ -115,10 +115,10 @@
         self.upstreams.push(RoutedUpstream { rules: rules.clone(), state, pools: Vec::new() });
     }
 
-    fn known_state(&self, rules: &UpstreamRules) -> Option<Arc<Mutex<UpstreamState>>> {
-        let known = self.upstream(&rules.name)?;
+    fn current_state(&self, rules: &UpstreamRules) -> Option<Arc<Mutex<UpstreamState>>> {
+        let current = self.upstream(&rules.name)?;
         // Another address means another process, for which the recorded state isn't valid.
-        (known.rules.address == rules.address).then(|| Arc::clone(&known.state))
+        (current.rules.address == rules.address).then(|| Arc::clone(&current.state))
     }
 }
 
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -39,14 +39,14 @@
             .or_else(|| self.cheapest_of(&self.sample(&routed.other_zones), healthy))
             .or_else(|| self.cheapest_of(&routed.other_zones, healthy))
             .or_else(|| {
-                let all: Vec<usize> =
+                let positions: Vec<usize> =
                     routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
-                let is_exhausted = all.iter().all(|position| {
+                let is_exhausted = positions.iter().all(|position| {
                     lock(&self.upstreams[*position].state).is_ejected(now)
                         || lock(&self.upstreams[*position].state).is_leaving()
                         || !lock(&self.upstreams[*position].state).backoff_left(now).is_zero()
                 });
-                if is_exhausted { self.cheapest_of(&all, any_state) } else { None }
+                if is_exhausted { self.cheapest_of(&positions, any_state) } else { None }
             })
     }
 
@@ -59,9 +59,11 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> Option<usize> {
-        let all: Vec<usize> = routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
+        let positions: Vec<usize> =
+            routed.same_zone.iter().chain(&routed.other_zones).copied().collect();
         let start = self.round_robin_index.fetch_add(1, Ordering::Relaxed);
-        let mut from_start = all.iter().cycle().skip(start % all.len().max(1)).take(all.len());
+        let mut from_start =
+            positions.iter().cycle().skip(start % positions.len().max(1)).take(positions.len());
         let is_usable = |position: &&usize| {
             let state = lock(&self.upstreams[**position].state);
             let is_region_allowed = request.homes.allow(self.region_of(**position));
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -81,8 +81,8 @@
     /// Removed upstreams by process ID, with the store position of the removal and the last known
     /// start time.
     removed: BTreeMap<String, (StorePosition, Option<u64>)>,
-    /// Upstreams that are missing from the latest list, with the time until which their entries are
-    /// kept.
+    /// Upstreams that are missing from the latest list, by process ID, with the time at which their
+    /// entries are removed.
     missing: BTreeMap<String, MonotonicTime>,
     /// Whether a missing entry was removed after its time limit, since the last full list. A peer
     /// may know that the upstream is listed again.
@@ -175,7 +175,7 @@
     /// Returns whether the change affects routing.
     ///
     /// Guards against requests to a process that has announced in an answer that it is leaving,
-    /// while the platform still lists it as staying. Without the record, it would get requests for
+    /// while the platform still lists it as serving. Without the record, it would get requests for
     /// as long as the platform is unreachable. The notice overrides all older and newer lists, and
     /// is kept when the entry expires and returns. A later run of the process has another name, so
     /// that the notice doesn't apply to it.
@@ -193,7 +193,7 @@
         self.missing.len()
     }
 
-    /// Whether the published upstream `name` is leaving.
+    /// Whether the list contains the upstream `name` as a process that is about to shut down.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
         self.entries().any(|entry| entry.leaving && entry.name() == name)
@@ -266,10 +266,10 @@
         let expiring =
             expiring.filter_map(|entry| Some((entry.entry.id.clone(), entry.expires_in?)));
         let expiring: Vec<_> = expiring
-            .map(|(id, left)| {
-                let until = now + left;
-                let known = self.missing.get(&id).copied();
-                (id, known.map_or(until, |known| known.min(until)))
+            .map(|(id, expires_in)| {
+                let expires_at = now + expires_in;
+                let own_expiry = self.missing.get(&id).copied();
+                (id, own_expiry.map_or(expires_at, |own_expiry| own_expiry.min(expires_at)))
             })
             .collect();
         let entries =
@@ -310,7 +310,7 @@
     /// Removes missing upstreams and evacuations whose time limit has passed. Returns whether any
     /// were removed.
     pub fn remove_expired(&mut self, now: MonotonicTime) -> bool {
-        let expired = self.missing.iter().filter(|(_, until)| now >= **until);
+        let expired = self.missing.iter().filter(|(_, expires_at)| now >= **expires_at);
         let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
         for id in &expired {
             self.missing.remove(id);
@@ -347,20 +347,20 @@
         }
     }
 
-    /// Changes since the position `known`, up to which the peer has read all changes. The full list
-    /// if the changes since then are not all known.
+    /// Changes since `since`, the position up to which the peer has read all changes. The
+    /// full list if this daemon doesn't know all changes since then.
     ///
     /// Guards against full network links: if every change of one upstream among thousands caused
     /// each daemon to fetch the full list, the lists would fill the links.
     #[must_use]
-    pub fn changes_since(&self, known: StorePosition, now: MonotonicTime) -> PeerDirectory {
-        if known < self.complete_since || known.era != self.position.era {
+    pub fn changes_since(&self, since: StorePosition, now: MonotonicTime) -> PeerDirectory {
+        if since < self.complete_since || since.era != self.position.era {
             return self.snapshot(now);
         }
         let entries = self.entries.iter();
         let recent =
-            entries.filter(|(id, listed)| listed.changed > known || self.missing.contains_key(*id));
-        let removed = self.removed.iter().filter(|(_, (position, _))| *position > known);
+            entries.filter(|(id, listed)| listed.changed > since || self.missing.contains_key(*id));
+        let removed = self.removed.iter().filter(|(_, (position, _))| *position > since);
         let removed =
             removed.map(|(id, (position, _))| PeerRemoval { position: *position, id: id.clone() });
         PeerDirectory {
@@ -390,7 +390,7 @@
         PeerEntry {
             written: listed.written,
             entry: listed.entry.clone(),
-            expires_in: self.missing.get(id).map(|until| until.since(now)),
+            expires_in: self.missing.get(id).map(|expires_at| expires_at.since(now)),
         }
     }
 
@@ -420,8 +420,8 @@
         {
             self.restarted.push(ended.entry.address);
         }
-        // A leaving process never stays after all: an entry that says so was written before its
-        // notice.
+        // A process that has announced that it is leaving never returns to service. An entry that
+        // lists it as serving was therefore written before the announcement.
         let is_leaving = recorded.is_some_and(|recorded| {
             recorded.entry.leaving && recorded.entry.started_at_ms == entry.started_at_ms
         });
@@ -449,9 +449,9 @@
     ) -> bool {
         let was_leaving = self.entries.get(id).is_some_and(|listed| listed.entry.leaving);
         match grace.filter(|_| !was_leaving) {
-            Some(until) => {
+            Some(expires_at) => {
                 if self.entries.contains_key(id) {
-                    self.missing.entry(id.to_owned()).or_insert(until);
+                    self.missing.entry(id.to_owned()).or_insert(expires_at);
                 }
                 false
             }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -46,7 +46,8 @@
     /// the cold-start limits.
     pub(super) limiter: Arc<RateLimiter>,
     pub(super) round_robin_index: AtomicUsize,
-    /// Whether all choices are suspended, because the list of upstreams may be outdated.
+    /// Whether the choice of upstreams is suspended for all pools, because the list of upstreams
+    /// may be outdated.
     pub(super) is_suspended: AtomicBool,
     /// Whether a list of published upstreams was known when this router was built.
     pub(super) has_known_list: bool,
@@ -156,12 +157,13 @@
         }
     }
 
-    /// Suspends or resumes all choices. Returns whether the state has changed.
+    /// Suspends or resumes the choice of upstreams for all pools. While it is suspended, queued
+    /// attempts stay in their queues. Returns whether the state has changed.
     pub fn set_suspended(&self, is_suspended: bool) -> bool {
         self.is_suspended.swap(is_suspended, Ordering::Relaxed) != is_suspended
     }
 
-    /// Whether all choices are suspended.
+    /// Whether the choice of upstreams is suspended for all pools.
     #[must_use]
     pub fn is_suspended(&self) -> bool {
         self.is_suspended.load(Ordering::Relaxed)
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Records that an upstream is leaving. Returns whether that was unknown.
+    /// Records that the process of an upstream is about to shut down, so that it gets no new work.
+    /// Returns `false` if this router had recorded it before, or doesn't know the upstream.
     pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
         upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
@@ -235,6 +238,7 @@
         if request.tried.is_empty() {
             let mut queue = lock(&routed.queue);
             queue.retry_budget.earn(now);
+            // The subject is the last segment of the prompt prefix that other requests may share.
             if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
                 queue.prefixes.record(prefix.id, now);
             }
