--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -19,7 +19,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let change = self.limiter.hear(upstream, notice, sent, now);
+        let change = self.limiter.record_notice(upstream, notice, sent, now);
         if change.is_some() || self.limiter.has_untold() {
             self.apply_limit_changes(change.map(|change| (upstream, change)), None, now, out);
         }
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -52,7 +52,7 @@
     /// Records what an answer of `upstream` says about its request rate. The answer belongs to a
     /// request that was sent at `sent`. Returns the change, or `None` if the known rate stays
     /// valid.
-    pub fn hear(
+    pub fn record_notice(
         &self,
         upstream: &str,
         notice: RateNotice,
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -336,7 +336,7 @@
     let router = UpstreamRouter::new("z0", 1).limiter(Arc::clone(&limiter));
     let router = router.reconfigured(&declarations, &list, start);
     let name = limited_upstream::entry(LIMITED).name();
-    limiter.hear(&name, RateNotice::Limited(rate(1.0)), start, start);
+    limiter.record_notice(&name, RateNotice::Limited(rate(1.0)), start, start);
     let request = |call| SlotRequest {
         call: CallId(call),
         branch: 0,
