--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -36,9 +36,9 @@
         if records.is_empty() {
             return;
         }
-        let applied = records
-            .iter()
-            .filter_map(|record| Some((record.upstream.as_str(), self.limiter.take(record, now)?)));
+        let applied = records.iter().filter_map(|record| {
+            Some((record.upstream.as_str(), self.limiter.merge_record(record, now)?))
+        });
         let changes: Vec<(&str, LimitChange)> = applied.collect();
         self.apply_limit_changes(changes, Some(vm), now, out);
     }
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -74,7 +74,7 @@
 
     /// Merges a record from another daemon. Returns the change, or `None` if the known rate stays
     /// valid.
-    pub fn take(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
+    pub fn merge_record(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
         let mut table = lock(&self.table);
         if record.age >= LIMIT_TTL {
             return None;
