--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -72,7 +72,7 @@
     /// Sends peers the crash records and rate limits of upstreams that they have not been sent yet.
     pub(super) fn tell_upstream_news(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let crashes = lock(&self.crash_detector).take_fresh(now);
-        let limits = self.limiter.take_untold(now);
+        let limits = self.limiter.take_unsent(now);
         if !(crashes.is_empty() && limits.is_empty()) {
             lock(&self.fleet).tell_readers(&crashes, &limits, now, out);
         }
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -20,7 +20,7 @@
         out: &mut Vec<Command>,
     ) {
         let change = self.limiter.record_notice(upstream, notice, sent, now);
-        if change.is_some() || self.limiter.has_untold() {
+        if change.is_some() || self.limiter.has_unsent() {
             self.apply_limit_changes(change.map(|change| (upstream, change)), None, now, out);
         }
     }
@@ -76,7 +76,7 @@
             }));
         }
         self.publish_limit_digest();
-        if self.limiter.has_untold() {
+        if self.limiter.has_unsent() {
             out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
         }
         if has_limit_ended {
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -159,13 +159,13 @@
 
     /// Whether any record must still be sent to the other daemons.
     #[must_use]
-    pub fn has_untold(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         !lock(&self.table).unsent.is_empty()
     }
 
     /// Returns the records that must still be sent to the other daemons, and marks them as sent.
     #[must_use]
-    pub fn take_untold(&self, now: MonotonicTime) -> Vec<LimitRecord> {
+    pub fn take_unsent(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let mut table = lock(&self.table);
         let unsent = std::mem::take(&mut table.unsent);
         let to_record =
