--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -45,7 +45,7 @@
 
     /// Removes rate limits that no daemon has received from their upstreams for a long time.
     pub(super) fn forget_limits(&self, now: MonotonicTime) {
-        if self.limiter.forget(now) {
+        if self.limiter.remove_expired(now) {
             self.publish_limit_digest();
         }
     }
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -186,9 +186,9 @@
         lock(&self.table).limits.values().fold(0, |digest, limit| digest ^ limit.digest())
     }
 
-    /// Forgets limits that no daemon has confirmed for their time to live. Returns whether there
+    /// Removes limits that no daemon has confirmed for their time to live. Returns whether there
     /// were any.
-    pub fn forget(&self, now: MonotonicTime) -> bool {
+    pub fn remove_expired(&self, now: MonotonicTime) -> bool {
         let mut table = lock(&self.table);
         let before = table.limits.len();
         table.limits.retain(|_, limit| limit.age(now) < LIMIT_TTL);
