--- a/crates/crocusdale_core/src/batching/call_forming.rs
+++ b/crates/crocusdale_core/src/batching/call_forming.rs
@@ -77,7 +77,7 @@
         let lost_at = now + worker.loss_timeout(&self.rules, pieces, now);
         worker.start_call(&self.rules, pieces, now);
         if let Some(limit) = &mut worker.rate_limit {
-            self.limiter.spend(upstream);
+            self.limiter.take_token(upstream);
             limit.next_call_at = now + limit.interval;
         }
         worker.result_memory.reserve(bytes);
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -148,7 +148,7 @@
     }
 
     /// Takes a token for a request to `upstream`, if it has a rate limit.
-    pub fn spend(&self, upstream: &str) {
+    pub fn take_token(&self, upstream: &str) {
         if self.has_limits()
             && let Some(limit) = lock(&self.table).limits.get_mut(upstream)
         {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -364,7 +364,7 @@
                 _ => Duration::ZERO,
             }
         };
-        self.limiter.spend(&upstream.rules.name);
+        self.limiter.take_token(&upstream.rules.name);
         let max_idle_connections = self.max_idle_connections(&request.stage);
         SlotGrant {
             min_answer_time,
