--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -103,7 +103,7 @@
     /// whose name has the hash `hash`.
     #[must_use]
     pub fn share_of(&self, hash: u64, requests: u32) -> u32 {
-        lock(&self.table).share.of(hash, requests)
+        lock(&self.table).share.request_share(hash, requests)
     }
 
     /// Whether any upstream has a rate limit.
--- a/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_quota.rs
@@ -45,7 +45,7 @@
             return Some(Self { depth: 1, per_second });
         }
         let burst = fleet_burst(rate.per_second());
-        let depth = share.of(hash, burst);
+        let depth = share.request_share(hash, burst);
         let sharing_daemons = share.daemons().min(burst as usize) as f64;
         (depth > 0).then_some(Self { depth, per_second: per_second / sharing_daemons })
     }
--- a/crates/crocusdale_core/src/rate_limiting/rate_share.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_share.rs
@@ -40,7 +40,7 @@
     /// Number of requests that this daemon may send, of `limit` from all daemons, to an upstream
     /// whose name has the hash `hash`.
     #[must_use]
-    pub fn of(&self, hash: u64, limit: u32) -> u32 {
+    pub fn request_share(&self, hash: u64, limit: u32) -> u32 {
         if self.withheld {
             return 0;
         }
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -103,7 +103,7 @@
             .collect();
         for upstream in 0..100_u64 {
             let hash = upstream.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let sum: u32 = shares.iter().map(|share| share.of(hash, BOUND)).sum();
+            let sum: u32 = shares.iter().map(|share| share.request_share(hash, BOUND)).sum();
             assert!(sum <= BOUND, "{daemons} daemons, upstream {upstream}: {sum}");
             assert!(sum > BOUND / 2, "{daemons} daemons, upstream {upstream}: {sum} only");
         }
@@ -116,7 +116,8 @@
     let names = names(120);
     for upstream in 0..200_u64 {
         let share = |known: usize| {
-            RateShare::new(&names[0], names[..known].iter().map(String::as_str)).of(upstream, BOUND)
+            RateShare::new(&names[0], names[..known].iter().map(String::as_str))
+                .request_share(upstream, BOUND)
         };
         for known in 1..120 {
             assert!(share(known + 1) <= share(known), "{known} known, upstream {upstream}");
@@ -178,7 +179,7 @@
 #[test]
 fn daemon_that_has_started_sends_nothing_to_cold_upstreams() {
     let share = RateShare::new("entry-0", std::iter::empty()).withheld(true);
-    assert_eq!(share.of(7, BOUND), 0);
+    assert_eq!(share.request_share(7, BOUND), 0);
 }
 
 /// Guards against an engine that crashed and starts again under its id and address, before that is
