--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -150,7 +150,7 @@
                 return;
             }
         } else {
-            self.retry_budget.earn(now);
+            self.retry_budget.record_first_attempt(now);
         }
         if !self.workers.values().any(|worker| worker.accepts_calls) {
             actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::NoUpstream));
--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -93,7 +93,7 @@
     }
 
     /// Adds the retries that a first attempt earns.
-    pub fn earn(&mut self, now: MonotonicTime) {
+    pub fn record_first_attempt(&mut self, now: MonotonicTime) {
         self.refill(now);
         self.available =
             (self.available + self.limits.ratio * USED_FRACTION).min(self.max_available);
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -237,7 +237,7 @@
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
         if request.tried.is_empty() {
             let mut queue = lock(&routed.queue);
-            queue.retry_budget.earn(now);
+            queue.retry_budget.record_first_attempt(now);
             // The subject is the last segment of the prompt prefix that other requests may share.
             if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
                 queue.prefixes.record(prefix.id, now);
--- a/crates/crocusdale_core/tests/retry_budget_test.rs
+++ b/crates/crocusdale_core/tests/retry_budget_test.rs
@@ -54,7 +54,7 @@
             let now = MonotonicTime::from_millis(millis);
             match step {
                 Step::First => {
-                    budget.earn(now);
+                    budget.record_first_attempt(now);
                     firsts.push(millis);
                 }
                 Step::Failure if budget.spend(now) => retries.push(millis),
@@ -84,7 +84,7 @@
     let now = MonotonicTime::from_millis(0);
     for budget in &mut budgets {
         for _ in 0..1_000 {
-            budget.earn(now);
+            budget.record_first_attempt(now);
         }
     }
     let spent: usize =
