--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -145,7 +145,7 @@
         }
         // Another dispatcher may already have processed these pieces, so they count as retries.
         if order.repeated {
-            if !(0..order.pieces).all(|_| self.retry_budget.spend(now)) {
+            if !(0..order.pieces).all(|_| self.retry_budget.take_retry(now)) {
                 actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
             }
@@ -399,7 +399,7 @@
         if !self.jobs.contains_key(&attempt) {
             return;
         }
-        if !self.retry_budget.spend(now) {
+        if !self.retry_budget.take_retry(now) {
             self.fail_job(attempt, PieceFault::Failed, actions);
             return;
         }
--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -101,7 +101,7 @@
 
     /// Takes one retry from the budget. Returns `false` if less than one is left.
     #[must_use]
-    pub fn spend(&mut self, now: MonotonicTime) -> bool {
+    pub fn take_retry(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         let is_available = self.available >= 1.0;
         if is_available {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -206,7 +206,7 @@
         }
         self.pools
             .get(&request.stage)
-            .is_some_and(|routed| lock(&routed.queue).retry_budget.spend(now))
+            .is_some_and(|routed| lock(&routed.queue).retry_budget.take_retry(now))
     }
 
     /// Expected time that a new request with priority `level` needs for the stages of `plan`,
--- a/crates/crocusdale_core/tests/retry_budget_test.rs
+++ b/crates/crocusdale_core/tests/retry_budget_test.rs
@@ -57,7 +57,7 @@
                     budget.record_first_attempt(now);
                     firsts.push(millis);
                 }
-                Step::Failure if budget.spend(now) => retries.push(millis),
+                Step::Failure if budget.take_retry(now) => retries.push(millis),
                 Step::Failure => {}
                 Step::Pause(pause) => millis += pause,
             }
@@ -87,7 +87,9 @@
             budget.record_first_attempt(now);
         }
     }
-    let spent: usize =
-        budgets.iter_mut().map(|budget| (0..1_000).filter(|_| budget.spend(now)).count()).sum();
+    let spent: usize = budgets
+        .iter_mut()
+        .map(|budget| (0..1_000).filter(|_| budget.take_retry(now)).count())
+        .sum();
     assert!(spent <= 26, "{spent} retries at one moment");
 }
