--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn budget(self, daemons: usize) -> RetryBudget {
         let mut budget = RetryBudget { limits: self, ..RetryBudget::default() };
-        budget.share(daemons);
+        budget.set_daemons(daemons);
         if self.reserve.is_finite() {
             // An earlier process of this daemon may have spent the window's reserve just before it
             // ended.
@@ -83,7 +83,7 @@
 impl RetryBudget {
     /// Divides the reserve among `daemons` daemons. Half of a daemon's part may be saved up, and
     /// the other half is added over one window, so that no window gets more than the whole part.
-    pub fn share(&mut self, daemons: usize) {
+    pub fn set_daemons(&mut self, daemons: usize) {
         if self.limits.reserve.is_finite() {
             let reserve = self.limits.reserve * USED_FRACTION / daemons.max(1) as f64;
             self.max_available = reserve / 2.0;
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -152,7 +152,7 @@
         let daemons = daemons.max(1);
         if self.daemons.swap(daemons, Ordering::Relaxed) != daemons {
             for routed in self.pools.values() {
-                lock(&routed.queue).retry_budget.share(daemons);
+                lock(&routed.queue).retry_budget.set_daemons(daemons);
             }
         }
     }
