--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -336,7 +336,7 @@
                 self.ask_witness(register, now, &mut steps, out)
             }
             ShardAction::RecordProcess { upstream, life, leaving: false } => {
-                self.router().greet(&upstream, &life)
+                self.router().confirm_running(&upstream, &life)
             }
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -191,7 +191,7 @@
     }
 
     /// Records that the process `process` serves `upstream` and is not leaving.
-    pub fn greet(&self, upstream: &str, process: &str) {
+    pub fn confirm_running(&self, upstream: &str, process: &str) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).confirm_running(process);
         }
