--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -33,12 +33,12 @@
             drop(fleet);
             self.take_leaving(&[leaving_upstream], now, out);
         }
-        if let Some(duration) = notice.stay_away {
+        if let Some(duration) = notice.backoff {
             let mut unavailable_until = lock(&self.away);
             unavailable_until.retain(|_, until| *until > now);
             unavailable_until.insert(upstream.to_owned(), now + duration);
             drop(unavailable_until);
-            self.router().stay_away(upstream, now + duration);
+            self.router().back_off(upstream, now + duration);
             lock(&self.dispatcher).stay_away(upstream, now + duration);
             let stay_away_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
@@ -104,7 +104,7 @@
         // upstream refuses requests, so that is set again.
         let unavailable_until = lock(&self.away).clone();
         for (upstream, until) in &unavailable_until {
-            router.stay_away(upstream, *until);
+            router.back_off(upstream, *until);
         }
         self.set_router(router);
         let (mut steps, mut dispatch_steps) = (Vec::new(), Vec::new());
--- a/crates/crocusdale_core/src/routing/upstream_notice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_notice.rs
@@ -7,9 +7,9 @@
 pub struct UpstreamNotice {
     /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// Time for which the upstream wants no more requests from this daemon. `None` if it did not
-    /// reject a request.
-    pub stay_away: Option<Duration>,
+    /// Time for which this daemon must send the upstream no requests, as the upstream asked when it
+    /// rejected a request. `None` if the answer doesn't ask for that.
+    pub backoff: Option<Duration>,
     /// Longest remaining time of the upstream's cold start. `None` if it reports no cold start.
     pub cold: Option<Duration>,
     /// Request rate that the upstream accepts from all daemons together.
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -184,7 +184,7 @@
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
-    pub fn stay_away(&self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&self, upstream: &str, until: MonotonicTime) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).back_off(until);
         }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -29,10 +29,10 @@
 const AWAY_BOUND: Duration = Duration::from_millis(500);
 
 const LEAVING: UpstreamNotice =
-    UpstreamNotice { leaving: true, stay_away: None, cold: None, rate: RateNotice::Unlimited };
+    UpstreamNotice { leaving: true, backoff: None, cold: None, rate: RateNotice::Unlimited };
 
 fn away(time: Duration) -> UpstreamNotice {
-    UpstreamNotice { stay_away: Some(time), ..UpstreamNotice::default() }
+    UpstreamNotice { backoff: Some(time), ..UpstreamNotice::default() }
 }
 
 fn notice(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice) {
