--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -65,7 +65,7 @@
         match self.router().acquire(request, now) {
             Ok(Some(grant)) => self.shard(grant.request.call.0).granted(grant, now, steps),
             Ok(None) => {}
-            Err(request) => match self.router().away_for(&request, now) {
+            Err(request) => match self.router().retry_delay(&request, now) {
                 Some(retry_after) => {
                     let refusal = (RefusalReason::Overload, retry_after);
                     self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -91,7 +91,7 @@
     /// Time after which a request like this may be retried. `None` if an upstream accepts it now or
     /// if the time is unknown.
     #[must_use]
-    pub fn away_for(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
+    pub fn retry_delay(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
         let availability = self.availability(routed, &request.homes, &request.tried, now);
         availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
@@ -153,7 +153,7 @@
             };
             let unservable = lock(&routed.queue).take_unservable(slots, now + DEADLINE_MARGIN);
             let with_retry_after = |request: SlotRequest| {
-                let retry_after = self.away_for(&request, now).unwrap_or_default();
+                let retry_after = self.retry_delay(&request, now).unwrap_or_default();
                 (request, retry_after)
             };
             taken.extend(unservable.into_iter().map(with_retry_after));
