--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -118,7 +118,7 @@
     /// Time after which a new request for `stage` should be retried, if the request rates of the
     /// pool's upstreams don't allow it before `deadline`. `None` if the request can be admitted.
     #[must_use]
-    pub fn refused_for(
+    pub fn admission_delay(
         &self,
         stage: &str,
         homes: &HomeRegions,
