--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -305,7 +305,7 @@
             }
             ShardAction::CancelSlotRequest(request) => {
                 lock(&self.held).withdraw(&request);
-                self.router().withdraw(&request);
+                self.router().remove_waiting(&request);
             }
             ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.exclude_paused_time(report, now);
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -312,7 +312,7 @@
     }
 
     /// Removes the queued attempts of the request's call from the queue of its stage.
-    pub fn withdraw(&self, request: &SlotRequest) {
+    pub fn remove_waiting(&self, request: &SlotRequest) {
         if let Some(routed) = self.pools.get(&request.stage) {
             lock(&routed.queue).remove_call(request.call, request.level, request.deadline);
         }
