--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -64,7 +64,7 @@
     ) {
         let (mut has_changed, mut has_list_changed) = (false, false);
         for leaving_upstream in leaving_upstreams {
-            let is_routed = self.router().take_leaving(leaving_upstream);
+            let is_routed = self.router().record_leaving(leaving_upstream);
             let is_listed =
                 lock(&self.directory).directory.record_leaving(&leaving_upstream.upstream, now);
             if is_routed || is_listed {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -178,9 +178,9 @@
 
     /// Records that the process of an upstream is about to shut down, so that it gets no new work.
     /// Returns `false` if this router had recorded it before, or doesn't know the upstream.
-    pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
+    pub fn record_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
-        upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
+        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.life))
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -139,7 +139,7 @@
     }
 
     /// Records that the process `process` is leaving. Returns whether that was unknown.
-    pub fn leave(&mut self, process: &str) -> bool {
+    pub fn record_leaving(&mut self, process: &str) -> bool {
         let is_new = self.leaving_process.as_deref() != Some(process);
         self.leaving_process = Some(process.to_owned());
         is_new
--- a/crates/crocusdale_core/tests/upstream_state_test.rs
+++ b/crates/crocusdale_core/tests/upstream_state_test.rs
@@ -32,7 +32,7 @@
 #[test]
 fn upstream_whose_vm_is_live_again_gets_work() {
     let mut state = UpstreamState::new("u", 4);
-    state.leave("first life");
+    state.record_leaving("first life");
     state.set_listed_leaving(true);
     assert!(state.is_leaving());
     state.set_listed_leaving(false);
@@ -43,7 +43,7 @@
 #[test]
 fn word_of_the_upstream_outlasts_a_lagging_list() {
     let mut state = UpstreamState::new("u", 4);
-    state.leave("first life");
+    state.record_leaving("first life");
     state.set_listed_leaving(false);
     assert!(state.is_leaving());
 }
