--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -145,12 +145,12 @@
         }
         // Another dispatcher may already have processed these pieces, so they count as retries.
         if order.repeated {
-            if !(0..order.pieces).all(|_| self.retry_budget.spend(now)) {
+            if !(0..order.pieces).all(|_| self.retry_budget.take_retry(now)) {
                 actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
             }
         } else {
-            self.retry_budget.earn(now);
+            self.retry_budget.record_first_attempt(now);
         }
         if !self.workers.values().any(|worker| worker.accepts_calls) {
             actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::NoUpstream));
@@ -404,7 +404,7 @@
         if !self.jobs.contains_key(&attempt) {
             return;
         }
-        if !self.retry_budget.spend(now) {
+        if !self.retry_budget.take_retry(now) {
             self.fail_job(attempt, PieceFault::Failed, actions);
             return;
         }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -305,7 +305,7 @@
             }
             ShardAction::CancelSlotRequest(request) => {
                 lock(&self.held).withdraw(&request);
-                self.router().withdraw(&request);
+                self.router().remove_waiting(&request);
             }
             ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.exclude_paused_time(report, now);
@@ -336,7 +336,7 @@
                 self.ask_witness(register, now, &mut steps, out)
             }
             ShardAction::RecordProcess { upstream, life, leaving: false } => {
-                self.router().greet(&upstream, &life)
+                self.router().confirm_running(&upstream, &life)
             }
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
--- a/crates/crocusdale_core/src/rate_limiting/rate_share.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_share.rs
@@ -10,6 +10,8 @@
 pub struct RateShare {
     own_hash: u64,
     other_hashes: Vec<u64>,
+    /// Whether this daemon has no share for now, because it and the other daemons may not know each
+    /// other yet.
     withheld: bool,
 }
 
@@ -38,7 +40,7 @@
     /// Number of requests that this daemon may send, of `limit` from all daemons, to an upstream
     /// whose name has the hash `hash`.
     #[must_use]
-    pub fn of(&self, hash: u64, limit: u32) -> u32 {
+    pub fn request_share(&self, hash: u64, limit: u32) -> u32 {
         if self.withheld {
             return 0;
         }
--- a/crates/crocusdale_core/src/retry/retry_budget.rs
+++ b/crates/crocusdale_core/src/retry/retry_budget.rs
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn budget(self, daemons: usize) -> RetryBudget {
         let mut budget = RetryBudget { limits: self, ..RetryBudget::default() };
-        budget.share(daemons);
+        budget.set_daemons(daemons);
         if self.reserve.is_finite() {
             // An earlier process of this daemon may have spent the window's reserve just before it
             // ended.
@@ -83,7 +83,7 @@
 impl RetryBudget {
     /// Divides the reserve among `daemons` daemons. Half of a daemon's part may be saved up, and
     /// the other half is added over one window, so that no window gets more than the whole part.
-    pub fn share(&mut self, daemons: usize) {
+    pub fn set_daemons(&mut self, daemons: usize) {
         if self.limits.reserve.is_finite() {
             let reserve = self.limits.reserve * USED_FRACTION / daemons.max(1) as f64;
             self.max_available = reserve / 2.0;
@@ -93,7 +93,7 @@
     }
 
     /// Adds the retries that a first attempt earns.
-    pub fn earn(&mut self, now: MonotonicTime) {
+    pub fn record_first_attempt(&mut self, now: MonotonicTime) {
         self.refill(now);
         self.available =
             (self.available + self.limits.ratio * USED_FRACTION).min(self.max_available);
@@ -101,7 +101,7 @@
 
     /// Takes one retry from the budget. Returns `false` if less than one is left.
     #[must_use]
-    pub fn spend(&mut self, now: MonotonicTime) -> bool {
+    pub fn take_retry(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         let is_available = self.available >= 1.0;
         if is_available {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -46,7 +46,8 @@
     /// the cold-start limits.
     pub(super) limiter: Arc<RateLimiter>,
     pub(super) round_robin_index: AtomicUsize,
-    /// Whether all choices are suspended, because the list of upstreams may be outdated.
+    /// Whether the choice of upstreams is suspended for all pools, because the list of upstreams
+    /// may be outdated.
     pub(super) is_suspended: AtomicBool,
     /// Whether a list of published upstreams was known when this router was built.
     pub(super) has_known_list: bool,
@@ -151,17 +152,18 @@
         let daemons = daemons.max(1);
         if self.daemons.swap(daemons, Ordering::Relaxed) != daemons {
             for routed in self.pools.values() {
-                lock(&routed.queue).retry_budget.share(daemons);
+                lock(&routed.queue).retry_budget.set_daemons(daemons);
             }
         }
     }
 
-    /// Suspends or resumes all choices. Returns whether the state has changed.
+    /// Suspends or resumes the choice of upstreams for all pools. While it is suspended, queued
+    /// attempts stay in their queues. Returns whether the state has changed.
     pub fn set_suspended(&self, is_suspended: bool) -> bool {
         self.is_suspended.swap(is_suspended, Ordering::Relaxed) != is_suspended
     }
 
-    /// Whether all choices are suspended.
+    /// Whether the choice of upstreams is suspended for all pools.
     #[must_use]
     pub fn is_suspended(&self) -> bool {
         self.is_suspended.load(Ordering::Relaxed)
@@ -174,21 +176,22 @@
         }
     }
 
-    /// Records that an upstream is leaving. Returns whether that was unknown.
-    pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
+    /// Records that the process of an upstream is about to shut down, so that it gets no new work.
+    /// Returns `false` if this router had recorded it before, or doesn't know the upstream.
+    pub fn record_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
-        upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
+        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.life))
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
-    pub fn stay_away(&self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&self, upstream: &str, until: MonotonicTime) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).back_off(until);
         }
     }
 
     /// Records that the process `process` serves `upstream` and is not leaving.
-    pub fn greet(&self, upstream: &str, process: &str) {
+    pub fn confirm_running(&self, upstream: &str, process: &str) {
         if let Some(upstream) = self.upstream(upstream) {
             lock(&upstream.state).confirm_running(process);
         }
@@ -203,7 +206,7 @@
         }
         self.pools
             .get(&request.stage)
-            .is_some_and(|routed| lock(&routed.queue).retry_budget.spend(now))
+            .is_some_and(|routed| lock(&routed.queue).retry_budget.take_retry(now))
     }
 
     /// Expected time that a new request with priority `level` needs for the stages of `plan`,
@@ -234,7 +237,8 @@
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
         if request.tried.is_empty() {
             let mut queue = lock(&routed.queue);
-            queue.retry_budget.earn(now);
+            queue.retry_budget.record_first_attempt(now);
+            // The subject is the last segment of the prompt prefix that other requests may share.
             if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
                 queue.prefixes.record(prefix.id, now);
             }
@@ -308,7 +312,7 @@
     }
 
     /// Removes the queued attempts of the request's call from the queue of its stage.
-    pub fn withdraw(&self, request: &SlotRequest) {
+    pub fn remove_waiting(&self, request: &SlotRequest) {
         if let Some(routed) = self.pools.get(&request.stage) {
             lock(&routed.queue).remove_call(request.call, request.level, request.deadline);
         }
@@ -360,7 +364,7 @@
                 _ => Duration::ZERO,
             }
         };
-        self.limiter.spend(&upstream.rules.name);
+        self.limiter.take_token(&upstream.rules.name);
         let max_idle_connections = self.max_idle_connections(&request.stage);
         SlotGrant {
             min_answer_time,
