--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -40,22 +40,22 @@
     },
     /// Abort an attempt and close its connection to the upstream.
     Cancel(AttemptId),
-    /// Send the items of a batched step to another daemon, which is the dispatcher of their pool.
+    /// Send the pieces of a batched step to another daemon, which is the dispatcher of their pool.
     SendPieces {
         /// VM of the dispatcher.
         vm: String,
         /// Items with their attempt, pool and deadline.
         order: Box<PieceOrder>,
     },
-    /// Tell the dispatcher of an attempt's items that the results are no longer needed.
+    /// Tell the dispatcher of an attempt's pieces that the results are no longer needed.
     CancelPieces(AttemptId),
-    /// Report the outcome of a batched step to the daemon that sent its items.
+    /// Report the outcome of a batched step to the daemon that sent its pieces.
     AnswerPieces {
-        /// Attempt that the items belong to.
+        /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Results in the order of the items, or the reason why the step failed.
+        /// Results in the order of the pieces, or the reason why the step failed.
         outcome: Result<Vec<PlacedResult>, PieceFault>,
-        /// Expected queueing time of new items in the pool.
+        /// Expected queueing time of new pieces in the pool.
         wait: PoolWait,
     },
     /// Send one batch to a batched upstream.
--- a/crates/crocusdale_core/src/daemon/configuration_watch.rs
+++ b/crates/crocusdale_core/src/daemon/configuration_watch.rs
@@ -33,7 +33,7 @@
         if let Some(revision) = read_revision {
             self.watched_revision = revision;
         }
-        self.decide_watch(now, out);
+        self.start_due_watch(now, out);
     }
 
     /// Records a failed watch and schedules the next one after a backoff.
@@ -50,9 +50,9 @@
     /// or has heard from no peer for too long. Otherwise schedules the next check.
     ///
     /// Where a store publishes both the configuration and the upstreams, the configuration is read
-    /// together with the list, at the intervals in [`NewsPace`]. There, only the daemons that read
+    /// together with the list, at the intervals in [`RefreshIntervals`]. There, only the daemons that read
     /// the store also watch it, so that a new configuration applies within milliseconds.
-    pub fn decide_watch(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub fn start_due_watch(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         if self.is_watching {
             return;
         }
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -6,8 +6,8 @@
 
 use super::directory_state::DirectoryState;
 use super::held_work::HeldWork;
-use super::news_bounds::NewsPace;
-use super::pause_watch::PauseWatch;
+use super::pause_detector::PauseDetector;
+use super::staleness_bounds::RefreshIntervals;
 use super::{DaemonCore, FleetState, NewsBounds};
 use crate::admission::{AdmissionGate, EntryBacklog, WorkspaceMeter};
 use crate::batching::{BatchDispatcher, PoolWaits};
@@ -46,12 +46,12 @@
     pub(super) fleet: Mutex<FleetState>,
     pub(super) directory: Mutex<DirectoryState>,
     /// Attempts and requests queued until the list of published upstreams has been read again.
-    pub(super) held: Mutex<HeldWork>,
+    pub(super) held_work: Mutex<HeldWork>,
     pub(super) dispatcher: Mutex<BatchDispatcher>,
     /// Rate limits that upstreams have announced, and this daemon's share of them.
     pub(super) limiter: Arc<RateLimiter>,
     /// End of the backoff that each upstream has asked this daemon for, by upstream name.
-    pub(super) away: Mutex<HashMap<String, MonotonicTime>>,
+    pub(super) unavailable_until: Mutex<HashMap<String, MonotonicTime>>,
     /// Crashes of upstreams, by the request that they ran, and the resulting quarantines.
     pub(super) crash_detector: Mutex<CrashDetector>,
     /// Expected queueing time in each batched pool, as its dispatcher last reported it.
@@ -66,20 +66,21 @@
     /// before the drain.
     pub(super) refuse_requests_from: Mutex<Option<MonotonicTime>>,
     router: RwLock<Arc<UpstreamRouter>>,
-    basis: RwLock<Arc<RequestBasis>>,
+    fleet_snapshot: RwLock<Arc<FleetSnapshot>>,
     next_call: AtomicU64,
     /// Whether the drain window is over: every address answer that names this daemon has expired.
     pub(super) is_drain_window_over: AtomicBool,
     pub(super) last_housekeeping: Mutex<MonotonicTime>,
-    pub(super) pause_watch: Mutex<PauseWatch>,
+    pub(super) pause_detector: Mutex<PauseDetector>,
     /// End of the time in which newly read requests may have spent a long pause in a socket buffer.
     unknown_age_until: Mutex<MonotonicTime>,
     pub(super) ticket_issuer: TicketIssuer,
 }
 
-/// Immutable snapshot of the configuration and the VM list that each request is decided by.
+/// Immutable snapshot of the configuration, the VM lists and the retention time of idempotency keys.
+/// Each request is decided by one snapshot.
 #[derive(Clone, Debug)]
-pub(super) struct RequestBasis {
+pub(super) struct FleetSnapshot {
     pub(super) declarations: Option<Arc<Declarations>>,
     pub(super) history: RosterHistory,
     pub(super) key_life: Duration,
@@ -192,7 +193,7 @@
         }
         let mut fleet = FleetState::new(view.build(), &self.zone, now, self.seed.wrapping_add(1));
         if let Some(period) = self.roster_period {
-            fleet.set_roster_period(period);
+            fleet.set_vm_list_interval(period);
         }
         let retries =
             self.published.as_ref().map(|published| published.retries).unwrap_or_default();
@@ -208,13 +209,13 @@
         let crash_detector = CrashDetector::new(&self.own_instance.vm, self.published.is_some());
         let mut directory = DirectoryState::default();
         if let Some(published) = self.published {
-            let pace = NewsPace::from(published.bounds);
-            directory = DirectoryState::new(pace, now);
-            fleet.set_pace(pace);
+            let intervals = RefreshIntervals::from(published.bounds);
+            directory = DirectoryState::new(intervals, now);
+            fleet.set_refresh_intervals(intervals);
             fleet.set_reader(published.reader);
             fleet.set_seeds(published.seeds, now);
         }
-        let basis = RequestBasis {
+        let snapshot = FleetSnapshot {
             declarations: None,
             history: fleet.history.clone(),
             key_life: fleet.key_life(),
@@ -235,10 +236,10 @@
             admission_gate: Mutex::new(AdmissionGate::new(self.max_requests)),
             fleet: Mutex::new(fleet),
             directory: Mutex::new(directory),
-            held: Mutex::default(),
+            held_work: Mutex::default(),
             dispatcher: Mutex::new(dispatcher),
             limiter,
-            away: Mutex::default(),
+            unavailable_until: Mutex::default(),
             crash_detector: Mutex::new(crash_detector),
             pool_waits: Mutex::default(),
             workspace_meter: Mutex::default(),
@@ -246,18 +247,18 @@
             grace_period,
             refuse_requests_from: Mutex::new(None),
             router: RwLock::new(Arc::new(router)),
-            basis: RwLock::new(Arc::new(basis)),
+            fleet_snapshot: RwLock::new(Arc::new(snapshot)),
             next_call: AtomicU64::new(1),
             is_drain_window_over: AtomicBool::new(false),
             last_housekeeping: Mutex::new(now),
-            pause_watch: Mutex::new(PauseWatch::new(now)),
+            pause_detector: Mutex::new(PauseDetector::new(now)),
             unknown_age_until: Mutex::new(now),
             ticket_issuer: TicketIssuer::new(incarnation, self.seed.wrapping_add(3)),
         })
     }
 }
 
-impl RequestBasis {
+impl FleetSnapshot {
     /// Longest age of a valid ticket. A request with a ticket of that age still reaches its
     /// deadline before the witnesses forget its key.
     pub(super) fn ticket_life(&self) -> Duration {
@@ -272,7 +273,7 @@
     /// Records a pause of the process. Requests that spent a pause longer than the retention time
     /// of keys in a socket buffer are of unknown age.
     pub(super) fn record_pause(&self, pause: Duration, now: MonotonicTime) {
-        if pause >= self.basis().key_life {
+        if pause >= self.fleet_snapshot().key_life {
             *lock(&self.unknown_age_until) = now + UNKNOWN_AGE_WINDOW;
         }
     }
@@ -280,7 +281,7 @@
     /// Whether a request read at `now` may have spent a long pause in a socket buffer.
     pub(super) fn is_request_age_unknown(&self, now: MonotonicTime) -> bool {
         let last_housekeeping = *lock(&self.last_housekeeping);
-        now.since(last_housekeeping) >= self.basis().key_life
+        now.since(last_housekeeping) >= self.fleet_snapshot().key_life
             || now < *lock(&self.unknown_age_until)
     }
 
@@ -291,16 +292,16 @@
     pub(super) fn set_router(&self, router: UpstreamRouter) {
         *self.router.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(router);
         // The previous router may have been put on hold, or released, after this one was built.
-        let is_closed = lock(&self.held).is_closed();
-        self.router().set_suspended(is_closed);
+        let is_holding = lock(&self.held_work).is_holding();
+        self.router().set_suspended(is_holding);
     }
 
-    pub(super) fn basis(&self) -> Arc<RequestBasis> {
-        Arc::clone(&self.basis.read().unwrap_or_else(PoisonError::into_inner))
+    pub(super) fn fleet_snapshot(&self) -> Arc<FleetSnapshot> {
+        Arc::clone(&self.fleet_snapshot.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    pub(super) fn set_basis(&self, basis: RequestBasis) {
-        *self.basis.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(basis);
+    pub(super) fn set_fleet_snapshot(&self, snapshot: FleetSnapshot) {
+        *self.fleet_snapshot.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(snapshot);
     }
 
     /// Assigns a call id whose remainder by the shard count is the shard of `key`.
--- a/crates/crocusdale_core/src/daemon/counter_name.rs
+++ b/crates/crocusdale_core/src/daemon/counter_name.rs
@@ -28,7 +28,7 @@
     AttemptsNotRun,
     /// Batched steps that their dispatcher failed.
     PiecesFailed,
-    /// Batched steps handed over to the pool's next dispatcher before any batch held their items.
+    /// Batched steps handed over to the pool's next dispatcher before any batch held their pieces.
     PiecesMoved,
     /// Dispatchers that became unreachable while they held batched steps of this daemon.
     DispatchersLost,
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -9,9 +9,9 @@
 use crate::quarantine::{CrashRecord, CrashVerdict};
 use crate::sync::lock;
 
-/// Time for which news about upstreams is collected into one message to peers. All attempts that a
+/// Time for which crash records and rate limits are collected into one message to peers. All attempts that a
 /// crashed upstream breaks off do so within a few milliseconds.
-pub(super) const NEWS_DELAY: Duration = Duration::from_millis(20);
+pub(super) const UPSTREAM_RECORD_DELAY: Duration = Duration::from_millis(20);
 
 impl CoreState {
     /// Probes the upstream of an attempt that broke off, unless a probe of it is under way.
@@ -55,7 +55,7 @@
     }
 
     /// Merges the crash records that the daemon on `vm` sent.
-    pub(super) fn take_crashes(
+    pub(super) fn merge_crash_records(
         &self,
         records: &[CrashRecord],
         vm: &str,
@@ -70,11 +70,11 @@
     }
 
     /// Sends peers the crash records and rate limits of upstreams that they have not been sent yet.
-    pub(super) fn tell_upstream_news(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub(super) fn send_new_upstream_records(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let crashes = lock(&self.crash_detector).take_fresh(now);
         let limits = self.limiter.take_untold(now);
         if !(crashes.is_empty() && limits.is_empty()) {
-            lock(&self.fleet).tell_readers(&crashes, &limits, now, out);
+            lock(&self.fleet).send_records_to_readers(&crashes, &limits, now, out);
         }
     }
 
@@ -108,7 +108,10 @@
         }
         self.update_crash_summary();
         if verdict.has_news {
-            out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
+            out.push(Command::SetTimer {
+                timer: TimerKey::UpstreamNews,
+                at: now + UPSTREAM_RECORD_DELAY,
+            });
         }
         for digest in verdict.lifted {
             out.push(Command::LogStateChange(StateChange::QuarantineLifted { digest }));
@@ -134,18 +137,18 @@
         out: &mut Vec<Command>,
     ) {
         let Some(left) = self.quarantine_left(digest, now) else { return };
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         let queued = lock(&self.entry_backlog).take_like(digest);
         for (call, plan) in queued {
-            self.refuse_quarantined(call, &plan, left, &mut steps);
+            self.refuse_quarantined(call, &plan, left, &mut actions);
         }
         for shard in &self.request_shards {
-            lock(shard).end_quarantined(digest, left, now, &mut steps);
+            lock(shard).end_quarantined(digest, left, now, &mut actions);
         }
-        let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_steps);
-        self.run_dispatch(dispatch_steps, now, &mut steps, out);
-        self.run_steps(steps, now, out);
+        let mut dispatch_actions = Vec::new();
+        lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_actions);
+        self.run_dispatch_actions(dispatch_actions, now, &mut actions, out);
+        self.run_actions(actions, now, out);
     }
 
     /// Copies the summary of the crash records to the state that heartbeats are built from.
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -76,33 +76,33 @@
     /// Handles `event` at `now` and appends the resulting commands to `out`.
     pub fn handle(&self, event: DaemonEvent, now: MonotonicTime, out: &mut Vec<Command>) {
         self.detect_pause(now, out);
-        self.state.check_list(now, out);
-        let mut steps = Vec::new();
+        self.state.check_staleness(now, out);
+        let mut actions = Vec::new();
         match event {
             DaemonEvent::Submitted { call, request } => {
                 let held = HeldRequest { call, request: *request, arrived: now };
-                self.state.receive(held, now, out);
+                self.state.submit_or_hold(held, now, out);
             }
             DaemonEvent::Inquired { call, key, age } => {
                 self.state.inquire(call, key, age, now, out);
             }
             DaemonEvent::CallerDisconnected(call) => {
-                self.state.abandon_queued(call, &mut steps);
-                self.state.shard(call.0).abandon(call, now, &mut steps);
+                self.state.remove_queued_request(call, &mut actions);
+                self.state.shard(call.0).abandon(call, now, &mut actions);
             }
             DaemonEvent::Attempt { attempt, event } => {
-                self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut steps);
+                self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut actions);
             }
             DaemonEvent::RegisterReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
-                shard.register_replied(call, &witness, reply, now, &mut steps);
+                shard.register_replied(call, &witness, reply, now, &mut actions);
             }
             DaemonEvent::HolderReplied { call, reply } => {
-                self.state.shard(call.0).holder_replied(call, reply, now, &mut steps);
+                self.state.shard(call.0).holder_replied(call, reply, now, &mut actions);
             }
             DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
             DaemonEvent::PiecesReceived(order) => {
-                self.state.dispatch_pieces(*order, now, &mut steps, out);
+                self.state.queue_pieces(*order, now, &mut actions, out);
             }
             DaemonEvent::PiecesCancelled { attempt, pool } => {
                 lock(&self.state.dispatcher).withdraw(attempt, &pool);
@@ -114,22 +114,22 @@
                 lock(&self.state.dispatcher).release(&pool, results);
             }
             DaemonEvent::BatchEnded { batch, outcome } => {
-                self.state.handle_batch_outcome(batch, outcome, now, &mut steps, out);
+                self.state.handle_batch_outcome(batch, outcome, now, &mut actions, out);
             }
             DaemonEvent::UpstreamNoticed { upstream, notice, sent } => {
-                self.state.take_notice(&upstream, notice, sent, now, out);
+                self.state.apply_notice(&upstream, notice, sent, now, out);
             }
             DaemonEvent::UpstreamProbed { upstream, has_ended } => {
                 self.state.handle_probe_result(&upstream, has_ended, now, out);
             }
             DaemonEvent::FreeMemoryReported { upstream, free } => {
-                self.state.record_free_memory(&upstream, free, now, &mut steps, out);
+                self.state.record_free_memory(&upstream, free, now, &mut actions, out);
             }
-            fleet_event => self.fleet_event(fleet_event, now, out),
+            handle_fleet_event => self.handle_fleet_event(handle_fleet_event, now, out),
         }
-        self.state.run_steps(steps, now, out);
-        if lock(&self.state.held).is_closed() {
-            self.state.check_list(now, out);
+        self.state.run_actions(actions, now, out);
+        if lock(&self.state.held_work).is_holding() {
+            self.state.check_staleness(now, out);
         }
     }
 
@@ -137,7 +137,7 @@
     /// process verify the age of a later request with that key.
     #[must_use]
     pub fn mint_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
-        let validity = self.state.basis().ticket_life();
+        let validity = self.state.fleet_snapshot().ticket_life();
         (self.state.ticket_issuer.mint(key, now), validity)
     }
 
@@ -148,15 +148,15 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> ExchangeMessage {
-        self.state.check_list(now, out);
+        self.state.check_staleness(now, out);
         let sender = &message.sender.instance.vm;
-        self.state.take_crashes(&message.crashes, sender, now, out);
-        self.state.take_limits(&message.limits, sender, now, out);
+        self.state.merge_crash_records(&message.crashes, sender, now, out);
+        self.state.merge_limits(&message.limits, sender, now, out);
         let (newly_leaving, mut reply) = {
             let mut fleet = lock(&self.state.fleet);
-            let newly_leaving = fleet.take_message(message, now, out);
+            let newly_leaving = fleet.apply_heartbeat(message, now, out);
             let position = fleet.ledger.position();
-            let directory = fleet.directory_news(now);
+            let directory = fleet.directory_status(now);
             let vm = &message.sender.instance.vm;
             let reply = match message.known_members {
                 Some(known) => fleet.view.welcome(vm, known, position, directory),
@@ -175,8 +175,8 @@
         if message.limit_digest != reply.limit_digest {
             reply.limits = self.state.limiter.records(now);
         }
-        self.state.take_leaving(&newly_leaving, now, out);
-        self.heard(message, now, out);
+        self.state.mark_leaving(&newly_leaving, now, out);
+        self.update_from_heartbeat(message, now, out);
         reply
     }
 
@@ -201,7 +201,7 @@
         body: &[u8],
         now: MonotonicTime,
     ) {
-        let key_life = self.state.basis().key_life;
+        let key_life = self.state.fleet_snapshot().key_life;
         self.state.register(key).record(key, holder, body, now, key_life);
     }
 
@@ -242,7 +242,7 @@
     #[must_use]
     pub fn caller_limits(&self) -> Option<CallerLimits> {
         self.state
-            .basis()
+            .fleet_snapshot()
             .declarations
             .as_ref()
             .and_then(|declarations| declarations.caller_limits())
@@ -276,7 +276,7 @@
     /// Address that the daemon on `vm` listens on for peers, or `None` if it is not known.
     #[must_use]
     pub fn peer_address(&self, vm: &str) -> Option<SocketAddr> {
-        self.state.basis().history.current().get(vm)?.peer
+        self.state.fleet_snapshot().history.current().get(vm)?.peer
     }
 
     /// Snapshot of the daemon's state for operators.
@@ -341,7 +341,7 @@
     fn open_call_count(&self) -> usize {
         let started: usize =
             self.state.request_shards.iter().map(|shard| lock(shard).open_count()).sum();
-        let held = lock(&self.state.held).request_count();
+        let held = lock(&self.state.held_work).request_count();
         started + lock(&self.state.entry_backlog).len() + held
     }
 
@@ -354,12 +354,12 @@
             | TimerKey::Holder(call) => self.handle_request_timer(call, timer, now, out),
             TimerKey::Silence(attempt) => self.handle_request_timer(attempt.call, timer, now, out),
             TimerKey::Directory => {
-                self.look_at_directory(now, out);
+                self.poll_directory(now, out);
             }
             TimerKey::Results => {
-                let mut steps = Vec::new();
-                self.state.release_unneeded_results(now, &mut steps, out);
-                self.state.run_steps(steps, now, out);
+                let mut actions = Vec::new();
+                self.state.release_unneeded_results(now, &mut actions, out);
+                self.state.run_actions(actions, now, out);
                 out.push(Command::SetTimer {
                     timer: TimerKey::Results,
                     at: now + RESULT_RELEASE_INTERVAL,
@@ -368,17 +368,17 @@
             // Every event checks the age of the list of published upstreams. This timer only makes
             // sure that an event arrives in time.
             TimerKey::DirectoryAnswer => {}
-            TimerKey::UpstreamNews => self.state.tell_upstream_news(now, out),
-            TimerKey::Seeds => lock(&self.state.fleet).greet_seed(now, out),
+            TimerKey::UpstreamNews => self.state.send_new_upstream_records(now, out),
+            TimerKey::Seeds => lock(&self.state.fleet).ping_seed(now, out),
             TimerKey::EndRequests => self.end_requests(now, out),
             TimerKey::Exit => {
                 out.push(Command::LogStateChange(StateChange::Drained));
                 out.push(Command::Exit);
             }
             TimerKey::Heartbeat => self.send_heartbeats(now, out),
-            TimerKey::Configuration => lock(&self.state.fleet).decide_watch(now, out),
+            TimerKey::Configuration => lock(&self.state.fleet).start_due_watch(now, out),
             TimerKey::Housekeeping => self.run_housekeeping(now, out),
-            TimerKey::Orders => lock(&self.state.fleet).look_at_engines(now, out),
+            TimerKey::Orders => lock(&self.state.fleet).query_engines(now, out),
             TimerKey::Roster => out.push(Command::ReadRoster { known: self.roster_revision() }),
             TimerKey::Drain => self.state.is_drain_window_over.store(true, Ordering::Relaxed),
         }
@@ -386,13 +386,13 @@
 
     /// Refuses every request that is still open, because the process is about to exit.
     fn end_requests(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let mut steps = Vec::new();
-        self.state.end_held(now, out);
-        self.state.refuse_queued_requests(now, &mut steps);
+        let mut actions = Vec::new();
+        self.state.submit_all_held(now, out);
+        self.state.refuse_queued_requests(now, &mut actions);
         for shard in &self.state.request_shards {
-            lock(shard).end_all(RefusalReason::Draining, now, &mut steps);
+            lock(shard).end_all(RefusalReason::Draining, now, &mut actions);
         }
-        self.state.run_steps(steps, now, out);
+        self.state.run_actions(actions, now, out);
     }
 
     /// Passes a timer of one request on to the shard that owns its call.
@@ -403,9 +403,9 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let mut steps = Vec::new();
-        self.state.shard(call.0).timer(timer, now, &mut steps);
-        self.state.run_steps(steps, now, out);
+        let mut actions = Vec::new();
+        self.state.shard(call.0).timer(timer, now, &mut actions);
+        self.state.run_actions(actions, now, out);
     }
 
     /// All published upstreams that this daemon knows, for a peer that can't read the store.
@@ -429,7 +429,7 @@
         let rate_share = {
             let mut fleet = lock(&self.state.fleet);
             fleet.heartbeat(now, out);
-            fleet.changed_share(now)
+            fleet.update_rate_share(now)
         };
         if let Some(rate_share) = rate_share {
             self.state.limiter.set_share(rate_share);
@@ -441,19 +441,19 @@
         *lock(&self.state.last_housekeeping) = now;
         self.check_ready(now);
         self.state.expire_crash_records(now);
-        self.state.forget_limits(now);
+        self.state.expire_limits(now);
         let has_dropped_entries = lock(&self.state.directory).drop_missing(now, out);
         if has_dropped_entries {
-            self.directory_read(true, now, out);
+            self.propagate_directory(true, now, out);
         }
         let grants = self.state.router().serve_all_waiting(now);
-        let mut steps = self.state.run_grants(grants, now);
-        self.state.shed_limited(now, &mut steps);
-        self.state.hand_over_pools(now, &mut steps, out);
-        self.state.update_sole_dispatch(now);
-        self.state.turn_dispatcher(now, &mut steps, out);
-        self.state.start_queued_requests(now, &mut steps);
-        self.state.run_steps(steps, now, out);
+        let mut actions = self.state.assign_granted_slots(grants, now);
+        self.state.shed_rate_limited(now, &mut actions);
+        self.state.hand_over_pools(now, &mut actions, out);
+        self.state.update_sole_dispatcher(now);
+        self.state.advance_dispatcher(now, &mut actions, out);
+        self.state.start_queued_requests(now, &mut actions);
+        self.state.run_actions(actions, now, out);
         let is_idle = self.open_call_count() == 0 && lock(&self.state.dispatcher).is_idle();
         if self.state.is_drain_window_over.load(Ordering::Relaxed) && is_idle {
             out.push(Command::LogStateChange(StateChange::Drained));
@@ -468,10 +468,10 @@
     /// Detects a pause of this process that ends with the current event. This runs before any
     /// decision that depends on measured durations, which the pause has inflated.
     fn detect_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let Some(pause) = lock(&self.state.pause_watch).note_event(now) else { return };
+        let Some(pause) = lock(&self.state.pause_detector).record_event(now) else { return };
         out.push(Command::Count(CounterName::PausesNoticed));
         lock(&self.state.dispatcher).woke(pause, now);
-        lock(&self.state.directory).woke(pause, now);
+        lock(&self.state.directory).extend_read_deadline(pause, now);
         if pause >= REFRESH_PAUSE {
             self.refresh_peer_view(pause, now, out);
         }
@@ -486,7 +486,7 @@
         self.state.record_pause(pause, now);
         let mut fleet = lock(&self.state.fleet);
         let partners = fleet.view.random_partners(4);
-        fleet.exchange_with(partners, now, out);
+        fleet.send_heartbeats_to(partners, now, out);
     }
 
     /// Starts the drain of this daemon, unless it is draining already.
@@ -513,8 +513,8 @@
         }
         out.push(Command::SetTimer { timer: TimerKey::Drain, at: now + window });
         drop(fleet);
-        let mut steps = Vec::new();
-        self.state.hand_over_pools(now, &mut steps, out);
-        self.state.run_steps(steps, now, out);
+        let mut actions = Vec::new();
+        self.state.hand_over_pools(now, &mut actions, out);
+        self.state.run_actions(actions, now, out);
     }
 }
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -108,16 +108,16 @@
     PoolWaitReported {
         /// Name of the pool, or of one of its sections.
         pool: String,
-        /// Expected queueing time of new items.
+        /// Expected queueing time of new pieces.
         wait: PoolWait,
     },
-    /// Another daemon sent the items of a batched step to this daemon as their dispatcher.
+    /// Another daemon sent the pieces of a batched step to this daemon as their dispatcher.
     PiecesReceived(Box<PieceOrder>),
-    /// Another daemon cancelled the items of a batched step.
+    /// Another daemon cancelled the pieces of a batched step.
     PiecesCancelled {
-        /// Attempt that the items belong to.
+        /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Pool that the items are queued in.
+        /// Pool that the pieces are queued in.
         pool: String,
     },
     /// Another daemon no longer needs results from a pool that this daemon dispatches.
@@ -138,7 +138,7 @@
     BatchEnded {
         /// Identity of the batch.
         batch: BatchId,
-        /// Outcome of each item, or the reason why the batch failed.
+        /// Outcome of each piece, or the reason why the batch failed.
         outcome: BatchOutcome,
     },
     /// The VM list was read; `None` if it is unchanged.
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::news_bounds::NewsPace;
+use super::staleness_bounds::RefreshIntervals;
 use super::{Command, CounterName, StateChange, TimerKey};
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::ExchangeMessage;
@@ -42,7 +42,7 @@
 /// The list of published upstreams, and the schedule of reads that keep it fresh.
 #[derive(Debug, Default)]
 pub(super) struct DirectoryState {
-    intervals: NewsPace,
+    intervals: RefreshIntervals,
     started_at: MonotonicTime,
     pub(super) directory: UpstreamDirectory,
     pending_read: Option<PendingRead>,
@@ -122,7 +122,7 @@
 impl DirectoryState {
     /// Creates an empty state for a daemon that starts at `started_at` and refreshes its list at
     /// the intervals in `intervals`.
-    pub(super) fn new(intervals: NewsPace, started_at: MonotonicTime) -> Self {
+    pub(super) fn new(intervals: RefreshIntervals, started_at: MonotonicTime) -> Self {
         Self { intervals, started_at, ..Self::default() }
     }
 
@@ -131,8 +131,8 @@
     /// returns the daemon to ask for the age of its list, if that query is due.
     ///
     /// Guards against a fleet whose processes all start at one moment and each read the whole list
-    /// from the platform. A daemon first waits to meet other daemons (`has_met_peers`). It then takes the
-    /// list from them, unless it reads for its zone.
+    /// from the platform. A daemon first waits to meet other daemons (`has_met_peers`). It then takes
+    /// the list from them, unless it reads for its zone.
     pub(super) fn poll(
         &mut self,
         reader: Option<String>,
@@ -200,7 +200,7 @@
     ///
     /// The deadline is extended once for each read, so that a process with frequent pauses still
     /// detects a platform outage.
-    pub(super) fn woke(&mut self, pause: Duration, now: MonotonicTime) {
+    pub(super) fn extend_read_deadline(&mut self, pause: Duration, now: MonotonicTime) {
         let expected_response_time = self.expected_response_time();
         if let Some(pending_read) = &mut self.pending_read
             && !pending_read.was_paused
@@ -439,7 +439,7 @@
     /// Guards against requests to an upstream that left while only this daemon was cut off from the
     /// platform. The connection may have recovered just after the last failed read began, up to two
     /// seconds ago including the backoff. The daemon must meet its staleness bounds within
-    /// [`NewsPace::recovery_time`] of that recovery.
+    /// [`RefreshIntervals::recovery_time`] of that recovery.
     fn outage_grace_end(&self, now: MonotonicTime) -> MonotonicTime {
         let started_at =
             self.last_failure.as_ref().map_or(now, |last_failure| last_failure.started_at);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -25,19 +25,19 @@
         call: CallId,
         mut plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
     ) {
         plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
-            refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), steps);
+            refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), actions);
             return;
         }
         plan.delays = self.expected_delays(&plan, now);
         match self.entry_verdict(&plan, now) {
-            EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
-            EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
+            EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, actions),
+            EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, actions),
             verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
-                steps.push(ShardAction::Command(Command::LogStateChange(
+                actions.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
                         verdict: verdict.to_string(),
@@ -53,31 +53,35 @@
 
     /// Starts queued requests that the pools have room for, and refuses those that can no longer be
     /// answered before their deadline.
-    pub(super) fn start_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
+    pub(super) fn start_queued_requests(&self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
         let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
             plan.delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
-                self.refuse_overloaded(call, &plan, now, steps);
+                self.refuse_overloaded(call, &plan, now, actions);
             } else {
-                self.shard(call.0).start(call, plan, now, steps);
+                self.shard(call.0).start(call, plan, now, actions);
             }
         }
     }
 
     /// Removes the queued request of `call`, whose caller has disconnected.
-    pub(super) fn abandon_queued(&self, call: CallId, steps: &mut Vec<ShardAction>) {
-        lock(&self.held).abandon(call);
+    pub(super) fn remove_queued_request(&self, call: CallId, actions: &mut Vec<ShardAction>) {
+        lock(&self.held_work).remove_request(call);
         if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
-            steps.push(ShardAction::ReleasePermit(plan.permit));
+            actions.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
 
     /// Refuses every queued request.
-    pub(super) fn refuse_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
+    pub(super) fn refuse_queued_requests(
+        &self,
+        now: MonotonicTime,
+        actions: &mut Vec<ShardAction>,
+    ) {
         for (call, plan) in lock(&self.entry_backlog).take_all() {
-            self.refuse_overloaded(call, &plan, now, steps);
+            self.refuse_overloaded(call, &plan, now, actions);
         }
     }
 
@@ -89,7 +93,7 @@
     }
 
     /// Expected delay of each step over its duration on idle pools, from the latest reports of
-    /// dispatchers: its queueing time, and the time of other requests' items in its batches. Flood
+    /// dispatchers: its queueing time, and the time of other requests' pieces in its batches. Flood
     /// requests get no delay here: they queue behind all others, so that only the queueing time of
     /// late requests applies to them.
     fn expected_delays(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<Duration> {
@@ -114,7 +118,7 @@
         needed.map(|(_, step)| self.step_wait(plan, step, now)).collect()
     }
 
-    /// Latest reported queueing time of the pool section that would run the items of `step`.
+    /// Latest reported queueing time of the pool section that would run the pieces of `step`.
     fn step_wait(&self, plan: &RequestPlan, step: &PlanStep, now: MonotonicTime) -> PoolWait {
         let section = self.section_for(&step.stage, &plan.request.key.key, now);
         lock(&self.pool_waits).wait(&section, now)
@@ -127,11 +131,11 @@
         call: CallId,
         plan: &RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let waits = self.needed_pool_waits(plan, now);
         let retry_after = waits.iter().map(PoolWait::retry_after).max().unwrap_or_default();
-        refuse_unstarted(call, plan, (RefusalReason::Overload, retry_after), steps);
+        refuse_unstarted(call, plan, (RefusalReason::Overload, retry_after), actions);
     }
 
     /// Refuses a queued request that is quarantined for `left`.
@@ -140,9 +144,9 @@
         call: CallId,
         plan: &RequestPlan,
         left: Duration,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
     ) {
-        refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), steps);
+        refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), actions);
     }
 
     /// `Retry-After` of a request that the rate limits of its last step's upstreams leave no slot
@@ -192,12 +196,12 @@
     call: CallId,
     plan: &RequestPlan,
     (reason, retry_after): (RefusalReason, Duration),
-    steps: &mut Vec<ShardAction>,
+    actions: &mut Vec<ShardAction>,
 ) {
-    steps.push(ShardAction::ReleasePermit(plan.permit.clone()));
+    actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
     let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).reason(reason);
     let answer = FinalAnswer::from(outcome.retry(retry_after, true));
-    steps.push(ShardAction::Command(Command::Reply { call, answer }));
+    actions.push(ShardAction::Command(Command::Reply { call, answer }));
 }
 
 /// Whole milliseconds of `duration`.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::core_state::RequestBasis;
+use super::core_state::FleetSnapshot;
 use super::directory_state::PlatformSnapshot;
 use super::{Command, CounterName, DaemonCore, DaemonEvent};
 use crate::identity::{MonotonicTime, StorePosition};
@@ -10,7 +10,9 @@
 use crate::sync::lock;
 
 impl DaemonCore {
-    pub(super) fn fleet_event(
+    /// Handles an event that concerns membership, configuration, the list of published upstreams or
+    /// the model engines, and then checks whether the daemon has become ready.
+    pub(super) fn handle_fleet_event(
         &self,
         event: DaemonEvent,
         now: MonotonicTime,
@@ -19,11 +21,11 @@
         match event {
             DaemonEvent::Exchanged { message, sent } => {
                 let sender = &message.sender.instance.vm;
-                self.state.take_crashes(&message.crashes, sender, now, out);
-                self.state.take_limits(&message.limits, sender, now, out);
-                let leaving_upstreams = lock(&self.state.fleet).take_message(&message, now, out);
-                self.state.take_leaving(&leaving_upstreams, now, out);
-                self.heard(&message, now, out);
+                self.state.merge_crash_records(&message.crashes, sender, now, out);
+                self.state.merge_limits(&message.limits, sender, now, out);
+                let leaving_upstreams = lock(&self.state.fleet).apply_heartbeat(&message, now, out);
+                self.state.mark_leaving(&leaving_upstreams, now, out);
+                self.update_from_heartbeat(&message, now, out);
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
                 let verified_at =
                     lock(&self.state.directory).apply_peer_age(&message, revision, sent);
@@ -41,7 +43,7 @@
                     PlatformSnapshot::new(position, entries, evacuations).with_cold_upstreams(cold);
                 let changed = directory.apply_full_read(snapshot, now, out);
                 drop(directory);
-                self.directory_read(changed, now, out);
+                self.propagate_directory(changed, now, out);
             }
             DaemonEvent::DirectoryReadFailed => {
                 lock(&self.state.directory).record_read_failure(now, out)
@@ -49,7 +51,7 @@
             DaemonEvent::DirectoryFetched(list) => {
                 let (revision, _) = lock(&self.state.fleet).ledger.position();
                 let changed = lock(&self.state.directory).apply_peer_list(list, revision, now, out);
-                self.directory_read(changed, now, out);
+                self.propagate_directory(changed, now, out);
             }
             DaemonEvent::ExchangeFailed(vm) => {
                 lock(&self.state.fleet).record_heartbeat_failure(&vm, now, out);
@@ -82,7 +84,7 @@
                 out.push(Command::Count(CounterName::OrdersRefused));
             }
             DaemonEvent::DrainAsked => self.drain(now, out),
-            _ => debug_assert!(false, "fleet_event received an event of a request"),
+            _ => debug_assert!(false, "handle_fleet_event received an event of a request"),
         }
         self.check_ready(now);
     }
@@ -91,10 +93,12 @@
     pub(super) fn check_ready(&self, now: MonotonicTime) {
         let is_newly_ready = lock(&self.state.fleet).update_readiness(now);
         if is_newly_ready {
-            self.refresh_basis();
+            self.refresh_fleet_snapshot();
         }
     }
 
+    /// Puts a configuration in force, if it is valid and newer than the current one, and rebuilds the
+    /// router from it. `None` stands for an unchanged configuration.
     pub(super) fn apply_configuration(
         &self,
         configuration: Option<(u64, String)>,
@@ -112,28 +116,33 @@
         if let Some(declarations) = declarations {
             self.state.rebuild_router(&declarations, now, out);
         }
-        self.refresh_basis();
+        self.refresh_fleet_snapshot();
         let grants = self.state.router().serve_all_waiting(now);
-        let steps = self.state.run_grants(grants, now);
-        self.state.run_steps(steps, now, out);
+        let actions = self.state.assign_granted_slots(grants, now);
+        self.state.run_actions(actions, now, out);
     }
 
     /// Polls the published list of upstreams: starts a read of the platform, or asks the daemon
     /// that reads the platform for this one.
-    pub(super) fn look_at_directory(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub(super) fn poll_directory(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let (reader, has_met_peers) = {
             let fleet = lock(&self.state.fleet);
             (fleet.directory_reader(), fleet.has_finished_discovery())
         };
         let reader_to_query = lock(&self.state.directory).poll(reader, has_met_peers, now, out);
         if let Some(reader) = reader_to_query {
-            lock(&self.state.fleet).exchange_with(vec![reader], now, out);
+            lock(&self.state.fleet).send_heartbeats_to(vec![reader], now, out);
         }
     }
 
     /// Propagates a new or confirmed list of published upstreams to membership, and to routing if
     /// the list has changed.
-    pub(super) fn directory_read(&self, changed: bool, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub(super) fn propagate_directory(
+        &self,
+        changed: bool,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
         let (position, verified_at) = {
             let mut state = lock(&self.state.directory);
             let restarted = state.directory.take_restarted();
@@ -153,14 +162,14 @@
         if let Some(declarations) = declarations.filter(|_| changed) {
             self.state.rebuild_router(&declarations, now, out);
             let grants = self.state.router().serve_all_waiting(now);
-            let steps = self.state.run_grants(grants, now);
-            self.state.run_steps(steps, now, out);
+            let actions = self.state.assign_granted_slots(grants, now);
+            self.state.run_actions(actions, now, out);
         }
     }
 
     /// Applies a peer's heartbeat to membership and routing, and fetches the peer's list of
     /// upstreams if it is newer.
-    pub(super) fn heard(
+    pub(super) fn update_from_heartbeat(
         &self,
         message: &ExchangeMessage,
         now: MonotonicTime,
@@ -173,12 +182,13 @@
             (has_vm_list_changed, fleet.view.alive_count() + 1)
         };
         if has_vm_list_changed {
-            self.refresh_basis();
+            self.refresh_fleet_snapshot();
         }
         self.state.router().set_daemons(daemon_count);
         lock(&self.state.directory).fetch_newer_list(vm, message.directory, now, out);
     }
 
+    /// Applies a VM list to membership and routing; `None` stands for an unchanged list.
     pub(super) fn apply_vm_list(
         &self,
         vm_list: Option<VmRoster>,
@@ -187,23 +197,25 @@
     ) {
         let Some(vm_list) = vm_list else { return };
         if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
-            self.refresh_basis();
-            self.state.router().take_roster(self.state.basis().history.current());
+            self.refresh_fleet_snapshot();
+            self.state.router().take_roster(self.state.fleet_snapshot().history.current());
         }
     }
 
-    pub(super) fn refresh_basis(&self) {
+    /// Replaces the snapshot that requests are decided by. It holds no configuration until the daemon
+    /// is ready.
+    pub(super) fn refresh_fleet_snapshot(&self) {
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force().filter(|_| fleet.is_ready());
-        let basis = RequestBasis {
+        let snapshot = FleetSnapshot {
             declarations: in_force.map(|each| Arc::clone(&each.declarations)),
             history: fleet.history.clone(),
             key_life: fleet.key_life(),
         };
-        self.state.set_basis(basis);
+        self.state.set_fleet_snapshot(snapshot);
     }
 
     pub(super) fn roster_revision(&self) -> u64 {
-        self.state.basis().history.current().revision
+        self.state.fleet_snapshot().history.current().revision
     }
 }
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use super::news_bounds::NewsPace;
+use super::staleness_bounds::RefreshIntervals;
 use super::{Command, CounterName, StateChange, TimerKey};
 use crate::configuration::{ConfigurationLedger, DeclarationReader, LedgerVerdict};
 use crate::identity::{MonotonicTime, StorePosition};
@@ -82,7 +82,7 @@
     /// Whether a store publishes both the configuration and the upstreams. Both must be known then
     /// before the daemon is ready.
     pub(super) needs_directory: bool,
-    pub(super) intervals: NewsPace,
+    pub(super) intervals: RefreshIntervals,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
     failed_seed_attempts: usize,
@@ -116,7 +116,7 @@
             limit_digest: 0,
             directory_verified_at: None,
             needs_directory: false,
-            intervals: NewsPace::default(),
+            intervals: RefreshIntervals::default(),
             seeds: Vec::new(),
             next_seed: 0,
             failed_seed_attempts: 0,
@@ -132,7 +132,7 @@
     }
 
     /// Sets the refresh intervals of the list and the configuration that the platform publishes.
-    pub(super) fn set_pace(&mut self, intervals: NewsPace) {
+    pub(super) fn set_refresh_intervals(&mut self, intervals: RefreshIntervals) {
         self.intervals = intervals;
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Sends a heartbeat to the next seed address and schedules the one after it.
-    pub fn greet_seed(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub fn ping_seed(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let own = self.view.own().place.as_ref().map(|place| place.peer);
         let other_seeds: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|seed| Some(*seed) != own).collect();
@@ -182,7 +182,7 @@
     }
 
     /// Sets the shortest interval between two reads of the VM list.
-    pub fn set_roster_period(&mut self, period: Duration) {
+    pub fn set_vm_list_interval(&mut self, period: Duration) {
         self.vm_list_interval = period;
     }
 
@@ -251,7 +251,7 @@
         let is_discovering = self.is_discovering_members(now);
         self.view.ask_for_all(is_discovering);
         let partners = self.view.tick(now);
-        self.exchange_with(partners, now, out);
+        self.send_heartbeats_to(partners, now, out);
         let pause = if is_discovering {
             DISCOVERY_PHASE.1.min(self.view.period())
         } else {
@@ -263,7 +263,7 @@
 
     /// Returns this daemon's share of the request rates that upstreams accept from all daemons
     /// together, or `None` if the share has not changed since the last call.
-    pub(super) fn changed_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
+    pub(super) fn update_rate_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
         let names = self.view.records().map(|record| record.instance.vm.as_str());
         let has_changed = self.known_daemons.note(names, now);
         let is_share_withheld = self.is_discovering_members(now);
@@ -286,7 +286,7 @@
 
     /// Applies a heartbeat from a peer, and fetches the peer's configuration if it is newer.
     /// Returns the upstreams that are newly known to be leaving.
-    pub fn take_message(
+    pub fn apply_heartbeat(
         &mut self,
         message: &ExchangeMessage,
         now: MonotonicTime,
@@ -371,7 +371,7 @@
     /// quickly.
     pub fn send_early_heartbeats(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let partners = self.view.random_partners(UPDATE_FANOUT);
-        self.exchange_with(partners, now, out);
+        self.send_heartbeats_to(partners, now, out);
     }
 
     /// Applies a VM list. Returns whether it replaced the one in use.
@@ -392,7 +392,7 @@
         out.push(Command::LogStateChange(StateChange::RosterTaken { revision, vms }));
         if is_first_list {
             let partners = self.view.random_partners(ANNOUNCEMENT_FANOUT);
-            self.exchange_with(partners, now, out);
+            self.send_heartbeats_to(partners, now, out);
         }
         true
     }
@@ -407,7 +407,7 @@
 
     /// Asks the engines that this daemon manages which model placement they hold, and schedules the
     /// next check.
-    pub fn look_at_engines(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub fn query_engines(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         if let Some(in_force) = self.ledger.in_force().filter(|_| self.is_ready) {
             let reconciler = OrderReconciler::new(&in_force.declarations, in_force.revision);
             for engine in reconciler.managed_engines(self.history.current(), &self.view) {
@@ -445,7 +445,7 @@
     pub fn drain(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         self.view.leave();
         let partners = self.view.random_partners(ANNOUNCEMENT_FANOUT);
-        self.exchange_with(partners, now, out);
+        self.send_heartbeats_to(partners, now, out);
     }
 
     /// Time after the start of a drain until callers have dropped every cached address answer that
@@ -461,7 +461,7 @@
     }
 
     /// Sends a heartbeat to each of `partners`.
-    pub fn exchange_with(
+    pub fn send_heartbeats_to(
         &mut self,
         partners: Vec<String>,
         now: MonotonicTime,
@@ -476,7 +476,7 @@
     /// Sends new crash records and rate limits of upstreams to the daemons that read the platform
     /// for others. Every other daemon queries one of those several times per second, so the records
     /// spread quickly. Without such daemons, a few random peers receive the records.
-    pub fn tell_readers(
+    pub fn send_records_to_readers(
         &mut self,
         crashes: &[CrashRecord],
         limits: &[LimitRecord],
@@ -499,7 +499,7 @@
     }
 
     fn heartbeat_for(&mut self, vm: &str, now: MonotonicTime) -> ExchangeMessage {
-        let message = self.view.message(vm, self.ledger.position(), self.directory_news(now));
+        let message = self.view.message(vm, self.ledger.position(), self.directory_status(now));
         ExchangeMessage {
             crash_summary: self.crash_summary,
             limit_digest: self.limit_digest,
@@ -515,7 +515,7 @@
 
     /// Position and age of the local list of published upstreams, as reported in heartbeats.
     #[must_use]
-    pub fn directory_news(&self, now: MonotonicTime) -> DirectoryNews {
+    pub fn directory_status(&self, now: MonotonicTime) -> DirectoryNews {
         let age = self.directory_verified_at.map(|verified_at| now.since(verified_at));
         DirectoryNews { changed: self.directory, age }
     }
--- a/crates/crocusdale_core/src/daemon/held_work.rs
+++ b/crates/crocusdale_core/src/daemon/held_work.rs
@@ -34,7 +34,7 @@
 
 impl HeldWork {
     /// Whether new work is queued.
-    pub(super) fn is_closed(&self) -> bool {
+    pub(super) fn is_holding(&self) -> bool {
         self.is_holding
     }
 
@@ -72,14 +72,14 @@
     }
 
     /// Removes queued attempts for the same call and stage as `request`.
-    pub(super) fn withdraw(&mut self, request: &SlotRequest) {
+    pub(super) fn remove_attempts(&mut self, request: &SlotRequest) {
         let is_other =
             |attempt: &SlotRequest| attempt.call != request.call || attempt.stage != request.stage;
         self.queued.attempts.retain(|(attempt, _)| is_other(attempt));
     }
 
     /// Removes the queued request of `call`, because its caller has disconnected.
-    pub(super) fn abandon(&mut self, call: CallId) {
+    pub(super) fn remove_request(&mut self, call: CallId) {
         self.queued.requests.retain(|held_request| held_request.call != call);
     }
 
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_updates.rs
@@ -2,7 +2,7 @@
 //! together.
 
 use super::core_state::CoreState;
-use super::crash_flow::NEWS_DELAY;
+use super::crash_flow::UPSTREAM_RECORD_DELAY;
 use super::{Command, StateChange, TimerKey};
 use crate::identity::MonotonicTime;
 use crate::pipeline::{RefusalReason, ShardAction};
@@ -26,7 +26,7 @@
     }
 
     /// Applies the rate limits of upstreams that the daemon on `vm` reported.
-    pub(super) fn take_limits(
+    pub(super) fn merge_limits(
         &self,
         records: &[LimitRecord],
         vm: &str,
@@ -44,7 +44,7 @@
     }
 
     /// Removes rate limits that no daemon has received from their upstreams for a long time.
-    pub(super) fn forget_limits(&self, now: MonotonicTime) {
+    pub(super) fn expire_limits(&self, now: MonotonicTime) {
         if self.limiter.forget(now) {
             self.publish_limit_digest();
         }
@@ -52,13 +52,15 @@
 
     /// Refuses queued attempts that can't get a request slot before their deadline at the current
     /// rate limits of their upstreams.
-    pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
+    pub(super) fn shed_rate_limited(&self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         for (request, retry_after) in self.router().take_unservable(now) {
             let refusal = (RefusalReason::Overload, retry_after);
-            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+            self.shard(request.call.0).denied_for(request.call, refusal, now, actions);
         }
     }
 
+    /// Logs changed rate limits, schedules the message to peers, and serves queued attempts if a
+    /// limit has ended. `peer` is the daemon that reported the changes, if another one did.
     fn apply_limit_changes<'a>(
         &self,
         changes: impl IntoIterator<Item = (&'a str, LimitChange)>,
@@ -77,14 +79,18 @@
         }
         self.publish_limit_digest();
         if self.limiter.has_untold() {
-            out.push(Command::SetTimer { timer: TimerKey::UpstreamNews, at: now + NEWS_DELAY });
+            out.push(Command::SetTimer {
+                timer: TimerKey::UpstreamNews,
+                at: now + UPSTREAM_RECORD_DELAY,
+            });
         }
         if has_limit_ended {
-            let steps = self.run_grants(self.router().serve_all_waiting(now), now);
-            self.run_steps(steps, now, out);
+            let actions = self.assign_granted_slots(self.router().serve_all_waiting(now), now);
+            self.run_actions(actions, now, out);
         }
     }
 
+    /// Copies the digest of the rate limits to the state that heartbeats are built from.
     fn publish_limit_digest(&self) {
         let digest = self.limiter.digest();
         lock(&self.fleet).limit_digest = digest;
--- a/crates/crocusdale_core/src/daemon/pause_watch.rs
+++ b/crates/crocusdale_core/src/daemon/pause_detector.rs
@@ -17,13 +17,13 @@
 /// response may have arrived at any time during it. Measurements that overlap a pause are therefore
 /// discarded.
 #[derive(Debug)]
-pub(super) struct PauseWatch {
+pub(super) struct PauseDetector {
     last_event: MonotonicTime,
     /// End of the last pause. `None` if there was none.
     resumed_at: Option<MonotonicTime>,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Starts the detection at `now`.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self { last_event: now, resumed_at: None }
@@ -31,7 +31,7 @@
 
     /// Records an event at `now`. Returns the length of the pause that ended with it, if there was
     /// one.
-    pub(super) fn note_event(&mut self, now: MonotonicTime) -> Option<Duration> {
+    pub(super) fn record_event(&mut self, now: MonotonicTime) -> Option<Duration> {
         let gap = now.since(self.last_event);
         self.last_event = self.last_event.max(now);
         let was_paused = gap > MAX_EVENT_GAP;
@@ -42,7 +42,7 @@
     }
 
     /// Whether there was no pause after `since`, so that durations measured from then on are valid.
-    pub(super) fn ran_since(&self, since: MonotonicTime) -> bool {
+    pub(super) fn has_run_since(&self, since: MonotonicTime) -> bool {
         self.resumed_at.is_none_or(|resumed_at| since >= resumed_at)
     }
 }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -8,14 +8,15 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Sends the items of a batched step to the dispatcher of their pool, on this or another
-    /// daemon. Skips the dispatchers in `tried`, which have failed the step before.
-    pub(super) fn offer_pieces(
+    /// Sends the pieces of a batched step, which are the inputs that batches are formed from, to the
+    /// dispatcher of their pool, on this or another daemon. Skips the dispatchers in `tried`, which
+    /// have failed the step before.
+    pub(super) fn send_to_dispatcher(
         &self,
         mut order: PieceOrder,
         tried: &[String],
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
@@ -26,7 +27,7 @@
             choice.dispatcher(&order.pool, tried).to_owned()
         };
         if vm == self.own_instance.vm {
-            self.dispatch_pieces(order, now, steps, out);
+            self.queue_pieces(order, now, actions, out);
         } else {
             out.push(Command::SendPieces { vm, order: Box::new(order) });
         }
@@ -53,25 +54,25 @@
         if queueing_time(&second) < queueing_time(&first) { second } else { first }
     }
 
-    /// Queues the items of a batched step as the dispatcher of their pool. Fails the step if its
+    /// Queues the pieces of a batched step as the dispatcher of their pool. Fails the step if its
     /// request is quarantined.
-    pub(super) fn dispatch_pieces(
+    pub(super) fn queue_pieces(
         &self,
         order: PieceOrder,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let mut dispatch_steps = Vec::new();
+        let mut dispatch_actions = Vec::new();
         if order.digest.is_some_and(|digest| self.quarantine_left(digest, now).is_some()) {
             let fault = PieceFault::Quarantined;
-            dispatch_steps.push(DispatchAction::fail(order.attempt, &order.pool, fault));
+            dispatch_actions.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let crash_count =
                 order.digest.map_or(0, |digest| lock(&self.crash_detector).ends(digest));
-            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_steps);
+            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_actions);
         }
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
     /// Frees results through the dispatcher of their pool, which keeps account of the memory that
@@ -98,26 +99,26 @@
     pub(super) fn release_unneeded_results(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn_unwanted(now, &mut dispatch_steps);
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        let mut dispatch_actions = Vec::new();
+        lock(&self.dispatcher).turn_unwanted(now, &mut dispatch_actions);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
-    /// Handles the outcome of a batch: settles its items or queues them again.
+    /// Handles the outcome of a batch: settles its pieces or queues them again.
     pub(super) fn handle_batch_outcome(
         &self,
         batch: BatchId,
         outcome: BatchOutcome,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).answered(batch, outcome, now, &mut dispatch_steps);
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        let mut dispatch_actions = Vec::new();
+        lock(&self.dispatcher).answered(batch, outcome, now, &mut dispatch_actions);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
     /// Records how many bytes of an upstream's result memory are free; `None` if it did not say.
@@ -126,19 +127,19 @@
         upstream: &str,
         free: Option<u64>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).room_told(upstream, free, now, &mut dispatch_steps);
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        let mut dispatch_actions = Vec::new();
+        lock(&self.dispatcher).room_told(upstream, free, now, &mut dispatch_actions);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
-    /// Hands over the queued items of every pool whose dispatcher is another daemon by now.
+    /// Hands over the queued pieces of every pool whose dispatcher is another daemon by now.
     pub(super) fn hand_over_pools(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let waiting_pieces =
@@ -152,15 +153,15 @@
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
             pools.retain(|pool| choice.dispatcher(pool, &[]) != self.own_instance.vm);
         }
-        let mut dispatch_steps = Vec::new();
+        let mut dispatch_actions = Vec::new();
         for pool in pools {
-            lock(&self.dispatcher).hand_over(&pool, &mut dispatch_steps);
+            lock(&self.dispatcher).hand_over(&pool, &mut dispatch_actions);
         }
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
     /// Tells the batch queues of rate-limited pools whether this daemon is their only dispatcher.
-    pub(super) fn update_sole_dispatch(&self, now: MonotonicTime) {
+    pub(super) fn update_sole_dispatcher(&self, now: MonotonicTime) {
         if !self.limiter.has_limits() {
             return;
         }
@@ -175,39 +176,40 @@
         }
     }
 
-    /// Advances all batch queues of this daemon to `now`: forms batches and expires queued items.
-    pub(super) fn turn_dispatcher(
+    /// Advances all batch queues of this daemon to `now`: forms batches and expires queued pieces.
+    pub(super) fn advance_dispatcher(
         &self,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let mut dispatch_steps = Vec::new();
-        lock(&self.dispatcher).turn(now, &mut dispatch_steps);
-        self.run_dispatch(dispatch_steps, now, steps, out);
+        let mut dispatch_actions = Vec::new();
+        lock(&self.dispatcher).turn(now, &mut dispatch_actions);
+        self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
-    /// Runs the steps that the batch dispatcher has emitted.
-    pub(super) fn run_dispatch(
+    /// Carries out the actions that the batch dispatcher has emitted.
+    pub(super) fn run_dispatch_actions(
         &self,
-        dispatch_steps: Vec<DispatchAction>,
+        dispatch_actions: Vec<DispatchAction>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         // New batches go out before the results of the previous one are processed, because their
         // upstream is idle until then.
-        let (calls, others): (Vec<DispatchAction>, Vec<DispatchAction>) =
-            dispatch_steps.into_iter().partition(|step| matches!(step, DispatchAction::Call(_)));
-        for step in calls.into_iter().chain(others) {
-            match step {
+        let (calls, others): (Vec<DispatchAction>, Vec<DispatchAction>) = dispatch_actions
+            .into_iter()
+            .partition(|action| matches!(action, DispatchAction::Call(_)));
+        for action in calls.into_iter().chain(others) {
+            match action {
                 DispatchAction::Call(order) => {
                     out.push(Command::Count(CounterName::BatchCalls));
                     out.push(Command::CallBatch(order));
                 }
                 DispatchAction::Cancel(batch) => out.push(Command::CancelBatch(batch)),
                 DispatchAction::ReportOutcome { attempt, pool, outcome } => {
-                    self.deliver_pieces_outcome(attempt, &pool, outcome, now, steps, out);
+                    self.deliver_pieces_outcome(attempt, &pool, outcome, now, actions, out);
                 }
                 DispatchAction::FreeInputs { pool, results } => {
                     self.free_results(&pool, results, out)
@@ -226,14 +228,14 @@
         }
     }
 
-    /// Delivers the outcome of a batched step to the daemon that sent its items.
+    /// Delivers the outcome of a batched step to the daemon that sent its pieces.
     fn deliver_pieces_outcome(
         &self,
         attempt: AttemptId,
         pool: &str,
         outcome: Result<Vec<PlacedResult>, PieceFault>,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
@@ -247,6 +249,6 @@
             Ok(results) => AttemptEvent::PiecesMade(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
-        self.shard(attempt.call.0).attempt_event(attempt, event, now, steps);
+        self.shard(attempt.call.0).attempt_event(attempt, event, now, actions);
     }
 }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -28,14 +28,15 @@
 const WITNESS_MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 impl CoreState {
-    /// Starts, queues or refuses a request. Its deadline counts from its arrival, not from `now`.
+    /// Starts, queues or refuses a caller's request. Its deadline counts from its arrival, not from
+    /// `now`.
     pub(super) fn submit(&self, held: HeldRequest, now: MonotonicTime, out: &mut Vec<Command>) {
         let HeldRequest { call, request, arrived } = held;
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         let key = request.key.clone();
         let claimed = !request.repeatable && request.forward().is_none();
-        if claimed && self.shard(call.0).join(call, &key, now, &mut steps) {
-            self.run_steps(steps, now, out);
+        if claimed && self.shard(call.0).join(call, &key, now, &mut actions) {
+            self.run_actions(actions, now, out);
             return;
         }
         let is_about_to_exit = lock(&self.refuse_requests_from).is_some_and(|from| now >= from);
@@ -44,8 +45,8 @@
             self.refuse(call, key, None, refusal, now, out);
             return;
         }
-        let basis = self.basis();
-        let Some(declarations) = &basis.declarations else {
+        let snapshot = self.fleet_snapshot();
+        let Some(declarations) = &snapshot.declarations else {
             let refusal = refusal(&key, RefusalReason::NotReady, NOT_READY_RETRY_AFTER);
             let age = claimed.then_some(request.age);
             self.refuse(call, key, age, refusal, now, out);
@@ -54,14 +55,14 @@
         let (forwarded, age) = (request.forward().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
-            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut steps),
-            Ok(plan) => self.start_claimed(call, plan, now, &mut steps),
+            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut actions),
+            Ok(plan) => self.start_claimed(call, plan, now, &mut actions),
             Err((refusal, is_pipeline_repeatable)) => {
                 let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
                 self.refuse(call, key, age, refusal, now, out);
             }
         }
-        self.run_steps(steps, now, out);
+        self.run_actions(actions, now, out);
     }
 
     /// Resolves the outcome of the request `key`, which its caller first sent `age` ago.
@@ -73,37 +74,37 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let mut steps = Vec::new();
-        if !self.shard(call.0).join(call, &key, now, &mut steps) {
-            steps = self.begin_inquiry(call, key, None, age, now);
+        let mut actions = Vec::new();
+        if !self.shard(call.0).join(call, &key, now, &mut actions) {
+            actions = self.start_inquiry(call, key, None, age, now);
         }
-        self.run_steps(steps, now, out);
+        self.run_actions(actions, now, out);
     }
 
-    /// Runs `steps`, and all steps that result from them, until only commands are left.
-    pub(super) fn run_steps(
+    /// Carries out `actions`, and all actions that result from them, until only commands are left.
+    pub(super) fn run_actions(
         &self,
-        steps: Vec<ShardAction>,
+        actions: Vec<ShardAction>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let mut queue = VecDeque::from(steps);
-        while let Some(step) = queue.pop_front() {
-            queue.extend(self.run_step(step, now, out));
+        let mut queue = VecDeque::from(actions);
+        while let Some(action) = queue.pop_front() {
+            queue.extend(self.run_action(action, now, out));
         }
     }
 
     /// Assigns the granted upstream slots to the requests that were queued for them.
-    pub(super) fn run_grants(
+    pub(super) fn assign_granted_slots(
         &self,
         grants: Vec<SlotGrant>,
         now: MonotonicTime,
     ) -> Vec<ShardAction> {
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for grant in grants {
-            self.shard(grant.request.call.0).granted(grant, now, &mut steps);
+            self.shard(grant.request.call.0).granted(grant, now, &mut actions);
         }
-        steps
+        actions
     }
 
     /// Votes as a witness of `key`: stores a claim of `claimant`, or a tombstone for `None`.
@@ -115,9 +116,9 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> RegisterReply {
-        let basis = self.basis();
-        let own_witnesses = WitnessSet::choose(key, basis.history.current());
-        if basis.declarations.is_none()
+        let snapshot = self.fleet_snapshot();
+        let own_witnesses = WitnessSet::choose(key, snapshot.history.current());
+        if snapshot.declarations.is_none()
             || !own_witnesses.contains(&self.own_instance.vm)
             || !own_witnesses.agrees_with(witnesses)
         {
@@ -125,15 +126,15 @@
             return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
         }
         if let Some(abstention) =
-            basis.history.abstention(&self.own_instance.vm, key, now, basis.key_life)
+            snapshot.history.abstention(&self.own_instance.vm, key, now, snapshot.key_life)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(abstention);
         }
         let mut register = self.register(key);
         let reply = match claimant {
-            Some(claimant) => register.claim(key, claimant, now, basis.key_life),
-            None => register.bury(key, now, basis.key_life),
+            Some(claimant) => register.claim(key, claimant, now, snapshot.key_life),
+            None => register.bury(key, now, snapshot.key_life),
         };
         out.push(Command::Count(match &reply {
             RegisterReply::Holds(RegisterState::Claimed { .. }) => CounterName::WitnessClaims,
@@ -181,28 +182,28 @@
         call: CallId,
         plan: RequestPlan,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
     ) {
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller marks as repeatable may match a pipeline that is not.
-        if plan.request.repeatable && shard.join(call, &key, now, steps) {
-            steps.push(ShardAction::ReleasePermit(plan.permit));
+        if plan.request.repeatable && shard.join(call, &key, now, actions) {
+            actions.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
         if let Some(reason) = self.claim_rejection(&plan, &shard, now) {
             drop(shard);
-            steps.push(ShardAction::ReleasePermit(plan.permit));
+            actions.push(ShardAction::ReleasePermit(plan.permit));
             let refusal = refusal(&key, reason, Duration::ZERO);
             let is_age_proven =
                 matches!(reason, RefusalReason::NeverRun | RefusalReason::RequestLimit);
             let age =
                 (is_age_proven && !self.is_request_age_unknown(now)).then_some(plan.request.age);
-            steps.extend(self.begin_inquiry(call, key, Some(refusal), age, now));
+            actions.extend(self.start_inquiry(call, key, Some(refusal), age, now));
             return;
         }
-        let witnesses = WitnessSet::choose(&key, self.basis().history.current());
-        shard.start_claimed(call, plan, witnesses, now, steps);
+        let witnesses = WitnessSet::choose(&key, self.fleet_snapshot().history.current());
+        shard.start_claimed(call, plan, witnesses, now, actions);
     }
 
     /// Reason why this daemon must not claim the key of a non-repeatable request, or `None` if it
@@ -231,8 +232,12 @@
         }
         match &plan.request.ticket {
             Some(ticket) => {
-                let is_good =
-                    self.ticket_issuer.is_good(ticket, key, now, self.basis().ticket_life());
+                let is_good = self.ticket_issuer.is_good(
+                    ticket,
+                    key,
+                    now,
+                    self.fleet_snapshot().ticket_life(),
+                );
                 (!is_good).then_some(RefusalReason::BadTicket)
             }
             None => self.is_request_age_unknown(now).then_some(RefusalReason::KeyExpired),
@@ -255,13 +260,13 @@
             return;
         }
         let age = age.filter(|_| !self.is_request_age_unknown(now));
-        let steps = self.begin_inquiry(call, key, Some(refusal), age, now);
-        self.run_steps(steps, now, out);
+        let actions = self.start_inquiry(call, key, Some(refusal), age, now);
+        self.run_actions(actions, now, out);
     }
 
     /// Starts an inquiry about `key`, which its caller first sent `age` ago. If `age` is `None`,
     /// the inquiry can't prove that the request did not run.
-    fn begin_inquiry(
+    fn start_inquiry(
         &self,
         call: CallId,
         key: RequestKey,
@@ -269,47 +274,48 @@
         age: Option<Duration>,
         now: MonotonicTime,
     ) -> Vec<ShardAction> {
-        let basis = self.basis();
-        let witnesses = WitnessSet::choose(&key, basis.history.current());
+        let snapshot = self.fleet_snapshot();
+        let witnesses = WitnessSet::choose(&key, snapshot.history.current());
         // A daemon without a configuration does not know the retention time of keys at its peers.
-        let known_key_life = basis.declarations.as_ref().map(|_| basis.key_life);
+        let known_key_life = snapshot.declarations.as_ref().map(|_| snapshot.key_life);
         let provable_time = known_key_life
             .zip(age)
             .map_or(Duration::ZERO, |(key_life, age)| key_life.saturating_sub(age));
         let inquiry =
-            InquiryBasis { key_life: basis.key_life, provable_until: now + provable_time };
+            InquiryBasis { key_life: snapshot.key_life, provable_until: now + provable_time };
         self.shard(call.0).inquire(call, key, witnesses, refusal, inquiry, now)
     }
 
-    /// Runs one step of a request shard and returns the steps that result from it.
-    fn run_step(
+    /// Carries out one action of a request shard and returns the actions that result from it.
+    fn run_action(
         &self,
-        step: ShardAction,
+        action: ShardAction,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> Vec<ShardAction> {
-        let mut steps = Vec::new();
-        match step {
+        let mut actions = Vec::new();
+        match action {
             ShardAction::Command(command) => out.push(command),
             ShardAction::AcquireSlot(request) => {
-                self.acquire(request, RefusalReason::NoUpstream, now, &mut steps);
+                self.acquire(request, RefusalReason::NoUpstream, now, &mut actions);
             }
             ShardAction::AcquireRetrySlot { request, reason } => {
                 if self.router().allow_retry(&request, now) {
                     out.push(Command::Count(CounterName::Retries));
-                    self.acquire(request, reason, now, &mut steps);
+                    self.acquire(request, reason, now, &mut actions);
                 } else {
                     out.push(Command::Count(CounterName::RetriesDenied));
-                    self.shard(request.call.0).denied(request.call, reason, now, &mut steps);
+                    self.shard(request.call.0).denied(request.call, reason, now, &mut actions);
                 }
             }
             ShardAction::CancelSlotRequest(request) => {
-                lock(&self.held).withdraw(&request);
+                lock(&self.held_work).remove_attempts(&request);
                 self.router().withdraw(&request);
             }
             ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.exclude_paused_time(report, now);
-                steps = self.run_grants(self.router().release(&upstream, call, report, now), now);
+                actions = self
+                    .assign_granted_slots(self.router().release(&upstream, call, report, now), now);
             }
             ShardAction::RecordStreamStart { upstream, call } => {
                 self.router().record_first_event(&upstream, call)
@@ -321,7 +327,7 @@
                     // that will consume its results.
                     order.zone = self.router().engine_zone(&target, now).map(str::to_owned);
                 }
-                self.offer_pieces(*order, &tried, now, &mut steps, out);
+                self.send_to_dispatcher(*order, &tried, now, &mut actions, out);
             }
             ShardAction::CancelPieces { attempt, pool } => {
                 lock(&self.dispatcher).withdraw(attempt, &pool);
@@ -333,7 +339,7 @@
             ShardAction::RecordSuccess(digest) => self.clear_crash_suspicion(digest, now, out),
             ShardAction::ReleasePermit(permit) => lock(&self.admission_gate).release(&permit),
             ShardAction::WriteRegister(register) => {
-                self.ask_witness(register, now, &mut steps, out)
+                self.ask_witness(register, now, &mut actions, out)
             }
             ShardAction::RecordProcess { upstream, life, leaving: false } => {
                 self.router().greet(&upstream, &life)
@@ -341,10 +347,10 @@
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
                 lock(&self.fleet).view.take_leaving_upstream(&news, now);
-                self.take_leaving(&[news], now, out);
+                self.mark_leaving(&[news], now, out);
             }
         }
-        steps
+        actions
     }
 
     /// Replaces an answer time that includes a pause of this process, which would count against the
@@ -352,7 +358,11 @@
     fn exclude_paused_time(&self, report: AttemptReport, now: MonotonicTime) -> AttemptReport {
         let AttemptReport::Answered(answer_time) = report else { return report };
         let sent_at = MonotonicTime::from_start(now.since_start().saturating_sub(answer_time));
-        if lock(&self.pause_watch).ran_since(sent_at) { report } else { AttemptReport::Unmeasured }
+        if lock(&self.pause_detector).has_run_since(sent_at) {
+            report
+        } else {
+            AttemptReport::Unmeasured
+        }
     }
 
     /// Asks one witness for its vote, without a network call if the witness is this daemon.
@@ -360,7 +370,7 @@
         &self,
         register: RegisterCall,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
         let RegisterCall { call, witness, key, witnesses, bury } = register;
@@ -370,7 +380,7 @@
         }
         let claimant = (!bury).then_some(&self.own_instance);
         let reply = self.witness(&key, claimant, &witnesses, now, out);
-        self.shard(call.0).register_replied(call, &witness, Some(reply), now, steps);
+        self.shard(call.0).register_replied(call, &witness, Some(reply), now, actions);
     }
 }
 
--- a/crates/crocusdale_core/src/daemon/news_bounds.rs
+++ b/crates/crocusdale_core/src/daemon/staleness_bounds.rs
@@ -50,7 +50,7 @@
 
 /// Refresh schedule of the list and the configuration, derived from [`NewsBounds`].
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NewsPace {
+pub(super) struct RefreshIntervals {
     /// Age beyond which the list and the configuration must not be used for routing. A request may
     /// still be sent up to [`CONNECT_TIMEOUT`] after its upstream was chosen, so this age plus
     /// that time stays below the shortest bound.
@@ -68,7 +68,7 @@
     pub(super) recovery_time: Duration,
 }
 
-impl From<NewsBounds> for NewsPace {
+impl From<NewsBounds> for RefreshIntervals {
     fn from(bounds: NewsBounds) -> Self {
         let shortest_bound = bounds.notice.min(bounds.configuration).min(bounds.evacuation);
         let max_age_before_send = shortest_bound.saturating_sub(CONNECT_TIMEOUT + LATENCY_MARGIN);
@@ -84,14 +84,14 @@
     }
 }
 
-impl NewsPace {
+impl RefreshIntervals {
     /// Number of daemons in a zone for each one that reads the platform, at least 1.
     pub(super) fn daemons_per_reader(&self) -> usize {
         ((MAX_QUERIES_PER_S * self.query_interval.as_secs_f64()).round() as usize).max(1)
     }
 }
 
-impl Default for NewsPace {
+impl Default for RefreshIntervals {
     fn default() -> Self {
         Self::from(NewsBounds::default())
     }
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/staleness_guard.rs
@@ -18,11 +18,11 @@
     /// symptoms are a leaving upstream that is called seconds after its notice, or a revoked access
     /// key that works for seconds longer. Checking at the point of decision makes the guard
     /// independent of any timer.
-    pub(super) fn check_list(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+    pub(super) fn check_staleness(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let (is_expired, released_work) = {
             let mut directory = lock(&self.directory);
             let is_expired = directory.is_expired(now, out);
-            (is_expired, lock(&self.held).set_holding(is_expired))
+            (is_expired, lock(&self.held_work).set_holding(is_expired))
         };
         let Some(released_work) = released_work else { return };
         self.router().set_suspended(is_expired);
@@ -30,13 +30,13 @@
         if is_expired {
             return;
         }
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for (request, reason) in released_work.attempts {
-            self.acquire(request, reason, now, &mut steps);
+            self.acquire(request, reason, now, &mut actions);
         }
-        steps.extend(self.run_grants(self.router().serve_all_waiting(now), now));
-        self.turn_dispatcher(now, &mut steps, out);
-        self.run_steps(steps, now, out);
+        actions.extend(self.assign_granted_slots(self.router().serve_all_waiting(now), now));
+        self.advance_dispatcher(now, &mut actions, out);
+        self.run_actions(actions, now, out);
         for held_request in released_work.requests {
             self.submit(held_request, now, out);
         }
@@ -49,40 +49,40 @@
         request: SlotRequest,
         reason: RefusalReason,
         now: MonotonicTime,
-        steps: &mut Vec<ShardAction>,
+        actions: &mut Vec<ShardAction>,
     ) {
         // Checked when an upstream is chosen, so that attempts of requests that started before the
         // quarantine are denied too.
         if let Some(retry_after) = self.quarantine_left(request.digest, now) {
             let refusal = (RefusalReason::Quarantined, retry_after);
-            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+            self.shard(request.call.0).denied_for(request.call, refusal, now, actions);
             return;
         }
-        let Some(request) = lock(&self.held).hold_attempt(request, reason) else {
-            steps.push(ShardAction::Command(Command::Count(CounterName::AttemptsHeld)));
+        let Some(request) = lock(&self.held_work).hold_attempt(request, reason) else {
+            actions.push(ShardAction::Command(Command::Count(CounterName::AttemptsHeld)));
             return;
         };
         match self.router().acquire(request, now) {
-            Ok(Some(grant)) => self.shard(grant.request.call.0).granted(grant, now, steps),
+            Ok(Some(grant)) => self.shard(grant.request.call.0).granted(grant, now, actions),
             Ok(None) => {}
             Err(request) => match self.router().away_for(&request, now) {
                 Some(retry_after) => {
                     let refusal = (RefusalReason::Overload, retry_after);
-                    self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+                    self.shard(request.call.0).denied_for(request.call, refusal, now, actions);
                 }
-                None => self.shard(request.call.0).denied(request.call, reason, now, steps),
+                None => self.shard(request.call.0).denied(request.call, reason, now, actions),
             },
         }
     }
 
     /// Starts or refuses a request, or holds it until the list and the configuration are fresh.
-    pub(super) fn receive(
+    pub(super) fn submit_or_hold(
         &self,
         held_request: HeldRequest,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let held_request = lock(&self.held).hold_request(held_request);
+        let held_request = lock(&self.held_work).hold_request(held_request);
         match held_request {
             Some(held_request) => self.submit(held_request, now, out),
             None => out.push(Command::Count(CounterName::RequestsHeld)),
@@ -91,8 +91,8 @@
 
     /// Submits all held requests without waiting for a fresh list, because the process is about to
     /// exit and callers must get an answer before that.
-    pub(super) fn end_held(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let requests = lock(&self.held).take_requests();
+    pub(super) fn submit_all_held(&self, now: MonotonicTime, out: &mut Vec<Command>) {
+        let requests = lock(&self.held_work).take_requests();
         for held_request in requests {
             self.submit(held_request, now, out);
         }
--- a/crates/crocusdale_core/src/daemon/state_dump.rs
+++ b/crates/crocusdale_core/src/daemon/state_dump.rs
@@ -60,7 +60,7 @@
     pub keys: usize,
     /// Number of queued attempts by stage.
     pub waiting: Vec<(String, usize)>,
-    /// Number of queued items of batched steps by pool.
+    /// Number of queued pieces of batched steps by pool.
     pub waiting_pieces: Vec<(String, usize)>,
     /// Routing state of every upstream.
     pub upstreams: Vec<UpstreamSummary>,
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/upstream_notices.rs
@@ -13,7 +13,7 @@
 impl CoreState {
     /// Applies what `upstream` reported about itself in the response to a request that was sent at
     /// `sent`.
-    pub(super) fn take_notice(
+    pub(super) fn apply_notice(
         &self,
         upstream: &str,
         notice: UpstreamNotice,
@@ -31,10 +31,10 @@
                 fleet.send_early_heartbeats(now, out);
             }
             drop(fleet);
-            self.take_leaving(&[leaving_upstream], now, out);
+            self.mark_leaving(&[leaving_upstream], now, out);
         }
         if let Some(duration) = notice.stay_away {
-            let mut unavailable_until = lock(&self.away);
+            let mut unavailable_until = lock(&self.unavailable_until);
             unavailable_until.retain(|_, until| *until > now);
             unavailable_until.insert(upstream.to_owned(), now + duration);
             drop(unavailable_until);
@@ -56,7 +56,7 @@
 
     /// Marks upstreams as leaving, and lets attempts that wait for them continue at other
     /// upstreams.
-    pub(super) fn take_leaving(
+    pub(super) fn mark_leaving(
         &self,
         leaving_upstreams: &[LeavingUpstream],
         now: MonotonicTime,
@@ -80,10 +80,11 @@
         if let Some(declarations) = self.declarations_in_force().filter(|_| has_list_changed) {
             self.rebuild_router(&declarations, now, out);
         }
-        let steps = self.run_grants(self.router().serve_all_waiting(now), now);
-        self.run_steps(steps, now, out);
+        let actions = self.assign_granted_slots(self.router().serve_all_waiting(now), now);
+        self.run_actions(actions, now, out);
     }
 
+    /// Declarations of the configuration in force; `None` if there is no configuration.
     fn declarations_in_force(&self) -> Option<Arc<Declarations>> {
         let fleet = lock(&self.fleet);
         fleet.ledger.in_force().map(|in_force| Arc::clone(&in_force.declarations))
@@ -99,23 +100,23 @@
     ) {
         let directory = lock(&self.directory).directory.clone();
         let router = self.router().reconfigured(declarations, &directory, now);
-        router.take_roster(self.basis().history.current());
+        router.take_roster(self.fleet_snapshot().history.current());
         // An upstream's entry may expire and come back. The new router has lost how long the
         // upstream refuses requests, so that is set again.
-        let unavailable_until = lock(&self.away).clone();
+        let unavailable_until = lock(&self.unavailable_until).clone();
         for (upstream, until) in &unavailable_until {
             router.stay_away(upstream, *until);
         }
         self.set_router(router);
-        let (mut steps, mut dispatch_steps) = (Vec::new(), Vec::new());
+        let (mut actions, mut dispatch_actions) = (Vec::new(), Vec::new());
         lock(&self.dispatcher).reconfigure(
             declarations,
             &directory,
             &unavailable_until,
             now,
-            &mut dispatch_steps,
+            &mut dispatch_actions,
         );
-        self.run_dispatch(dispatch_steps, now, &mut steps, out);
-        self.run_steps(steps, now, out);
+        self.run_dispatch_actions(dispatch_actions, now, &mut actions, out);
+        self.run_actions(actions, now, out);
     }
 }
