--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -66,7 +66,8 @@
     FreeResults {
         /// Handles of the results to free.
         results: Vec<ResultHandle>,
-        /// Addresses of rate-limited upstreams, which get no such call. Their results expire.
+        /// Addresses of rate-limited upstreams, which get no call to free results. Their results
+        /// expire.
         spared: Vec<SocketAddr>,
     },
     /// Ask a batched upstream how much of its memory for results is free.
@@ -89,13 +90,14 @@
     CloseIdleConnections(String),
     /// Close the idle connections to an address whose process has restarted.
     CloseStaleConnections(SocketAddr),
-    /// Ask a witness to claim `key` for this process, or to write a tombstone for it.
+    /// Ask a witness to claim `key` for this process, or to write a tombstone for it. The reply
+    /// comes back as [`super::DaemonEvent::RegisterReplied`].
     Register {
         /// Caller's call that gets the witness's reply.
         call: CallId,
         /// VM of the witness.
         witness: String,
-        /// Idempotency key to claim or to bury.
+        /// Idempotency key to claim, or to write a tombstone for.
         key: RequestKey,
         /// All witnesses of `key`, as this daemon computes them.
         witnesses: WitnessSet,
--- a/crates/crocusdale_core/src/daemon/configuration_watch.rs
+++ b/crates/crocusdale_core/src/daemon/configuration_watch.rs
@@ -50,8 +50,8 @@
     /// or has heard from no peer for too long. Otherwise schedules the next check.
     ///
     /// Where a store publishes both the configuration and the upstreams, the configuration is read
-    /// together with the list, at the intervals in [`RefreshIntervals`]. There, only the daemons that read
-    /// the store also watch it, so that a new configuration applies within milliseconds.
+    /// together with the list, at the intervals in [`RefreshIntervals`]. There, only the daemons
+    /// that read the store also watch it, so that a new configuration applies within milliseconds.
     pub fn start_due_watch(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         if self.is_watching {
             return;
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -77,8 +77,8 @@
     pub(super) ticket_issuer: TicketIssuer,
 }
 
-/// Immutable snapshot of the configuration, the VM lists and the retention time of idempotency keys.
-/// Each request is decided by one snapshot.
+/// Immutable snapshot of the configuration, the VM lists and the retention time of idempotency
+/// keys. Each request is decided by one snapshot.
 #[derive(Clone, Debug)]
 pub(super) struct FleetSnapshot {
     pub(super) declarations: Option<Arc<Declarations>>,
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -9,8 +9,8 @@
 use crate::quarantine::{CrashRecord, CrashVerdict};
 use crate::sync::lock;
 
-/// Time for which crash records and rate limits are collected into one message to peers. All attempts that a
-/// crashed upstream breaks off do so within a few milliseconds.
+/// Time for which crash records and rate limits are collected into one message to peers. All
+/// attempts that a crashed upstream breaks off do so within a few milliseconds.
 pub(super) const UPSTREAM_RECORD_DELAY: Duration = Duration::from_millis(20);
 
 impl CoreState {
@@ -109,7 +109,7 @@
         self.update_crash_summary();
         if verdict.has_news {
             out.push(Command::SetTimer {
-                timer: TimerKey::UpstreamNews,
+                timer: TimerKey::UpstreamRecords,
                 at: now + UPSTREAM_RECORD_DELAY,
             });
         }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -54,15 +54,18 @@
     pub fn start(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let published = lock(&self.state.fleet).view.own().place.is_some();
         if published {
-            for timer in [TimerKey::Directory, TimerKey::Seeds, TimerKey::Results] {
+            for timer in [TimerKey::Directory, TimerKey::SeedPing, TimerKey::ResultRelease] {
                 out.push(Command::SetTimer { timer, at: now });
             }
         } else {
             out.push(Command::ReadRoster { known: 0 });
         }
-        for timer in
-            [TimerKey::Heartbeat, TimerKey::Housekeeping, TimerKey::Configuration, TimerKey::Orders]
-        {
+        for timer in [
+            TimerKey::Heartbeat,
+            TimerKey::Housekeeping,
+            TimerKey::Configuration,
+            TimerKey::EngineCheck,
+        ] {
             out.push(Command::SetTimer { timer, at: now });
         }
     }
@@ -356,20 +359,20 @@
             TimerKey::Directory => {
                 self.poll_directory(now, out);
             }
-            TimerKey::Results => {
+            TimerKey::ResultRelease => {
                 let mut actions = Vec::new();
                 self.state.release_unneeded_results(now, &mut actions, out);
                 self.state.run_actions(actions, now, out);
                 out.push(Command::SetTimer {
-                    timer: TimerKey::Results,
+                    timer: TimerKey::ResultRelease,
                     at: now + RESULT_RELEASE_INTERVAL,
                 });
             }
             // Every event checks the age of the list of published upstreams. This timer only makes
             // sure that an event arrives in time.
             TimerKey::DirectoryAnswer => {}
-            TimerKey::UpstreamNews => self.state.send_new_upstream_records(now, out),
-            TimerKey::Seeds => lock(&self.state.fleet).ping_seed(now, out),
+            TimerKey::UpstreamRecords => self.state.send_new_upstream_records(now, out),
+            TimerKey::SeedPing => lock(&self.state.fleet).ping_seed(now, out),
             TimerKey::EndRequests => self.end_requests(now, out),
             TimerKey::Exit => {
                 out.push(Command::LogStateChange(StateChange::Drained));
@@ -378,9 +381,11 @@
             TimerKey::Heartbeat => self.send_heartbeats(now, out),
             TimerKey::Configuration => lock(&self.state.fleet).start_due_watch(now, out),
             TimerKey::Housekeeping => self.run_housekeeping(now, out),
-            TimerKey::Orders => lock(&self.state.fleet).query_engines(now, out),
-            TimerKey::Roster => out.push(Command::ReadRoster { known: self.roster_revision() }),
-            TimerKey::Drain => self.state.is_drain_window_over.store(true, Ordering::Relaxed),
+            TimerKey::EngineCheck => lock(&self.state.fleet).query_engines(now, out),
+            TimerKey::VmListRead => out.push(Command::ReadRoster { known: self.roster_revision() }),
+            TimerKey::DrainWindowEnd => {
+                self.state.is_drain_window_over.store(true, Ordering::Relaxed)
+            }
         }
     }
 
@@ -511,7 +516,7 @@
             let accepting_time = fleet.drain_window().min(grace_period.mul_f64(ACCEPTING_FRACTION));
             *lock(&self.state.refuse_requests_from) = Some(now + accepting_time);
         }
-        out.push(Command::SetTimer { timer: TimerKey::Drain, at: now + window });
+        out.push(Command::SetTimer { timer: TimerKey::DrainWindowEnd, at: now + window });
         drop(fleet);
         let mut actions = Vec::new();
         self.state.hand_over_pools(now, &mut actions, out);
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -13,14 +13,15 @@
 /// Input of the daemon's state machine: a network event, a platform read or a timer.
 #[derive(Debug)]
 pub enum DaemonEvent {
-    /// A caller sent a request.
+    /// A caller sent a request. The daemon starts, queues or refuses it.
     Submitted {
         /// Identity of the caller's call, from [`super::DaemonCore::open_call`].
         call: CallId,
         /// Request with its idempotency key, deadline and body.
         request: Box<CallerRequest>,
     },
-    /// A caller asked for the outcome of an idempotency key.
+    /// A caller asked for the outcome of an idempotency key. The daemon answers when it knows the
+    /// outcome or the witnesses of the key have replied.
     Inquired {
         /// Identity of the caller's call, from [`super::DaemonCore::open_call`].
         call: CallId,
@@ -29,7 +30,7 @@
         /// Time since the caller first sent the request, or `None` if the caller did not say.
         age: Option<Duration>,
     },
-    /// A caller closed the connection of its call.
+    /// A caller closed the connection of its call. The daemon abandons the call.
     CallerDisconnected(CallId),
     /// An upstream's connection made progress or failed.
     Attempt {
@@ -38,7 +39,8 @@
         /// Progress or failure of the attempt.
         event: AttemptEvent,
     },
-    /// A witness replied to a claim or tombstone request, or the request to it failed.
+    /// A witness replied to a claim or tombstone request of this daemon, or the request to it
+    /// failed. The daemon counts the reply as one vote on the key.
     RegisterReplied {
         /// Caller's call on whose behalf the witness was asked.
         call: CallId,
@@ -47,21 +49,23 @@
         /// Reply of the witness, or `None` if the request to it failed.
         reply: Option<RegisterReply>,
     },
-    /// The process that has claimed a key replied to an inquiry, or the inquiry failed.
+    /// The process that has claimed a key replied to an inquiry of this daemon, or the inquiry
+    /// failed. The daemon answers the caller, or asks again later.
     HolderReplied {
         /// Caller's call on whose behalf the holder was asked.
         call: CallId,
         /// Reply of the holder, or `None` if the inquiry failed.
         reply: Option<HolderReply>,
     },
-    /// A peer answered a heartbeat.
+    /// A peer answered a heartbeat of this daemon with its own, which the daemon merges into its
+    /// view of the fleet.
     Exchanged {
         /// Heartbeat of the peer.
         message: Box<ExchangeMessage>,
         /// Time at which this daemon sent its own heartbeat.
         sent: MonotonicTime,
     },
-    /// The named peer did not answer a heartbeat.
+    /// The peer on the named VM did not answer a heartbeat, which may make it suspect.
     ExchangeFailed(String),
     /// A peer's configuration was fetched, as revision and text; `None` if the fetch failed.
     ConfigurationFetched(Option<(u64, String)>),
@@ -69,7 +73,8 @@
     ConfigurationWatched(Option<(u64, String)>),
     /// The configuration service did not answer.
     ConfigurationWatchFailed,
-    /// The headers of an upstream's answer described the state of the upstream.
+    /// The headers of an upstream's answer described the state of the upstream. The daemon adapts
+    /// its routing to that state.
     UpstreamNoticed {
         /// Name of the upstream.
         upstream: String,
@@ -78,14 +83,15 @@
         /// Lower bound of the time at which the answered request was sent.
         sent: MonotonicTime,
     },
-    /// The probe of an upstream where attempts broke off has ended.
+    /// The probe of an upstream where attempts broke off has ended. It shows whether their requests
+    /// crashed the upstream.
     UpstreamProbed {
         /// Name of the upstream.
         upstream: String,
         /// Whether the upstream refused the connection, which means that its process has ended.
         has_ended: bool,
     },
-    /// The platform's store was read completely.
+    /// The platform's store was read completely, as asked by [`super::Command::ReadDirectory`].
     DirectoryRead {
         /// Era and revision of the store at the read.
         position: StorePosition,
@@ -104,37 +110,42 @@
     DirectoryFetched(Option<PeerDirectory>),
     /// No daemon answered a heartbeat at a seed address.
     SeedPingFailed,
-    /// A dispatcher reported the expected queueing time of its pool.
+    /// A dispatcher on another daemon reported the expected queueing time of its pool. The daemon
+    /// uses the report to admit requests and to choose a section of the pool.
     PoolWaitReported {
         /// Name of the pool, or of one of its sections.
         pool: String,
         /// Expected queueing time of new pieces.
         wait: PoolWait,
     },
-    /// Another daemon sent the pieces of a batched step to this daemon as their dispatcher.
+    /// Another daemon sent the pieces of a batched step to this daemon as their dispatcher, which
+    /// queues them for its batches.
     PiecesReceived(Box<PieceOrder>),
-    /// Another daemon cancelled the pieces of a batched step.
+    /// Another daemon cancelled the pieces of a batched step. This daemon removes them from its
+    /// queue.
     PiecesCancelled {
         /// Attempt that the pieces belong to.
         attempt: AttemptId,
         /// Pool that the pieces are queued in.
         pool: String,
     },
-    /// Another daemon no longer needs results from a pool that this daemon dispatches.
+    /// Another daemon no longer needs results from a pool that this daemon dispatches. This daemon
+    /// has the upstreams free them.
     ResultsReleased {
         /// Pool whose upstreams hold the results.
         pool: String,
         /// Handles of the results to free.
         results: Vec<ResultHandle>,
     },
-    /// A batched upstream was asked how much of its memory for results is free.
+    /// A batched upstream answered how much of its memory for results is free, or failed to answer.
     FreeMemoryReported {
         /// Name of the upstream.
         upstream: String,
         /// Free memory in bytes, or `None` if the upstream did not say.
         free: Option<u64>,
     },
-    /// A batch was answered by its upstream, or failed.
+    /// The upstream of a batch answered it, or the batch failed. The dispatcher reports the outcome
+    /// of its pieces to the daemons that sent them, or queues them again.
     BatchEnded {
         /// Identity of the batch.
         batch: BatchId,
@@ -145,7 +156,8 @@
     RosterRead(Option<VmRoster>),
     /// A read of the VM list failed.
     RosterReadFailed,
-    /// A model engine was asked which engine order it holds.
+    /// A model engine answered which engine order it holds, or failed to answer. The daemon sends
+    /// it the configured order if they differ.
     EngineOrderRead {
         /// Name of the engine's upstream.
         upstream: String,
@@ -159,6 +171,6 @@
     },
     /// A timer fired.
     Timer(TimerKey),
-    /// The process was asked to drain.
+    /// An operator or a termination signal asked the process to drain.
     DrainAsked,
 }
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -131,8 +131,8 @@
     /// returns the daemon to ask for the age of its list, if that query is due.
     ///
     /// Guards against a fleet whose processes all start at one moment and each read the whole list
-    /// from the platform. A daemon first waits to meet other daemons (`has_met_peers`). It then takes
-    /// the list from them, unless it reads for its zone.
+    /// from the platform. A daemon first waits to meet other daemons (`has_met_peers`). It then
+    /// takes the list from them, unless it reads for its zone.
     pub(super) fn poll(
         &mut self,
         reader: Option<String>,
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Puts a configuration in force, if it is valid and newer than the current one, and rebuilds the
-    /// router from it. `None` stands for an unchanged configuration.
+    /// Puts a configuration in force, if it is valid and newer than the current one, and rebuilds
+    /// the router from it. `None` stands for an unchanged configuration.
     pub(super) fn apply_configuration(
         &self,
         configuration: Option<(u64, String)>,
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Replaces the snapshot that requests are decided by. It holds no configuration until the daemon
-    /// is ready.
+    /// Replaces the snapshot that requests are decided by. It holds no configuration until the
+    /// daemon is ready.
     pub(super) fn refresh_fleet_snapshot(&self) {
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force().filter(|_| fleet.is_ready());
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -162,7 +162,7 @@
         let is_isolated = self.view.peer_count() == 0;
         let pause = if is_isolated { SEED_INTERVALS.0 } else { SEED_INTERVALS.1 };
         let at = now + self.with_jitter(pause);
-        out.push(Command::SetTimer { timer: TimerKey::Seeds, at });
+        out.push(Command::SetTimer { timer: TimerKey::SeedPing, at });
     }
 
     /// Derives the VM list from the addresses that members report about themselves, if there is no
@@ -192,7 +192,7 @@
         let pause = self.with_jitter(
             self.vm_list_interval.max(VM_LIST_INTERVAL_PER_PEER.saturating_mul(peers)),
         );
-        out.push(Command::SetTimer { timer: TimerKey::Roster, at: now + pause });
+        out.push(Command::SetTimer { timer: TimerKey::VmListRead, at: now + pause });
     }
 
     /// Whether the daemon serves callers. Never becomes false again.
@@ -416,7 +416,7 @@
             }
         }
         let pause = self.with_jitter(ENGINE_POLL_INTERVAL);
-        out.push(Command::SetTimer { timer: TimerKey::Orders, at: now + pause });
+        out.push(Command::SetTimer { timer: TimerKey::EngineCheck, at: now + pause });
     }
 
     /// Compares the placement that an engine reported with the desired one, and sends an order if
--- a/crates/crocusdale_core/src/daemon/limit_updates.rs
+++ b/crates/crocusdale_core/src/daemon/limit_updates.rs
@@ -80,7 +80,7 @@
         self.publish_limit_digest();
         if self.limiter.has_untold() {
             out.push(Command::SetTimer {
-                timer: TimerKey::UpstreamNews,
+                timer: TimerKey::UpstreamRecords,
                 at: now + UPSTREAM_RECORD_DELAY,
             });
         }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -8,9 +8,9 @@
 use crate::sync::lock;
 
 impl CoreState {
-    /// Sends the pieces of a batched step, which are the inputs that batches are formed from, to the
-    /// dispatcher of their pool, on this or another daemon. Skips the dispatchers in `tried`, which
-    /// have failed the step before.
+    /// Sends the pieces of a batched step, which are the inputs that batches are formed from, to
+    /// the dispatcher of their pool, on this or another daemon. Skips the dispatchers in `tried`,
+    /// which have failed the step before.
     pub(super) fn send_to_dispatcher(
         &self,
         mut order: PieceOrder,
--- a/crates/crocusdale_core/src/daemon/timer_key.rs
+++ b/crates/crocusdale_core/src/daemon/timer_key.rs
@@ -19,9 +19,9 @@
     /// is complete.
     Housekeeping,
     /// Next check of the engines that this daemon manages.
-    Orders,
+    EngineCheck,
     /// Next read of the VM list.
-    Roster,
+    VmListRead,
     /// Next watch of the configuration, or next check whether to watch it.
     Configuration,
     /// Next poll of the list of published upstreams.
@@ -29,16 +29,16 @@
     /// Time by which a healthy platform has responded to a pending read of the list of upstreams.
     DirectoryAnswer,
     /// Next release of results that are no longer needed.
-    Results,
+    ResultRelease,
     /// Time to send new crash records and rate limits of upstreams to other daemons.
-    UpstreamNews,
+    UpstreamRecords,
     /// Next heartbeat to a seed address.
-    Seeds,
+    SeedPing,
     /// Time at which a draining process refuses its open requests, while callers can still receive
     /// the responses.
     EndRequests,
     /// Time at which a draining process exits, shortly before it would be killed.
     Exit,
     /// Time at which callers no longer use cached address answers that name this daemon.
-    Drain,
+    DrainWindowEnd,
 }
