--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -91,7 +91,7 @@
     /// Close the idle connections to an address whose process has restarted.
     CloseStaleConnections(SocketAddr),
     /// Ask a witness to claim `key` for this process, or to write a tombstone for it. The reply
-    /// comes back as [`super::DaemonEvent::RegisterReplied`].
+    /// comes back as [`super::DaemonEvent::WitnessReplied`].
     Register {
         /// Caller's call that gets the witness's reply.
         call: CallId,
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -96,7 +96,7 @@
             DaemonEvent::Attempt { attempt, event } => {
                 self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut actions);
             }
-            DaemonEvent::RegisterReplied { call, witness, reply } => {
+            DaemonEvent::WitnessReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
                 shard.register_replied(call, &witness, reply, now, &mut actions);
             }
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -41,7 +41,7 @@
     },
     /// A witness replied to a claim or tombstone request of this daemon, or the request to it
     /// failed. The daemon counts the reply as one vote on the key.
-    RegisterReplied {
+    WitnessReplied {
         /// Caller's call on whose behalf the witness was asked.
         call: CallId,
         /// VM of the witness.
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -245,7 +245,7 @@
             Message::RegisterReply { .. } | Message::HolderReply { .. }
                 if self.nodes[asker].life != life || self.nodes[asker].paused => {}
             Message::RegisterReply { call, witness, reply } => {
-                self.feed(asker, DaemonEvent::RegisterReplied { call, witness, reply });
+                self.feed(asker, DaemonEvent::WitnessReplied { call, witness, reply });
             }
             Message::HolderReply { call, reply } => {
                 self.feed(asker, DaemonEvent::HolderReplied { call, reply });
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -175,7 +175,7 @@
             .await
         };
     let reply = reply.ok().map(Into::into);
-    engine.feed(DaemonEvent::RegisterReplied { call: asker, witness, reply });
+    engine.feed(DaemonEvent::WitnessReplied { call: asker, witness, reply });
 }
 
 /// Leaves an outcome with a witness, which may have to be told more than once.
