--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -172,5 +172,5 @@
     /// A timer fired.
     Timer(TimerKey),
     /// An operator or a termination signal asked the process to drain.
-    DrainAsked,
+    DrainRequested,
 }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -83,7 +83,7 @@
             DaemonEvent::OrderAnswered { taken: false } => {
                 out.push(Command::Count(CounterName::OrdersRefused));
             }
-            DaemonEvent::DrainAsked => self.drain(now, out),
+            DaemonEvent::DrainRequested => self.drain(now, out),
             _ => debug_assert!(false, "handle_fleet_event received an event of a request"),
         }
         self.check_ready(now);
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -194,7 +194,7 @@
     let mut daemon = Daemon::new();
     daemon.deadline = Duration::from_secs(20);
     let open = daemon.submit("/shred/7");
-    daemon.feed(DaemonEvent::DrainAsked);
+    daemon.feed(DaemonEvent::DrainRequested);
     assert!(daemon.core.is_leaving());
     let kept = daemon.submit("/ask/7");
     assert_eq!(daemon.answer(kept), None, "it is served");
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -222,6 +222,6 @@
                 continue;
             }
         }
-        engine.feed(DaemonEvent::DrainAsked);
+        engine.feed(DaemonEvent::DrainRequested);
     }
 }
