--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -139,7 +139,7 @@
     /// Issues a ticket for `key` and returns it with its validity period. The ticket lets this
     /// process verify the age of a later request with that key.
     #[must_use]
-    pub fn mint_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
+    pub fn issue_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
         let validity = self.state.fleet_snapshot().ticket_life();
         (self.state.ticket_issuer.mint(key, now), validity)
     }
--- a/crates/crocusdale_core/tests/at_most_once_test.rs
+++ b/crates/crocusdale_core/tests/at_most_once_test.rs
@@ -135,7 +135,7 @@
 #[test]
 fn ticket_is_good_for_its_time_key_and_life() {
     let (mut fleet, key, other) = (CoreFleet::new(6), key("order"), key("other"));
-    let (ticket, life) = fleet.nodes[0].core.mint_ticket(&key, fleet.now);
+    let (ticket, life) = fleet.nodes[0].core.issue_ticket(&key, fleet.now);
     let mut fresh = request(&key, "once", false);
     fresh.ticket = Some(ticket.clone());
     fleet.submit(0, fresh.clone());
@@ -151,7 +151,7 @@
 
     let late = support::key("late");
     let mut request = support::request(&late, "once", false);
-    request.ticket = Some(fleet.nodes[0].core.mint_ticket(&late, fleet.now).0);
+    request.ticket = Some(fleet.nodes[0].core.issue_ticket(&late, fleet.now).0);
     fleet.advance(u64::try_from(life.as_millis()).expect("a short time") + 1);
     fleet.submit(0, request);
     fleet.settle();
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -129,7 +129,7 @@
             return self.malformed("accepted: /v1/tickets?workspace=NAME&key=KEY");
         };
         let key = RequestKey::new(query.workspace, query.key);
-        let (ticket, valid) = self.engine.core.mint_ticket(&key, self.engine.now());
+        let (ticket, valid) = self.engine.core.issue_ticket(&key, self.engine.now());
         Json(TicketAnswer { ticket, valid_ms: valid.as_millis() }).into_response()
     }
 
