--- a/crates/crocusdale_core/examples/decision_slopes.rs
+++ b/crates/crocusdale_core/examples/decision_slopes.rs
@@ -49,7 +49,7 @@
     let text = declarations(workers, workspaces);
     core.handle(DaemonEvent::ConfigurationWatched(Some((1, text))), now, &mut commands);
     let roster = VmRoster { revision: 1, vms: Vec::new() };
-    core.handle(DaemonEvent::RosterRead(Some(roster)), now, &mut commands);
+    core.handle(DaemonEvent::VmListRead(Some(roster)), now, &mut commands);
     assert!(core.is_ready());
     let requests: Vec<CallerRequest> =
         (0..REQUESTS).map(|index| request(index, workspaces)).collect();
--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -194,7 +194,7 @@
                     self.push(to, self.latency(index, to), delivery);
                 }
                 Command::WatchConfiguration { known } => self.watch(index, known),
-                Command::ReadRoster { known } => self.read_roster(index, known),
+                Command::ReadVmList { known } => self.read_roster(index, known),
                 _ => {}
             }
         }
@@ -230,7 +230,7 @@
         self.count_read();
         let read = (known == 0).then(|| self.roster.clone());
         let event =
-            if self.outage { DaemonEvent::RosterReadFailed } else { DaemonEvent::RosterRead(read) };
+            if self.outage { DaemonEvent::VmListReadFailed } else { DaemonEvent::VmListRead(read) };
         self.push(index, NEAR, Delivery::Event(event));
     }
 
--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -166,7 +166,7 @@
         known: u64,
     },
     /// Read the VM list if it is newer than `known`.
-    ReadRoster {
+    ReadVmList {
         /// Revision of the VM list in use, 0 for none.
         known: u64,
     },
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -104,7 +104,7 @@
     zone: String,
     max_requests: usize,
     membership: Option<MembershipSettings>,
-    roster_period: Option<Duration>,
+    vm_list_interval: Option<Duration>,
     published: Option<PublishedFleet>,
     seed: u64,
 }
@@ -140,7 +140,7 @@
             zone: zone.into(),
             max_requests: DEFAULT_MAX_REQUESTS,
             membership: None,
-            roster_period: None,
+            vm_list_interval: None,
             published: None,
             seed: 0,
         }
@@ -162,8 +162,8 @@
 
     /// Sets the interval between two reads of the VM list.
     #[must_use]
-    pub fn roster_period(mut self, period: Duration) -> Self {
-        self.roster_period = Some(period);
+    pub fn vm_list_interval(mut self, period: Duration) -> Self {
+        self.vm_list_interval = Some(period);
         self
     }
 
@@ -192,7 +192,7 @@
             view = view.place(published.place.clone());
         }
         let mut fleet = FleetState::new(view.build(), &self.zone, now, self.seed.wrapping_add(1));
-        if let Some(period) = self.roster_period {
+        if let Some(period) = self.vm_list_interval {
             fleet.set_vm_list_interval(period);
         }
         let retries =
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -58,7 +58,7 @@
                 out.push(Command::SetTimer { timer, at: now });
             }
         } else {
-            out.push(Command::ReadRoster { known: 0 });
+            out.push(Command::ReadVmList { known: 0 });
         }
         for timer in [
             TimerKey::Heartbeat,
@@ -382,7 +382,9 @@
             TimerKey::Configuration => lock(&self.state.fleet).start_due_watch(now, out),
             TimerKey::Housekeeping => self.run_housekeeping(now, out),
             TimerKey::EngineCheck => lock(&self.state.fleet).query_engines(now, out),
-            TimerKey::VmListRead => out.push(Command::ReadRoster { known: self.roster_revision() }),
+            TimerKey::VmListRead => {
+                out.push(Command::ReadVmList { known: self.vm_list_revision() })
+            }
             TimerKey::DrainWindowEnd => {
                 self.state.is_drain_window_over.store(true, Ordering::Relaxed)
             }
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -153,9 +153,9 @@
         outcome: BatchOutcome,
     },
     /// The VM list was read; `None` if it is unchanged.
-    RosterRead(Option<VmRoster>),
+    VmListRead(Option<VmRoster>),
     /// A read of the VM list failed.
-    RosterReadFailed,
+    VmListReadFailed,
     /// A model engine answered which engine order it holds, or failed to answer. The daemon sends
     /// it the configured order if they differ.
     EngineOrderRead {
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -68,11 +68,11 @@
             DaemonEvent::ConfigurationWatchFailed => {
                 lock(&self.state.fleet).record_watch_failure(now, out)
             }
-            DaemonEvent::RosterRead(vm_list) => {
+            DaemonEvent::VmListRead(vm_list) => {
                 self.apply_vm_list(vm_list, now, out);
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
-            DaemonEvent::RosterReadFailed => {
+            DaemonEvent::VmListReadFailed => {
                 out.push(Command::Count(CounterName::PlatformReadsFailed));
                 lock(&self.state.fleet).schedule_vm_list_read(now, out);
             }
@@ -215,7 +215,7 @@
         self.state.set_fleet_snapshot(snapshot);
     }
 
-    pub(super) fn roster_revision(&self) -> u64 {
+    pub(super) fn vm_list_revision(&self) -> u64 {
         self.state.fleet_snapshot().history.current().revision
     }
 }
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -141,7 +141,7 @@
     /// Gives the daemon the VM list and the declarations.
     fn inform(&mut self, index: usize) {
         let roster = self.roster.clone();
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
         let text = self.declarations.clone();
         self.feed(index, DaemonEvent::ConfigurationWatched(Some((1, text))));
         // Nobody answers heartbeats here; a daemon is ready once it has asked everybody.
@@ -153,7 +153,7 @@
 
     /// Gives the VM list in use to one daemon.
     pub fn give_roster(&mut self, index: usize, roster: VmRoster) {
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
 
     /// Ends a daemon and starts another one on its VM.
@@ -187,7 +187,7 @@
     pub fn restart_without_configuration(&mut self, index: usize) {
         self.nodes[index] = self.fresh_node(index);
         let roster = self.roster.clone();
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
 
     /// Sends a request to a daemon.
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -188,7 +188,7 @@
             Command::LogStateChange(change) => self.telemetry.note(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
-            Command::ReadRoster { known } => self.platform.read_roster(self, known),
+            Command::ReadVmList { known } => self.platform.read_roster(self, known),
             Command::ReadEngineOrder { upstream, address } => {
                 self.upstreams.read_placement(self, upstream, address);
             }
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -153,7 +153,7 @@
     let (core, platform) = match &settings.platform {
         PlatformSettings::Services { configuration, vm_list, vm_list_period } => {
             let reader = ServiceReader::new(*configuration, *vm_list)?;
-            (core.roster_period(*vm_list_period), PlatformReader::Services(reader))
+            (core.vm_list_interval(*vm_list_period), PlatformReader::Services(reader))
         }
         PlatformSettings::Published(published) => {
             let reader = StoreReader::new(published.store);
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -78,12 +78,12 @@
             let path = format!("/vms?known={known}");
             let read = get(&client, address, &path, ROSTER_LIMIT);
             let event = match tokio::time::timeout(ANSWER_PATIENCE, read).await {
-                Ok(Ok(None)) => DaemonEvent::RosterRead(None),
+                Ok(Ok(None)) => DaemonEvent::VmListRead(None),
                 Ok(Ok(Some(body))) => match serde_json::from_slice::<VmRoster>(&body) {
-                    Ok(roster) => DaemonEvent::RosterRead(Some(roster)),
-                    Err(_) => DaemonEvent::RosterReadFailed,
+                    Ok(roster) => DaemonEvent::VmListRead(Some(roster)),
+                    Err(_) => DaemonEvent::VmListReadFailed,
                 },
-                Ok(Err(_)) | Err(_) => DaemonEvent::RosterReadFailed,
+                Ok(Err(_)) | Err(_) => DaemonEvent::VmListReadFailed,
             };
             engine.feed(event);
         });
