--- a/crates/crocusdale_core/src/configuration/process_settings.rs
+++ b/crates/crocusdale_core/src/configuration/process_settings.rs
@@ -5,7 +5,7 @@
 
 use super::section_reader::{CheckedSection, ErrorCollector, parse_addresses, read_sections};
 use super::{ConfigurationError, ConfigurationErrorKind, RegionMap};
-use crate::daemon::NewsBounds;
+use crate::daemon::StalenessBounds;
 use crate::retry::RetryLimits;
 use crate::routing::ColdLimits;
 
@@ -74,7 +74,7 @@
     /// How far cold upstreams may be pressed.
     pub cold_limits: ColdLimits,
     /// How late news of the platform may take effect.
-    pub bounds: NewsBounds,
+    pub bounds: StalenessBounds,
 }
 
 /// Bounds on what callers may send.
@@ -254,11 +254,11 @@
             overshoot: number("cold_overshoot"),
             slack: number("cold_slack"),
         },
-        bounds: NewsBounds {
+        bounds: StalenessBounds {
             notice: millis("notice_ms"),
             configuration: millis("configuration_ms"),
             evacuation: millis("evacuation_ms"),
-            contact: millis("contact_ms"),
+            recovery_time: millis("contact_ms"),
         },
     })
 }
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -8,7 +8,7 @@
 use super::held_work::HeldWork;
 use super::pause_detector::PauseDetector;
 use super::staleness_bounds::RefreshIntervals;
-use super::{DaemonCore, FleetState, NewsBounds};
+use super::{DaemonCore, FleetState, StalenessBounds};
 use crate::admission::{AdmissionGate, EntryBacklog, WorkspaceMeter};
 use crate::batching::{BatchDispatcher, PoolWaits};
 use crate::claims::RegisterShard;
@@ -128,7 +128,7 @@
     /// Limits on the load of cold upstreams.
     pub cold_limits: ColdLimits,
     /// Longest delays until changes on the platform must take effect.
-    pub bounds: NewsBounds,
+    pub bounds: StalenessBounds,
 }
 
 impl DaemonCoreBuilder {
--- a/crates/crocusdale_core/src/daemon/mod.rs
+++ b/crates/crocusdale_core/src/daemon/mod.rs
@@ -30,7 +30,7 @@
 pub use daemon_core::DaemonCore;
 pub use daemon_event::DaemonEvent;
 pub use fleet_state::FleetState;
-pub use staleness_bounds::NewsBounds;
+pub use staleness_bounds::StalenessBounds;
 pub use state_change::StateChange;
 pub use state_dump::StateDump;
 pub use timer_key::TimerKey;
--- a/crates/crocusdale_core/src/daemon/staleness_bounds.rs
+++ b/crates/crocusdale_core/src/daemon/staleness_bounds.rs
@@ -23,7 +23,7 @@
 
 /// Limits, set by users, on how long a change that the platform publishes may go unnoticed.
 #[derive(Clone, Copy, Debug)]
-pub struct NewsBounds {
+pub struct StalenessBounds {
     /// Time from the leaving notice of an upstream to the last request that may reach it.
     pub notice: Duration,
     /// Time from the acknowledgement of a new configuration to the first request that must be
@@ -33,22 +33,22 @@
     /// upstream in it.
     pub evacuation: Duration,
     /// Time after which a daemon that can reach the platform again must meet the other limits.
-    pub contact: Duration,
+    pub recovery_time: Duration,
 }
 
-impl Default for NewsBounds {
+impl Default for StalenessBounds {
     /// The strictest limits that users are known to need.
     fn default() -> Self {
         Self {
             notice: Duration::from_millis(2_000),
             configuration: Duration::from_millis(2_000),
             evacuation: Duration::from_millis(2_000),
-            contact: Duration::from_millis(3_000),
+            recovery_time: Duration::from_millis(3_000),
         }
     }
 }
 
-/// Refresh schedule of the list and the configuration, derived from [`NewsBounds`].
+/// Refresh schedule of the list and the configuration, derived from [`StalenessBounds`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RefreshIntervals {
     /// Age beyond which the list and the configuration must not be used for routing. A request may
@@ -64,12 +64,12 @@
     /// Interval between two queries to the daemon that reads the platform for this one.
     pub(super) query_interval: Duration,
     /// Time after the platform can be reached again by which the bounds hold again, as in
-    /// [`NewsBounds::contact`].
+    /// [`StalenessBounds::recovery_time`].
     pub(super) recovery_time: Duration,
 }
 
-impl From<NewsBounds> for RefreshIntervals {
-    fn from(bounds: NewsBounds) -> Self {
+impl From<StalenessBounds> for RefreshIntervals {
+    fn from(bounds: StalenessBounds) -> Self {
         let shortest_bound = bounds.notice.min(bounds.configuration).min(bounds.evacuation);
         let max_age_before_send = shortest_bound.saturating_sub(CONNECT_TIMEOUT + LATENCY_MARGIN);
         let max_age =
@@ -79,7 +79,7 @@
             self_read_age: max_age.mul_f64(SELF_READ_AGE_SHARE),
             read_interval: max_age.mul_f64(READ_INTERVAL_SHARE),
             query_interval: max_age.mul_f64(QUERY_INTERVAL_SHARE),
-            recovery_time: bounds.contact,
+            recovery_time: bounds.recovery_time,
         }
     }
 }
@@ -93,6 +93,6 @@
 
 impl Default for RefreshIntervals {
     fn default() -> Self {
-        Self::from(NewsBounds::default())
+        Self::from(StalenessBounds::default())
     }
 }
--- a/crates/crocusdale_core/tests/attempt_names_test.rs
+++ b/crates/crocusdale_core/tests/attempt_names_test.rs
@@ -9,13 +9,13 @@
 #[allow(dead_code, reason = "no test file uses all of it")]
 mod forward_daemon;
 
-use crocusdale_core::daemon::NewsBounds;
+use crocusdale_core::daemon::StalenessBounds;
 use forward_daemon::Daemon;
 
 #[test]
 fn attempts_of_two_processes_with_the_same_number_differ() {
     let attempts = ["entry-a1", "entry-b7"].map(|vm| {
-        let mut daemon = Daemon::named(vm, NewsBounds::default());
+        let mut daemon = Daemon::named(vm, StalenessBounds::default());
         daemon.submit("/ask/it");
         daemon.last_relay().attempt
     });
--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -14,7 +14,7 @@
 use std::sync::Barrier;
 use std::time::Duration;
 
-use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{Command, DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::MonotonicTime;
 use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
 
@@ -67,20 +67,21 @@
 #[test]
 fn longest_times_of_a_configuration_add_up_to_less_than_the_bound() {
     for bound in CONFIGURATION_BOUNDS_MS.map(Duration::from_millis) {
-        let worst = worst_time(NewsBounds { configuration: bound, ..NewsBounds::default() });
+        let worst =
+            worst_time(StalenessBounds { configuration: bound, ..StalenessBounds::default() });
         assert!(worst < bound, "let in {worst:?} after the key was taken away, {bound:?} allowed");
-        let notice = NewsBounds {
+        let notice = StalenessBounds {
             notice: bound,
             configuration: bound * 2,
             evacuation: bound * 2,
-            contact: bound * 2,
+            recovery_time: bound * 2,
         };
         assert!(worst_time(notice) < bound, "the other bound is the shorter one");
     }
 }
 
 /// Longest time from the removal of a key to the last request that was let in with it.
-fn worst_time(bounds: NewsBounds) -> Duration {
+fn worst_time(bounds: StalenessBounds) -> Duration {
     let shortest = bounds.configuration.min(bounds.notice).as_millis() as u64;
     let mut worst = Duration::ZERO;
     for offset in 0..50 {
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::LabelSet;
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
     AnswerHead, AttemptEvent, BreakReason, CallerRequest, ForwardHead, OutcomeKind, RefusalReason,
@@ -31,7 +31,7 @@
 use support::virtual_fleet::VirtualFleet;
 
 /// Sends that are allowed once a request has crashed its third upstream and the daemons have been in
-/// contact for [`NewsBounds::contact`] since.
+/// contact for [`StalenessBounds::recovery_time`] since.
 const LATE_SENDS: usize = 3;
 /// Upstreams that a request may crash before that.
 const CRASHES: usize = 3;
@@ -71,7 +71,7 @@
     }
 
     fn in_zones(size: usize, zones: usize, seed: u64) -> Self {
-        let fleet = VirtualFleet::with_reader(size, zones, NewsBounds::default(), read);
+        let fleet = VirtualFleet::with_reader(size, zones, StalenessBounds::default(), read);
         let mut engines = Self {
             fleet,
             random: SmallRng::seed_from_u64(seed),
@@ -224,7 +224,10 @@
     /// Sends later than the contact time after the third crash.
     fn late_sends(&self) -> usize {
         let Some(third) = self.crashed.get(CRASHES - 1).copied() else { return 0 };
-        self.sent.iter().filter(|at| **at > third + NewsBounds::default().contact).count()
+        self.sent
+            .iter()
+            .filter(|at| **at > third + StalenessBounds::default().recovery_time)
+            .count()
     }
 }
 
@@ -283,7 +286,7 @@
         }
         let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
-        assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
+        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?}");
     }
 }
 
@@ -299,7 +302,7 @@
         assert!(!engines.is_quarantined_at(5), "it hears of nothing");
         engines.fleet.cut_off.clear();
         let back = engines.fleet.now.since_start();
-        engines.fleet.run(back + NewsBounds::default().contact);
+        engines.fleet.run(back + StalenessBounds::default().recovery_time);
         assert!(engines.is_quarantined_at(5), "seed {seed}: it does not know");
     }
 }
@@ -332,7 +335,7 @@
             engines.fleet.restart(index);
         }
         let back = engines.fleet.now;
-        engines.run(back + NewsBounds::default().contact);
+        engines.run(back + StalenessBounds::default().recovery_time);
         // The pace of the callers of a request as heavy as this one.
         engines.try_paced(TRY_TIME, Duration::from_millis(1_200));
         let late = engines.late_sends();
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::HomeRegions;
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest, stable_hash};
 use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
 use crocusdale_core::rate_limiting::{
@@ -93,7 +93,7 @@
         upstream.load = 60.0;
         upstream.run(Duration::from_secs(2));
         upstream.name_rate(per_second);
-        let bound_from = upstream.fleet.now + NewsBounds::default().contact;
+        let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(15));
         let most = upstream.most_of_told(bound_from);
         assert!(
@@ -169,7 +169,7 @@
         }
         let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
-        assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
+        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?}");
     }
 }
 
@@ -187,7 +187,7 @@
         upstream.writes_are_late = true;
         upstream.run(Duration::from_secs(1));
         upstream.name_rate(per_second);
-        let bound_from = upstream.fleet.now + NewsBounds::default().contact;
+        let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(14));
         let told = upstream.most_of_told(bound_from);
         assert!(told <= allowed(per_second), "{size} daemons: {told} of those told");
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::NewsBounds;
+use crocusdale_core::daemon::StalenessBounds;
 use crocusdale_core::identity::{MonotonicTime, StorePosition};
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory};
 
@@ -167,7 +167,7 @@
         assert!(third.iter().all(|daemon| !knows(&fleet, *daemon)));
         fleet.cut_off.clear();
         fleet.turned_away.clear();
-        fleet.run(Duration::from_secs(8) + NewsBounds::default().contact);
+        fleet.run(Duration::from_secs(8) + StalenessBounds::default().recovery_time);
         assert!((0..size).all(|daemon| knows(&fleet, daemon)), "{size}: all");
         // What the copy lacks and nobody writes again is gone by then everywhere.
         fleet.run(Duration::from_secs(16));
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -11,7 +11,7 @@
     HomeRegions, LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RegionMap, RepeatRule,
     StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
-use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{Command, DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{
     AttemptId, CallId, InstanceId, MonotonicTime, RequestDigest, RequestKey,
 };
@@ -132,15 +132,15 @@
 
 impl Daemon {
     pub fn new() -> Self {
-        Self::with_bounds(NewsBounds::default())
+        Self::with_bounds(StalenessBounds::default())
     }
 
-    pub fn with_bounds(bounds: NewsBounds) -> Self {
+    pub fn with_bounds(bounds: StalenessBounds) -> Self {
         Self::named("entry-a1", bounds)
     }
 
     /// The daemon on `vm`, in its seventh life.
-    pub fn named(vm: &str, bounds: NewsBounds) -> Self {
+    pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
         let published = PublishedFleet {
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::LabelSet;
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
     AnswerHead, AttemptEvent, CallerRequest, ForwardHead, RelayOrder, RequestContent, RunProof,
@@ -71,7 +71,7 @@
 impl LimitedUpstream {
     /// A fleet of `size` daemons before [`LIMITED`] and `others` further upstreams.
     pub fn new(size: usize, others: usize, seed: u64) -> Self {
-        let mut fleet = VirtualFleet::with_reader(size, 3, NewsBounds::default(), read);
+        let mut fleet = VirtualFleet::with_reader(size, 3, StalenessBounds::default(), read);
         let names = std::iter::once(LIMITED.to_owned());
         let names = names.chain((0..others).map(|index| format!("m{index}")));
         fleet.published = (2, names.map(|id| (2, entry(&id))).collect());
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{DeclarationReader, Declarations, RegionMap};
-use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{Command, DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{CallId, InstanceId, MonotonicTime, StorePosition};
 use crocusdale_core::membership::{ExchangeMessage, MemberCapacity, MemberPlace, MemberStatus};
 use crocusdale_core::pipeline::{CallerRequest, FinalAnswer, RelayOrder};
@@ -54,7 +54,7 @@
     pub now: MonotonicTime,
     pub cores: Vec<DaemonCore>,
     zones: usize,
-    bounds: NewsBounds,
+    bounds: StalenessBounds,
     reader: DeclarationReader,
     queue: BTreeMap<(MonotonicTime, u64), (usize, Delivery)>,
     sequence: u64,
@@ -94,11 +94,11 @@
 
 impl VirtualFleet {
     pub fn new(size: usize) -> Self {
-        Self::in_zones(size, ZONES, NewsBounds::default())
+        Self::in_zones(size, ZONES, StalenessBounds::default())
     }
 
     /// A fleet in `zones` availability zones.
-    pub fn in_zones(size: usize, zones: usize, bounds: NewsBounds) -> Self {
+    pub fn in_zones(size: usize, zones: usize, bounds: StalenessBounds) -> Self {
         Self::with_reader(size, zones, bounds, Declarations::check)
     }
 
@@ -106,7 +106,7 @@
     pub fn with_reader(
         size: usize,
         zones: usize,
-        bounds: NewsBounds,
+        bounds: StalenessBounds,
         reader: DeclarationReader,
     ) -> Self {
         let now = MonotonicTime::from_millis(0);
@@ -346,7 +346,7 @@
     index: usize,
     life: u64,
     zones: usize,
-    bounds: NewsBounds,
+    bounds: StalenessBounds,
     reader: DeclarationReader,
     now: MonotonicTime,
 ) -> DaemonCore {
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::NewsBounds;
+use crocusdale_core::daemon::StalenessBounds;
 use crocusdale_core::routing::DirectoryEntry;
 use support::virtual_fleet::VirtualFleet;
 
@@ -50,8 +50,12 @@
 #[test]
 fn large_fleet_makes_a_third_of_the_calls() {
     let bound = Duration::from_secs(4);
-    let bounds =
-        NewsBounds { notice: bound, configuration: bound, evacuation: bound, contact: bound };
+    let bounds = StalenessBounds {
+        notice: bound,
+        configuration: bound,
+        evacuation: bound,
+        recovery_time: bound,
+    };
     let mut fleet = VirtualFleet::in_zones(195, 5, bounds);
     fleet.published = (1, vec![(1, entry(false))]);
     fleet.run(Duration::from_secs(10));
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::MonotonicTime;
 use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
 use crocusdale_core::rate_limiting::RateNotice;
@@ -204,7 +204,7 @@
 #[test]
 fn peers_hear_of_an_upstream_that_says_it_leaves() {
     for size in [6, 60] {
-        let mut fleet = VirtualFleet::with_reader(size, 3, NewsBounds::default(), read);
+        let mut fleet = VirtualFleet::with_reader(size, 3, StalenessBounds::default(), read);
         let entry = DirectoryEntry {
             id: "e1".to_owned(),
             started_at_ms: Some(7),
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::NewsBounds;
+use crocusdale_core::daemon::StalenessBounds;
 use crocusdale_core::identity::{MonotonicTime, StorePosition};
 use crocusdale_core::pipeline::{AttemptEvent, RunProof};
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory, ZoneEvacuation};
@@ -90,11 +90,11 @@
 /// milliseconds into the pause of a reader that falls silent with its answer.
 fn last_request(bound: Duration, offset: u64) -> Duration {
     let slow = Duration::from_secs(60);
-    let bounds = NewsBounds {
+    let bounds = StalenessBounds {
         notice: slow,
         configuration: slow,
         evacuation: bound,
-        contact: Duration::from_secs(3),
+        recovery_time: Duration::from_secs(3),
     };
     let mut daemon = Daemon::with_bounds(bounds);
     daemon.publish(&["n1", "n2"], &[]);
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -6,7 +6,7 @@
 
 use crocusdale_core::batching::BatchOrder;
 use crocusdale_core::configuration::{ConfigurationError, Declarations, RegionMap};
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{
     AttemptId, CallId, InstanceId, MonotonicTime, RequestDigest, RequestKey,
 };
@@ -256,7 +256,7 @@
             retries: RetryLimits::default(),
             grace: Duration::from_secs(8),
             cold_limits: ColdLimits::default(),
-            bounds: NewsBounds::default(),
+            bounds: StalenessBounds::default(),
         };
         let own = InstanceId::new(vm_name(daemon), life);
         DaemonCoreBuilder::new(own, zone).published(published).seed(daemon as u64).build(self.now)
