--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -68,7 +68,7 @@
         results: Vec<ResultHandle>,
         /// Addresses of rate-limited upstreams, which get no call to free results. Their results
         /// expire.
-        spared: Vec<SocketAddr>,
+        excluded: Vec<SocketAddr>,
     },
     /// Ask a batched upstream how much of its memory for results is free.
     QueryFreeMemory {
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -215,7 +215,7 @@
                     self.free_results(&pool, results, out)
                 }
                 DispatchAction::FreeResults { results, excluded } => {
-                    out.push(Command::FreeResults { results, spared: excluded });
+                    out.push(Command::FreeResults { results, excluded });
                 }
                 DispatchAction::ProbeUpstream { digest, upstream, address } => {
                     self.probe_suspected_upstream(digest, upstream, address, out);
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -250,9 +250,9 @@
             match command {
                 Command::Relay(order) => self.relays.push(order),
                 Command::CallBatch(order) => self.batches.push(order),
-                Command::FreeResults { results, spared } => {
+                Command::FreeResults { results, excluded } => {
                     self.freed.extend(results);
-                    self.spared.extend(spared);
+                    self.spared.extend(excluded);
                 }
                 Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -167,8 +167,8 @@
             Command::ReleaseAnswer { call: _, attempt } => self.relays.pass_on(attempt),
             Command::CallBatch(order) => self.batches.call(self, order),
             Command::CancelBatch(batch) => self.batches.cancel(batch),
-            Command::FreeResults { results, spared } => {
-                self.batches.free(self, &results, &spared);
+            Command::FreeResults { results, excluded } => {
+                self.batches.free(self, &results, &excluded);
             }
             Command::QueryFreeMemory { upstream, address } => {
                 self.batches.ask_room(self, upstream, address);
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -39,7 +39,7 @@
             Command::CancelBatch(batch) => {
                 self.batches.values_mut().for_each(|upstream| upstream.cancel(life, batch));
             }
-            Command::FreeResults { results, spared: _ } => self.free(&results),
+            Command::FreeResults { results, excluded: _ } => self.free(&results),
             Command::QueryFreeMemory { upstream, .. } => {
                 let free = self.batches.get(&upstream).map(BatchModel::free_bytes);
                 self.push_core(HOP * 2, life, DaemonEvent::FreeMemoryReported { upstream, free });
