--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -167,7 +167,7 @@
     /// A model engine accepted or refused an engine order.
     OrderAnswered {
         /// Whether the engine accepted the order.
-        taken: bool,
+        is_accepted: bool,
     },
     /// A timer fired.
     Timer(TimerKey),
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -79,8 +79,8 @@
             DaemonEvent::EngineOrderRead { upstream, held } => {
                 lock(&self.state.fleet).reconcile_engine(upstream, held, out);
             }
-            DaemonEvent::OrderAnswered { taken: true } => {}
-            DaemonEvent::OrderAnswered { taken: false } => {
+            DaemonEvent::OrderAnswered { is_accepted: true } => {}
+            DaemonEvent::OrderAnswered { is_accepted: false } => {
                 out.push(Command::Count(CounterName::OrdersRefused));
             }
             DaemonEvent::DrainRequested => self.drain(now, out),
--- a/crates/crocusdaled/src/upstream/engine_orders.rs
+++ b/crates/crocusdaled/src/upstream/engine_orders.rs
@@ -41,7 +41,7 @@
         tokio::spawn(async move {
             let body = serde_json::to_vec(&order).expect("an order has no maps with odd keys");
             let taken = call(address, Method::PUT, Body::from(body)).await.is_some();
-            engine.feed(DaemonEvent::OrderAnswered { taken });
+            engine.feed(DaemonEvent::OrderAnswered { is_accepted: taken });
         });
     }
 }
