--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -105,14 +105,14 @@
     max_requests: usize,
     membership: Option<MembershipSettings>,
     vm_list_interval: Option<Duration>,
-    published: Option<PublishedFleet>,
+    discovery: Option<DiscoverySettings>,
     seed: u64,
 }
 
 /// Settings of a daemon that discovers its peers by seed addresses and its upstreams in the
 /// platform's store, instead of a VM list and declared upstreams.
 #[derive(Clone, Debug)]
-pub struct PublishedFleet {
+pub struct DiscoverySettings {
     /// Availability zone, addresses and capacity of this daemon.
     pub place: MemberPlace,
     /// Maps each availability zone to its region.
@@ -141,7 +141,7 @@
             max_requests: DEFAULT_MAX_REQUESTS,
             membership: None,
             vm_list_interval: None,
-            published: None,
+            discovery: None,
             seed: 0,
         }
     }
@@ -167,10 +167,11 @@
         self
     }
 
-    /// Discovers peers and upstreams by `published` instead of a VM list and declared upstreams.
+    /// Discovers peers and upstreams as `discovery` says, instead of a VM list and declared
+    /// upstreams.
     #[must_use]
-    pub fn published(mut self, published: PublishedFleet) -> Self {
-        self.published = Some(published);
+    pub fn discovery(mut self, discovery: DiscoverySettings) -> Self {
+        self.discovery = Some(discovery);
         self
     }
 
@@ -188,32 +189,32 @@
         if let Some(membership) = self.membership {
             view = view.period(membership.period).suspicion(membership.suspicion);
         }
-        if let Some(published) = &self.published {
-            view = view.place(published.place.clone());
+        if let Some(discovery) = &self.discovery {
+            view = view.place(discovery.place.clone());
         }
         let mut fleet = FleetState::new(view.build(), &self.zone, now, self.seed.wrapping_add(1));
         if let Some(period) = self.vm_list_interval {
             fleet.set_vm_list_interval(period);
         }
         let retries =
-            self.published.as_ref().map(|published| published.retries).unwrap_or_default();
+            self.discovery.as_ref().map(|discovery| discovery.retries).unwrap_or_default();
         let cold_limits =
-            self.published.as_ref().map(|published| published.cold_limits).unwrap_or_default();
+            self.discovery.as_ref().map(|discovery| discovery.cold_limits).unwrap_or_default();
         let region_map =
-            self.published.as_ref().map(|published| published.regions.clone()).unwrap_or_default();
+            self.discovery.as_ref().map(|discovery| discovery.regions.clone()).unwrap_or_default();
         let mut dispatcher = BatchDispatcher::default();
         dispatcher.set_retries(retries);
         let limiter = Arc::new(RateLimiter::default());
         dispatcher.set_limiter(Arc::clone(&limiter));
-        let grace_period = self.published.as_ref().map(|published| published.grace);
-        let crash_detector = CrashDetector::new(&self.own_instance.vm, self.published.is_some());
+        let grace_period = self.discovery.as_ref().map(|discovery| discovery.grace);
+        let crash_detector = CrashDetector::new(&self.own_instance.vm, self.discovery.is_some());
         let mut directory = DirectoryState::default();
-        if let Some(published) = self.published {
-            let intervals = RefreshIntervals::from(published.bounds);
+        if let Some(discovery) = self.discovery {
+            let intervals = RefreshIntervals::from(discovery.bounds);
             directory = DirectoryState::new(intervals, now);
             fleet.set_refresh_intervals(intervals);
-            fleet.set_reader(published.reader);
-            fleet.set_seeds(published.seeds, now);
+            fleet.set_reader(discovery.reader);
+            fleet.set_seeds(discovery.seeds, now);
         }
         let snapshot = FleetSnapshot {
             declarations: None,
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -52,8 +52,8 @@
 
     /// Emits the commands that start the daemon: the first platform read and the periodic timers.
     pub fn start(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let published = lock(&self.state.fleet).view.own().place.is_some();
-        if published {
+        let uses_discovery = lock(&self.state.fleet).view.own().place.is_some();
+        if uses_discovery {
             for timer in [TimerKey::Directory, TimerKey::SeedPing, TimerKey::ResultRelease] {
                 out.push(Command::SetTimer { timer, at: now });
             }
--- a/crates/crocusdale_core/src/daemon/mod.rs
+++ b/crates/crocusdale_core/src/daemon/mod.rs
@@ -25,7 +25,7 @@
 mod upstream_notices;
 
 pub use command::Command;
-pub use core_state::{DaemonCoreBuilder, PublishedFleet};
+pub use core_state::{DaemonCoreBuilder, DiscoverySettings};
 pub use counter_name::CounterName;
 pub use daemon_core::DaemonCore;
 pub use daemon_event::DaemonEvent;
--- a/crates/crocusdale_core/src/lib.rs
+++ b/crates/crocusdale_core/src/lib.rs
@@ -50,4 +50,4 @@
 pub mod tickets;
 pub mod wire;
 
-pub use daemon::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+pub use daemon::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -22,7 +22,7 @@
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
 pub const HOST: &str = "mail.example";
 /// Text of a configuration in which the key of [`Daemon::submit`] is gone.
@@ -143,7 +143,7 @@
     pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
-        let published = PublishedFleet {
+        let published = DiscoverySettings {
             place: MemberPlace {
                 zone: "a".to_owned(),
                 caller: address,
@@ -159,7 +159,7 @@
             bounds,
         };
         let own = InstanceId::new(vm, 7);
-        let core = DaemonCoreBuilder::new(own, "a").published(published).seed(1).build(now);
+        let core = DaemonCoreBuilder::new(own, "a").discovery(published).seed(1).build(now);
         let mut daemon = Self {
             core,
             now,
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -11,7 +11,7 @@
 use crocusdale_core::pipeline::{CallerRequest, FinalAnswer, RelayOrder};
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
 use rand::Rng as _;
 use rand::rngs::SmallRng;
@@ -357,7 +357,7 @@
         peer: peer_address(index),
         capacity: MemberCapacity::new(1.0, 1_000.0),
     };
-    let published = PublishedFleet {
+    let published = DiscoverySettings {
         place,
         regions: RegionMap::default(),
         seeds: (0..SEEDS).map(peer_address).collect(),
@@ -368,7 +368,7 @@
         bounds,
     };
     let own = InstanceId::new(vm_name(index), life);
-    DaemonCoreBuilder::new(own, zone).published(published).seed(index as u64).build(now)
+    DaemonCoreBuilder::new(own, zone).discovery(published).seed(index as u64).build(now)
 }
 
 fn peer_address(index: usize) -> SocketAddr {
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::InstanceId;
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
-use crocusdale_core::{DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCoreBuilder, DiscoverySettings};
 use crocusdale_platform::configuration::read_declarations;
 use crocusdaled::engine::{DaemonEngine, MonotonicClock};
 use crocusdaled::forwarding::{ForwardService, ReadyService};
@@ -157,21 +157,21 @@
         }
         PlatformSettings::Published(published) => {
             let reader = StoreReader::new(published.store);
-            (core.published(published_fleet(settings, published)), PlatformReader::Store(reader))
+            (core.discovery(published_fleet(settings, published)), PlatformReader::Store(reader))
         }
     };
     let core = core.build(clock.now());
     Ok(DaemonEngine::start(core, clock, Telemetry::new(log), platform))
 }
 
-fn published_fleet(settings: &ProcessSettings, published: &PublishedSettings) -> PublishedFleet {
+fn published_fleet(settings: &ProcessSettings, published: &PublishedSettings) -> DiscoverySettings {
     let place = MemberPlace {
         zone: settings.zone.clone(),
         caller: settings.caller,
         peer: settings.peer,
         capacity: MemberCapacity::new(settings.cpu_share, settings.link_mbps),
     };
-    PublishedFleet {
+    DiscoverySettings {
         place,
         regions: settings.regions.clone(),
         seeds: published.seeds.clone(),
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -16,7 +16,7 @@
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 use rand::{Rng as _, SeedableRng as _};
 
 use super::batch_model::BatchModel;
@@ -248,7 +248,7 @@
             CallForming::EachDaemon => 0,
             CallForming::OneDispatcher => SEEDS.min(self.load.daemons),
         };
-        let published = PublishedFleet {
+        let published = DiscoverySettings {
             place,
             regions: RegionMap::default(),
             seeds: (0..seeds).map(peer_address).collect(),
@@ -259,7 +259,7 @@
             bounds: StalenessBounds::default(),
         };
         let own = InstanceId::new(vm_name(daemon), life);
-        DaemonCoreBuilder::new(own, zone).published(published).seed(daemon as u64).build(self.now)
+        DaemonCoreBuilder::new(own, zone).discovery(published).seed(daemon as u64).build(self.now)
     }
 
     fn feed(&mut self, life: u64, event: DaemonEvent) {
