--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -54,7 +54,7 @@
     pub fn start(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let uses_discovery = lock(&self.state.fleet).view.own().place.is_some();
         if uses_discovery {
-            for timer in [TimerKey::Directory, TimerKey::SeedPing, TimerKey::ResultRelease] {
+            for timer in [TimerKey::DirectoryPoll, TimerKey::SeedPing, TimerKey::ResultRelease] {
                 out.push(Command::SetTimer { timer, at: now });
             }
         } else {
@@ -352,11 +352,13 @@
     fn handle_timer(&self, timer: TimerKey, now: MonotonicTime, out: &mut Vec<Command>) {
         match timer {
             TimerKey::Deadline(call)
-            | TimerKey::Claim(call)
-            | TimerKey::Inquiry(call)
-            | TimerKey::Holder(call) => self.handle_request_timer(call, timer, now, out),
-            TimerKey::Silence(attempt) => self.handle_request_timer(attempt.call, timer, now, out),
-            TimerKey::Directory => {
+            | TimerKey::ClaimTimeout(call)
+            | TimerKey::InquiryTimeout(call)
+            | TimerKey::HolderQuery(call) => self.handle_request_timer(call, timer, now, out),
+            TimerKey::IdleTimeout(attempt) => {
+                self.handle_request_timer(attempt.call, timer, now, out)
+            }
+            TimerKey::DirectoryPoll => {
                 self.poll_directory(now, out);
             }
             TimerKey::ResultRelease => {
@@ -370,7 +372,7 @@
             }
             // Every event checks the age of the list of published upstreams. This timer only makes
             // sure that an event arrives in time.
-            TimerKey::DirectoryAnswer => {}
+            TimerKey::DirectoryReadDue => {}
             TimerKey::UpstreamRecords => self.state.send_new_upstream_records(now, out),
             TimerKey::SeedPing => lock(&self.state.fleet).ping_seed(now, out),
             TimerKey::EndRequests => self.end_requests(now, out),
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -424,7 +424,7 @@
     fn start_read(&mut self, reader: Option<String>, now: MonotonicTime, out: &mut Vec<Command>) {
         let response_due = now + self.expected_response_time();
         self.pending_read = Some(PendingRead { started_at: now, response_due, was_paused: false });
-        out.push(Command::SetTimer { timer: TimerKey::DirectoryAnswer, at: response_due });
+        out.push(Command::SetTimer { timer: TimerKey::DirectoryReadDue, at: response_due });
         out.push(Command::Count(CounterName::DirectoryReads));
         if let Some(reader) = reader {
             out.push(Command::Count(CounterName::DirectoryReadsForAge));
@@ -451,7 +451,7 @@
 
     fn schedule_poll(&mut self, at: MonotonicTime, out: &mut Vec<Command>) {
         self.next_poll = Some(at);
-        out.push(Command::SetTimer { timer: TimerKey::Directory, at });
+        out.push(Command::SetTimer { timer: TimerKey::DirectoryPoll, at });
     }
 
     fn is_stale(&self, now: MonotonicTime) -> bool {
--- a/crates/crocusdale_core/src/daemon/timer_key.rs
+++ b/crates/crocusdale_core/src/daemon/timer_key.rs
@@ -6,13 +6,13 @@
     /// Deadline of a request.
     Deadline(CallId),
     /// Timeout of the claim of a request's key at its witnesses.
-    Claim(CallId),
+    ClaimTimeout(CallId),
     /// Check whether an attempt has gone without a response for too long.
-    Silence(AttemptId),
+    IdleTimeout(AttemptId),
     /// Timeout of an inquiry for the outcome of a key whose request this daemon does not run.
-    Inquiry(CallId),
+    InquiryTimeout(CallId),
     /// Next query to the daemon that holds a key for the outcome of its request.
-    Holder(CallId),
+    HolderQuery(CallId),
     /// Next heartbeat period.
     Heartbeat,
     /// Next housekeeping run, which serves queued work, expires records and checks whether a drain
@@ -25,9 +25,9 @@
     /// Next watch of the configuration, or next check whether to watch it.
     Configuration,
     /// Next poll of the list of published upstreams.
-    Directory,
+    DirectoryPoll,
     /// Time by which a healthy platform has responded to a pending read of the list of upstreams.
-    DirectoryAnswer,
+    DirectoryReadDue,
     /// Next release of results that are no longer needed.
     ResultRelease,
     /// Time to send new crash records and rate limits of upstreams to other daemons.
--- a/crates/crocusdale_core/src/pipeline/attempt_failures.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_failures.rs
@@ -23,7 +23,7 @@
         let silence_timeout = self.plan.stage(&self.step_runs[index].stage).silence;
         let last_progress = self.step_runs[index].in_flight.as_ref()?.last_progress;
         if now.since(last_progress) < silence_timeout {
-            actions.push(set_timer(TimerKey::Silence(id), last_progress + silence_timeout));
+            actions.push(set_timer(TimerKey::IdleTimeout(id), last_progress + silence_timeout));
             return None;
         }
         actions.push(ShardAction::Command(Command::Cancel(id)));
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -33,7 +33,7 @@
     ) {
         let key = plan.request.key.clone();
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_TIMEOUT));
+        actions.push(set_timer(TimerKey::ClaimTimeout(call), now + CLAIM_TIMEOUT));
         actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
         let poll = Some(WitnessPoll::new(self.own_instance.clone(), witnesses));
         let run = RequestRun::new(call, self.own_instance.mark(), plan);
@@ -57,7 +57,7 @@
         let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
         let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
         let answer_by = now + LOOKUP_TIMEOUT;
-        actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+        actions.push(set_timer(TimerKey::InquiryTimeout(call), answer_by));
         let lookup =
             OutcomeLookup { key, poll, answer_by, key_life, provable_until, refusal, holder: None };
         self.lookups.insert(call, lookup);
@@ -100,7 +100,7 @@
         match lookup.handle_holder_reply(reply) {
             LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
             LookupStep::Wait | LookupStep::AskHolder(_) => {
-                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_POLL_INTERVAL));
+                actions.push(set_timer(TimerKey::HolderQuery(call), now + HOLDER_POLL_INTERVAL));
             }
         }
     }
@@ -151,7 +151,7 @@
             Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
         let answer_by = now + LOOKUP_TIMEOUT;
         for call in active_run.waiting_calls.into_iter().chain([call]) {
-            actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+            actions.push(set_timer(TimerKey::InquiryTimeout(call), answer_by));
             actions.extend(register_calls(call, &key, &witnesses, unknown_witnesses.clone(), true));
             let (poll, refusal) = (poll.clone(), Some(refusal.clone()));
             let lookup = OutcomeLookup {
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -117,7 +117,7 @@
                 let order = self.json_order(id, &grant);
                 let silence_timeout = self.plan.stage(&grant.request.stage).silence;
                 actions.push(ShardAction::Command(Command::Send(order)));
-                actions.push(set_timer(TimerKey::Silence(id), now + silence_timeout));
+                actions.push(set_timer(TimerKey::IdleTimeout(id), now + silence_timeout));
                 AttemptKind::Json(super::StreamAssembler::new(id))
             }
         };
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -179,7 +179,7 @@
                     self.end_run(call, RefusalReason::Deadline, now, actions);
                 }
             }
-            TimerKey::Claim(call) => {
+            TimerKey::ClaimTimeout(call) => {
                 if let Some(poll) =
                     self.runs.get_mut(&call).and_then(|active_run| active_run.poll.as_mut())
                 {
@@ -187,19 +187,19 @@
                     self.advance_claim(call, now, actions);
                 }
             }
-            TimerKey::Silence(id) => {
+            TimerKey::IdleTimeout(id) => {
                 if let Some(active_run) = self.runs.get_mut(&id.call) {
                     let final_answer = active_run.run.check_silence(id, now, actions);
                     self.finish_if_ended(id.call, final_answer, now, actions);
                 }
             }
-            TimerKey::Inquiry(call) => {
+            TimerKey::InquiryTimeout(call) => {
                 if let Some(lookup) = self.lookups.get_mut(&call) {
                     let answer = lookup.time_out(now);
                     self.finish_lookup(call, answer, now, actions);
                 }
             }
-            TimerKey::Holder(call) => {
+            TimerKey::HolderQuery(call) => {
                 if let Some(lookup) = self.lookups.get(&call)
                     && let Some(holder) = lookup.holder.clone()
                 {
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -197,7 +197,7 @@
             self.readings.clear();
             let answer = self.answer_with(plain, leaving);
             self.feed(answer);
-            self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+            self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
             if self.readings.is_empty() {
                 break;
             }
@@ -206,7 +206,7 @@
 
     /// Lets the daemon begin a reading, and returns the answer, in which no upstream leaves.
     pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
-        self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+        self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
         assert_eq!(self.readings.len(), 1, "what is published is being read");
         self.answer_with(plain, &[])
     }
