--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -92,7 +92,7 @@
     CloseStaleConnections(SocketAddr),
     /// Ask a witness to claim `key` for this process, or to write a tombstone for it. The reply
     /// comes back as [`super::DaemonEvent::WitnessReplied`].
-    Register {
+    AskWitness {
         /// Caller's call that gets the witness's reply.
         call: CallId,
         /// VM of the witness.
@@ -102,7 +102,7 @@
         /// All witnesses of `key`, as this daemon computes them.
         witnesses: WitnessSet,
         /// Whether the witness writes a tombstone instead of a claim.
-        bury: bool,
+        is_tombstone: bool,
     },
     /// Store the outcome of a request at a witness of its key.
     RecordOutcome {
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -375,7 +375,7 @@
     ) {
         let RegisterCall { call, witness, key, witnesses, bury } = register;
         if witness != self.own_instance.vm {
-            out.push(Command::Register { call, witness, key, witnesses, bury });
+            out.push(Command::AskWitness { call, witness, key, witnesses, is_tombstone: bury });
             return;
         }
         let claimant = (!bury).then_some(&self.own_instance);
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -301,7 +301,7 @@
         let life = self.nodes[index].life;
         let mut send = |message| self.network.push(Envelope { asker: index, life, message });
         match command {
-            Command::Register { call, witness, key, witnesses, bury } => {
+            Command::AskWitness { call, witness, key, witnesses, is_tombstone: bury } => {
                 send(Message::Register { call, witness, key, witnesses, bury });
             }
             Command::AskHolder { call, key, holder } => {
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -195,7 +195,7 @@
             Command::SendEngineOrder { upstream: _, address, order } => {
                 self.upstreams.give_order(self, address, order);
             }
-            command @ (Command::Register { .. }
+            command @ (Command::AskWitness { .. }
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
             | Command::Exchange { .. }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -69,7 +69,7 @@
                 Command::FetchConfiguration { vm, known } => fetch(&engine, &vm, known).await,
                 Command::RecordOutcome { .. } => record(&engine, command).await,
                 Command::AskHolder { .. } => ask_holder(&engine, command).await,
-                Command::Register { .. } => register(&engine, command).await,
+                Command::AskWitness { .. } => register(&engine, command).await,
                 _ => debug_assert!(false, "not a command about a peer"),
             }
         });
@@ -157,7 +157,10 @@
 }
 
 async fn register(engine: &Arc<DaemonEngine>, command: Command) {
-    let Command::Register { call: asker, witness, key, witnesses, bury } = command else { return };
+    let Command::AskWitness { call: asker, witness, key, witnesses, is_tombstone: bury } = command
+    else {
+        return;
+    };
     let (key, vms) = (Some(key.into()), witnesses.vms().to_vec());
     let reply =
         if bury {
