--- a/crates/crocusdale_core/src/configuration/process_settings.rs
+++ b/crates/crocusdale_core/src/configuration/process_settings.rs
@@ -5,7 +5,7 @@
 
 use super::section_reader::{CheckedSection, ErrorCollector, parse_addresses, read_sections};
 use super::{ConfigurationError, ConfigurationErrorKind, RegionMap};
-use crate::daemon::NewsBounds;
+use crate::daemon::StalenessBounds;
 use crate::retry::RetryLimits;
 use crate::routing::ColdLimits;
 
@@ -74,7 +74,7 @@
     /// Tolerance for the load on upstreams in their cold start.
     pub cold_limits: ColdLimits,
     /// Maximum delay until a change that the platform publishes takes effect.
-    pub bounds: NewsBounds,
+    pub bounds: StalenessBounds,
 }
 
 /// Limits for callers.
@@ -258,11 +258,11 @@
             overshoot: number("cold_overshoot"),
             slack: number("cold_slack"),
         },
-        bounds: NewsBounds {
+        bounds: StalenessBounds {
             notice: millis("notice_ms"),
             configuration: millis("configuration_ms"),
             evacuation: millis("evacuation_ms"),
-            contact: millis("contact_ms"),
+            recovery_time: millis("contact_ms"),
         },
     })
 }
--- a/crates/crocusdale_core/src/daemon/timer_key.rs
+++ b/crates/crocusdale_core/src/daemon/timer_key.rs
@@ -6,39 +6,39 @@
     /// Deadline of a request.
     Deadline(CallId),
     /// Timeout of the claim of a request's key at its witnesses.
-    Claim(CallId),
+    ClaimTimeout(CallId),
     /// Check whether an attempt has gone without a response for too long.
-    Silence(AttemptId),
+    IdleTimeout(AttemptId),
     /// Timeout of an inquiry for the outcome of a key whose request this daemon does not run.
-    Inquiry(CallId),
+    InquiryTimeout(CallId),
     /// Next query to the daemon that holds a key for the outcome of its request.
-    Holder(CallId),
+    HolderQuery(CallId),
     /// Next heartbeat period.
     Heartbeat,
     /// Next housekeeping run, which serves queued work, expires records and checks whether a drain
     /// is complete.
     Housekeeping,
     /// Next check of the engines that this daemon manages.
-    Orders,
+    EngineCheck,
     /// Next read of the VM list.
-    Roster,
+    VmListRead,
     /// Next watch of the configuration, or next check whether to watch it.
     Configuration,
     /// Next poll of the list of published upstreams.
-    Directory,
+    DirectoryPoll,
     /// Time by which a healthy platform has responded to a pending read of the list of upstreams.
-    DirectoryAnswer,
+    DirectoryReadDue,
     /// Next release of results that are no longer needed.
-    Results,
+    ResultRelease,
     /// Time to send new crash records and rate limits of upstreams to other daemons.
-    UpstreamNews,
+    UpstreamRecords,
     /// Next heartbeat to a seed address.
-    Seeds,
+    SeedPing,
     /// Time at which a draining process refuses its open requests, while callers can still receive
     /// the responses.
     EndRequests,
     /// Time at which a draining process exits, shortly before it would be killed.
     Exit,
     /// Time at which callers no longer use cached address answers that name this daemon.
-    Drain,
+    DrainWindowEnd,
 }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -11,7 +11,7 @@
     HomeRegions, LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RegionMap, RepeatRule,
     StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
-use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{Command, DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{
     AttemptId, CallId, InstanceId, MonotonicTime, RequestDigest, RequestKey,
 };
@@ -23,7 +23,7 @@
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
 pub const HOST: &str = "mail.example";
 /// Text of a configuration in which the key of [`Daemon::submit`] is gone.
@@ -133,18 +133,18 @@
 
 impl Daemon {
     pub fn new() -> Self {
-        Self::with_bounds(NewsBounds::default())
+        Self::with_bounds(StalenessBounds::default())
     }
 
-    pub fn with_bounds(bounds: NewsBounds) -> Self {
+    pub fn with_bounds(bounds: StalenessBounds) -> Self {
         Self::named("entry-a1", bounds)
     }
 
     /// The daemon on `vm`, in its seventh life.
-    pub fn named(vm: &str, bounds: NewsBounds) -> Self {
+    pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
-        let published = PublishedFleet {
+        let published = DiscoverySettings {
             place: MemberPlace {
                 zone: "a".to_owned(),
                 caller: address,
@@ -160,7 +160,7 @@
             bounds,
         };
         let own = InstanceId::new(vm, 7);
-        let core = DaemonCoreBuilder::new(own, "a").published(published).seed(1).build(now);
+        let core = DaemonCoreBuilder::new(own, "a").discovery(published).seed(1).build(now);
         let mut daemon = Self {
             core,
             now,
@@ -198,7 +198,7 @@
             self.readings.clear();
             let answer = self.answer_with(plain, leaving);
             self.feed(answer);
-            self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+            self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
             if self.readings.is_empty() {
                 break;
             }
@@ -207,7 +207,7 @@
 
     /// Lets the daemon begin a reading, and returns the answer, in which no upstream leaves.
     pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
-        self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+        self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
         assert_eq!(self.readings.len(), 1, "what is published is being read");
         self.answer_with(plain, &[])
     }
@@ -251,9 +251,9 @@
             match command {
                 Command::Relay(order) => self.relays.push(order),
                 Command::CallBatch(order) => self.batches.push(order),
-                Command::FreeResults { results, spared } => {
+                Command::FreeResults { results, excluded } => {
                     self.freed.extend(results);
-                    self.spared.extend(spared);
+                    self.spared.extend(excluded);
                 }
                 Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
