--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -46,7 +46,8 @@
             results,
             zone: self.zone.clone().unwrap_or_default(),
             level: u32::from(self.level),
-            due_ms: signed_millis(self.target_end.since(now)) - signed_millis(now.since(self.target_end)),
+            due_ms: signed_millis(self.target_end.since(now))
+                - signed_millis(now.since(self.target_end)),
             left_ms: signed_millis(self.expires.since(now)).unsigned_abs(),
             repeated: self.repeated,
             result_bytes: self.result_bytes,
