--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -186,7 +186,7 @@
 
     /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
     /// while they ran the request of the step.
-    pub fn offer(
+    pub fn submit(
         &mut self,
         order: PieceOrder,
         crash_count: usize,
@@ -201,7 +201,7 @@
             actions.push(DispatchAction::fail(order.attempt, &name, PieceFault::NoUpstream));
             return;
         };
-        pool.offer(order, crash_count, now, actions);
+        pool.submit(order, crash_count, now, actions);
         self.advance_section(&name, now, actions);
     }
 
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -129,7 +129,7 @@
 
     /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
     /// while they ran the request of the step.
-    pub fn offer(
+    pub fn submit(
         &mut self,
         order: PieceOrder,
         crash_count: usize,
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -69,7 +69,7 @@
         } else {
             let crash_count =
                 order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
-            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_steps);
+            lock(&self.dispatcher).submit(order, crash_count, now, &mut dispatch_steps);
         }
         self.run_dispatch(dispatch_steps, now, steps, out);
     }
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -134,7 +134,7 @@
 
     pub fn offer(&mut self, order: PieceOrder) -> AttemptId {
         let (attempt, mut steps) = (order.attempt, Vec::new());
-        self.dispatcher.offer(order, 0, self.now, &mut steps);
+        self.dispatcher.submit(order, 0, self.now, &mut steps);
         self.take(steps);
         attempt
     }
