--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -76,7 +76,7 @@
 
 impl PoolWaits {
     /// Stores `wait` as the wait that the dispatcher of `pool` reported at `now`.
-    pub fn note(&mut self, pool: &str, wait: PoolWait, now: MonotonicTime) {
+    pub fn record(&mut self, pool: &str, wait: PoolWait, now: MonotonicTime) {
         match self.waits.get_mut(pool) {
             Some(known) => *known = (wait, now),
             None => {
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -108,7 +108,7 @@
                 lock(&self.state.dispatcher).cancel_attempt(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
-                lock(&self.state.pool_waits).note(&pool, wait, now);
+                lock(&self.state.pool_waits).record(&pool, wait, now);
             }
             DaemonEvent::ResultsReleased { pool, results } => {
                 lock(&self.state.dispatcher).release(&pool, results);
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -242,7 +242,7 @@
             return;
         }
         let retry_after = wait.retry_after();
-        lock(&self.pool_waits).note(pool, wait, now);
+        lock(&self.pool_waits).record(pool, wait, now);
         let event = match outcome {
             Ok(results) => AttemptEvent::PiecesMade(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
