--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -63,7 +63,7 @@
         out: &mut Vec<Command>,
     ) {
         if !records.is_empty() {
-            let verdict = lock(&self.crash_detector).take(records, now);
+            let verdict = lock(&self.crash_detector).merge(records, now);
             self.update_crash_summary();
             self.apply_verdict(verdict, Some(vm), now, out);
         }
@@ -80,7 +80,7 @@
 
     /// Drops crash records that have expired.
     pub(super) fn expire_crash_records(&self, now: MonotonicTime) {
-        if lock(&self.crash_detector).forget(now) {
+        if lock(&self.crash_detector).remove_expired(now) {
             self.update_crash_summary();
         }
     }
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -114,12 +114,12 @@
     }
 
     /// Merges the crash records of another daemon.
-    pub fn take(&mut self, records: &[CrashRecord], now: MonotonicTime) -> CrashVerdict {
+    pub fn merge(&mut self, records: &[CrashRecord], now: MonotonicTime) -> CrashVerdict {
         let mut verdict = CrashVerdict::default();
         for record in records {
             let digest = record.digest;
             let old_time_left = self.log.quarantine(digest, now);
-            if !self.log.take(record, now) {
+            if !self.log.merge(record, now) {
                 continue;
             }
             if record.cleared.is_none() && self.successes.contains(digest, now) {
@@ -176,8 +176,8 @@
     }
 
     /// Removes expired records. Returns whether any was removed.
-    pub fn forget(&mut self, now: MonotonicTime) -> bool {
-        let has_removed = self.log.forget(now);
+    pub fn remove_expired(&mut self, now: MonotonicTime) -> bool {
+        let has_removed = self.log.remove_expired(now);
         let log = &self.log;
         self.observed_crashes.retain(|(digest, _), _| log.crash_count(*digest) > 0);
         has_removed
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -69,7 +69,7 @@
     }
 
     /// Merges a record of another daemon. Returns whether it contained anything new.
-    pub fn take(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
+    pub fn merge(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
         let time_at_age = |age: Duration| {
             MonotonicTime::from_start((now + CLOCK_OFFSET).since_start().saturating_sub(age))
         };
@@ -167,7 +167,7 @@
     }
 
     /// Removes expired entries. Returns whether any was removed.
-    pub fn forget(&mut self, now: MonotonicTime) -> bool {
+    pub fn remove_expired(&mut self, now: MonotonicTime) -> bool {
         let old_len = self.entries.len();
         self.entries.retain(|_, entry| entry.is_relevant(now + CLOCK_OFFSET));
         self.entries.len() < old_len
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -39,15 +39,15 @@
     ) {
         let (mut book, mut other) = (CrashLog::default(), CrashLog::default());
         for record in &records {
-            book.take(record, NOW);
+            book.merge(record, NOW);
         }
         for record in shuffled.iter().chain(&shuffled) {
-            other.take(record, NOW);
+            other.merge(record, NOW);
         }
         prop_assert_eq!(book.summary(), other.summary());
         prop_assert_eq!(book.quarantined(NOW).len(), other.quarantined(NOW).len());
         let told = book.records(NOW);
-        prop_assert!(!told.iter().any(|record| other.take(record, NOW)));
+        prop_assert!(!told.iter().any(|record| other.merge(record, NOW)));
     }
 }
 
@@ -57,7 +57,7 @@
 fn third_end_quarantines_for_the_time_that_is_left() {
     let mut book = CrashLog::default();
     for _ in 0..5 {
-        book.take(&record(1, &[10, 11], false), NOW);
+        book.merge(&record(1, &[10, 11], false), NOW);
     }
     assert_eq!(book.quarantine(digest(1), NOW), None);
     let age = Duration::from_secs(400);
@@ -65,14 +65,14 @@
         crashes: vec![UpstreamCrash { upstream: 12, age }; 2],
         ..record(2, &[], false)
     };
-    book.take(&old, NOW);
+    book.merge(&old, NOW);
     book.record_crash(digest(1), 12, NOW);
     assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE_DURATION));
     assert_eq!(book.quarantine(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
     assert_eq!(told.crashes[0].age, age);
-    assert!(book.forget(NOW), "two minutes without a third end");
+    assert!(book.remove_expired(NOW), "two minutes without a third end");
     assert_eq!(book.crash_count(digest(2)), 0);
     assert_eq!(book.crash_count(digest(1)), 3);
 }
@@ -82,7 +82,7 @@
 #[test]
 fn flood_of_new_requests_displaces_no_quarantine() {
     let mut book = CrashLog::default();
-    book.take(&record(0, &[1, 2, 3], false), NOW);
+    book.merge(&record(0, &[1, 2, 3], false), NOW);
     for number in 1..5_000 {
         book.record_crash(digest(number), u64::from(number % 7), NOW);
     }
