--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -30,7 +30,7 @@
 
 impl EntryBacklog {
     /// Queues the request of `call`.
-    pub fn wait(&mut self, call: CallId, plan: RequestPlan) {
+    pub fn push(&mut self, call: CallId, plan: RequestPlan) {
         self.waiting.insert((plan.level, plan.deadline, call), plan);
     }
 
@@ -44,7 +44,7 @@
     /// Removes the requests that need not wait any longer according to `decide`, and returns each
     /// with its verdict. At most `max_late` requests with the verdict
     /// [`EntryVerdict::LateWithRoom`] are removed.
-    pub fn take(
+    pub fn take_ready(
         &mut self,
         max_late: usize,
         mut decide: impl FnMut(&RequestPlan) -> EntryVerdict,
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -46,7 +46,7 @@
                         is_flood: plan.is_flood,
                     },
                 )));
-                lock(&self.entry_backlog).wait(call, plan);
+                lock(&self.entry_backlog).push(call, plan);
             }
         }
     }
@@ -55,7 +55,7 @@
     /// answered before their deadline.
     pub(super) fn start_queued_requests(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
-        let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
+        let ready = lock(&self.entry_backlog).take_ready(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
             plan.delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
