--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -36,14 +36,14 @@
 
     /// Whether there is spare capacity for late requests, so that they hardly delay on-time ones.
     #[must_use]
-    pub fn has_room(&self) -> bool {
+    pub fn has_spare_capacity(&self) -> bool {
         self.on_time_wait <= MAX_WAIT_WITH_SPARE_CAPACITY
     }
 
     /// Whether late requests are not admitted, or would wait for a long time.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        !self.has_room() || self.late_wait(u8::MAX) > MIN_OVERLOAD_WAIT
+        !self.has_spare_capacity() || self.late_wait(u8::MAX) > MIN_OVERLOAD_WAIT
     }
 
     /// Time after which a refused caller should retry: by then, all queued work should be done and
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -179,7 +179,7 @@
             EntryVerdict::InTime
         } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
-        } else if waits.iter().all(PoolWait::has_room) {
+        } else if waits.iter().all(PoolWait::has_spare_capacity) {
             EntryVerdict::LateWithRoom
         } else {
             EntryVerdict::Late
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -60,7 +60,7 @@
     bench.advance(50);
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
     assert!(wait.retry_after() >= Duration::from_millis(6 * FULL_MS), "{wait:?}");
-    assert!(!wait.has_room());
+    assert!(!wait.has_spare_capacity());
     for _ in 0..40 {
         bench.advance(50);
         let _ = bench.dispatcher.expected_wait(POOL, bench.now);
