--- a/crates/crocusdale_core/src/admission/workspace_meter.rs
+++ b/crates/crocusdale_core/src/admission/workspace_meter.rs
@@ -49,7 +49,7 @@
 impl WorkspaceMeter {
     /// Counts a request of `workspace`. Returns whether the workspace currently sends far more than
     /// its baseline share.
-    pub fn count(&mut self, workspace: &str, now: MonotonicTime) -> bool {
+    pub fn record_request(&mut self, workspace: &str, now: MonotonicTime) -> bool {
         let age = self.last_request_at.replace(now).map_or(Duration::ZERO, |at| now.since(at));
         self.recent.decay(age, RECENT_TIME_CONSTANT);
         self.recent.add(workspace, 1.0);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -27,7 +27,8 @@
         now: MonotonicTime,
         steps: &mut Vec<ShardAction>,
     ) {
-        plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
+        plan.is_flood =
+            lock(&self.workspace_meter).record_request(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
             refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), steps);
             return;
--- a/crates/crocusdale_core/tests/workspace_meter_test.rs
+++ b/crates/crocusdale_core/tests/workspace_meter_test.rs
@@ -12,7 +12,7 @@
         for (workspace, rate) in rates.iter().enumerate() {
             let name = format!("w{workspace}");
             let at = MonotonicTime::from_millis(*now);
-            floods[workspace] += (0..*rate).filter(|_| meter.count(&name, at)).count();
+            floods[workspace] += (0..*rate).filter(|_| meter.record_request(&name, at)).count();
         }
     }
     floods
