--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -91,7 +91,7 @@
         digest: RequestDigest,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        lock(&self.crash_detector).quarantine(digest, now)
+        lock(&self.crash_detector).quarantine_left(digest, now)
     }
 
     /// Logs new and lifted quarantines, refuses the queued requests they apply to, and schedules
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -88,12 +88,12 @@
                 continue;
             }
             let Some(crash) = self.crash_id(digest, upstream, now) else { continue };
-            let old_time_left = self.log.quarantine(digest, now);
+            let old_time_left = self.log.quarantine_left(digest, now);
             if self.log.record_crash(digest, crash, now) {
                 self.unsent.insert(digest);
                 verdict.has_news = true;
             }
-            if self.log.quarantine(digest, now) > old_time_left {
+            if self.log.quarantine_left(digest, now) > old_time_left {
                 verdict.quarantined.push(digest);
             }
         }
@@ -104,7 +104,7 @@
     pub fn record_success(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
         self.successes.record(digest, now);
         let mut verdict = CrashVerdict::default();
-        let was_quarantined = self.log.quarantine(digest, now).is_some();
+        let was_quarantined = self.log.quarantine_left(digest, now).is_some();
         if self.log.clear(digest, now) {
             self.unsent.insert(digest);
             verdict.has_news = true;
@@ -118,7 +118,7 @@
         let mut verdict = CrashVerdict::default();
         for record in records {
             let digest = record.digest;
-            let old_time_left = self.log.quarantine(digest, now);
+            let old_time_left = self.log.quarantine_left(digest, now);
             if !self.log.merge(record, now) {
                 continue;
             }
@@ -128,7 +128,7 @@
                 verdict.has_news |= self.log.clear(digest, now);
                 self.unsent.insert(digest);
             }
-            let new_time_left = self.log.quarantine(digest, now);
+            let new_time_left = self.log.quarantine_left(digest, now);
             if new_time_left > old_time_left {
                 verdict.quarantined.push(digest);
             } else if new_time_left.is_none() && old_time_left.is_some() {
@@ -141,8 +141,8 @@
     /// Remaining time for which requests with `digest` are refused, or `None` if they are not
     /// quarantined.
     #[must_use]
-    pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
-        self.log.quarantine(digest, now)
+    pub fn quarantine_left(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
+        self.log.quarantine_left(digest, now)
     }
 
     /// Number of upstreams that crashed while running a request with `digest`.
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -106,7 +106,7 @@
     /// Remaining time for which requests with `digest` are refused, or `None` if they are not
     /// quarantined.
     #[must_use]
-    pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
+    pub fn quarantine_left(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         let entry = self.entries.get(&digest)?;
         let time_left = entry
             .quarantine_time()?
@@ -124,7 +124,7 @@
     #[must_use]
     pub fn quarantined(&self, now: MonotonicTime) -> Vec<RequestDigest> {
         let digests = self.entries.keys().copied();
-        digests.filter(|digest| self.quarantine(*digest, now).is_some()).collect()
+        digests.filter(|digest| self.quarantine_left(*digest, now).is_some()).collect()
     }
 
     /// Hash over all records that does not depend on their order or their ages. An empty log has
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -59,7 +59,7 @@
     for _ in 0..5 {
         book.merge(&record(1, &[10, 11], false), NOW);
     }
-    assert_eq!(book.quarantine(digest(1), NOW), None);
+    assert_eq!(book.quarantine_left(digest(1), NOW), None);
     let age = Duration::from_secs(400);
     let old = CrashRecord {
         crashes: vec![UpstreamCrash { upstream: 12, age }; 2],
@@ -67,8 +67,8 @@
     };
     book.merge(&old, NOW);
     book.record_crash(digest(1), 12, NOW);
-    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE_DURATION));
-    assert_eq!(book.quarantine(digest(2), NOW), None);
+    assert_eq!(book.quarantine_left(digest(1), NOW), Some(QUARANTINE_DURATION));
+    assert_eq!(book.quarantine_left(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
     assert_eq!(told.crashes[0].age, age);
@@ -87,5 +87,5 @@
         book.record_crash(digest(number), u64::from(number % 7), NOW);
     }
     assert!(book.records(NOW).len() <= 512);
-    assert!(book.quarantine(digest(0), NOW).is_some());
+    assert!(book.quarantine_left(digest(0), NOW).is_some());
 }
