--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -21,7 +21,8 @@
     /// The request can meet its latency objective, so it starts.
     InTime,
     /// The request will miss its latency objective, but there is spare capacity to run it.
-    LateWithRoom,
+    #[strum(serialize = "late_with_room")]
+    LateWithCapacity,
     /// The request will miss its latency objective and would delay others, so it waits.
     Late,
     /// The request cannot be answered before its deadline, so it is refused.
@@ -43,7 +44,7 @@
 
     /// Removes the requests that need not wait any longer according to `decide`, and returns each
     /// with its verdict. At most `max_late` requests with the verdict
-    /// [`EntryVerdict::LateWithRoom`] are removed.
+    /// [`EntryVerdict::LateWithCapacity`] are removed.
     pub fn take_ready(
         &mut self,
         max_late: usize,
@@ -55,11 +56,11 @@
             let verdict = decide(plan);
             let is_ready = match verdict {
                 EntryVerdict::InTime | EntryVerdict::Unservable => true,
-                EntryVerdict::LateWithRoom if late_left > 0 => {
+                EntryVerdict::LateWithCapacity if late_left > 0 => {
                     late_left -= 1;
                     true
                 }
-                EntryVerdict::LateWithRoom | EntryVerdict::Late => false,
+                EntryVerdict::LateWithCapacity | EntryVerdict::Late => false,
             };
             if is_ready {
                 ready.push((*key, verdict));
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -37,7 +37,7 @@
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, steps),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, steps),
-            verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
+            verdict @ (EntryVerdict::LateWithCapacity | EntryVerdict::Late) => {
                 steps.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
@@ -181,7 +181,7 @@
         } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
         } else if waits.iter().all(PoolWait::has_spare_capacity) {
-            EntryVerdict::LateWithRoom
+            EntryVerdict::LateWithCapacity
         } else {
             EntryVerdict::Late
         }
