--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -27,7 +27,8 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
+        plan.is_flood =
+            lock(&self.workspace_meter).record_request(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
             refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), actions);
             return;
@@ -36,7 +37,7 @@
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, actions),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, actions),
-            verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
+            verdict @ (EntryVerdict::LateWithCapacity | EntryVerdict::Late) => {
                 actions.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
@@ -46,7 +47,7 @@
                         is_flood: plan.is_flood,
                     },
                 )));
-                lock(&self.entry_backlog).wait(call, plan);
+                lock(&self.entry_backlog).push(call, plan);
             }
         }
     }
@@ -55,7 +56,7 @@
     /// answered before their deadline.
     pub(super) fn start_queued_requests(&self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
-        let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
+        let ready = lock(&self.entry_backlog).take_ready(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
             plan.queueing_delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
@@ -183,8 +184,8 @@
             EntryVerdict::InTime
         } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
-        } else if waits.iter().all(PoolWait::has_room) {
-            EntryVerdict::LateWithRoom
+        } else if waits.iter().all(PoolWait::has_spare_capacity) {
+            EntryVerdict::LateWithCapacity
         } else {
             EntryVerdict::Late
         }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -70,7 +70,7 @@
         } else {
             let crash_count =
                 order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
-            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_actions);
+            lock(&self.dispatcher).submit(order, crash_count, now, &mut dispatch_actions);
         }
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
@@ -244,7 +244,7 @@
             return;
         }
         let retry_after = wait.retry_after();
-        lock(&self.pool_waits).note(pool, wait, now);
+        lock(&self.pool_waits).record(pool, wait, now);
         let event = match outcome {
             Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -69,7 +69,7 @@
     }
 
     /// Merges a record of another daemon. Returns whether it contained anything new.
-    pub fn take(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
+    pub fn merge(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
         let time_at_age = |age: Duration| {
             MonotonicTime::from_start((now + CLOCK_OFFSET).since_start().saturating_sub(age))
         };
@@ -106,7 +106,7 @@
     /// Remaining time for which requests with `digest` are refused, or `None` if they are not
     /// quarantined.
     #[must_use]
-    pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
+    pub fn quarantine_left(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         let entry = self.entries.get(&digest)?;
         let time_left = entry
             .quarantine_time()?
@@ -124,7 +124,7 @@
     #[must_use]
     pub fn quarantined(&self, now: MonotonicTime) -> Vec<RequestDigest> {
         let digests = self.entries.keys().copied();
-        digests.filter(|digest| self.quarantine(*digest, now).is_some()).collect()
+        digests.filter(|digest| self.quarantine_left(*digest, now).is_some()).collect()
     }
 
     /// Hash over all records that does not depend on their order or their ages. An empty log has
@@ -167,7 +167,7 @@
     }
 
     /// Removes expired entries. Returns whether any was removed.
-    pub fn forget(&mut self, now: MonotonicTime) -> bool {
+    pub fn remove_expired(&mut self, now: MonotonicTime) -> bool {
         let old_len = self.entries.len();
         self.entries.retain(|_, entry| entry.is_relevant(now + CLOCK_OFFSET));
         self.entries.len() < old_len
