--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -88,17 +88,19 @@
             }
             DaemonEvent::CallerDisconnected(call) => {
                 self.state.abandon_queued(call, &mut steps);
-                self.state.shard(call.0).abandon(call, now, &mut steps);
+                self.state.shard(call.0).handle_disconnect(call, now, &mut steps);
             }
             DaemonEvent::Attempt { attempt, event } => {
-                self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut steps);
+                self.state
+                    .shard(attempt.call.0)
+                    .handle_attempt_event(attempt, event, now, &mut steps);
             }
             DaemonEvent::RegisterReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
-                shard.register_replied(call, &witness, reply, now, &mut steps);
+                shard.handle_register_reply(call, &witness, reply, now, &mut steps);
             }
             DaemonEvent::HolderReplied { call, reply } => {
-                self.state.shard(call.0).holder_replied(call, reply, now, &mut steps);
+                self.state.shard(call.0).handle_holder_reply(call, reply, now, &mut steps);
             }
             DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
             DaemonEvent::PiecesReceived(order) => {
@@ -404,7 +406,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut steps = Vec::new();
-        self.state.shard(call.0).timer(timer, now, &mut steps);
+        self.state.shard(call.0).handle_timer(timer, now, &mut steps);
         self.state.run_steps(steps, now, out);
     }
 
--- a/crates/crocusdale_core/src/daemon/limit_flow.rs
+++ b/crates/crocusdale_core/src/daemon/limit_flow.rs
@@ -55,7 +55,7 @@
     pub(super) fn shed_limited(&self, now: MonotonicTime, steps: &mut Vec<ShardAction>) {
         for (request, retry_after) in self.router().take_unservable(now) {
             let refusal = (RefusalReason::Overload, retry_after);
-            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+            self.shard(request.call.0).handle_lasting_refusal(request.call, refusal, now, steps);
         }
     }
 
--- a/crates/crocusdale_core/src/daemon/list_guard.rs
+++ b/crates/crocusdale_core/src/daemon/list_guard.rs
@@ -55,7 +55,7 @@
         // quarantine are denied too.
         if let Some(retry_after) = self.quarantine_left(request.digest, now) {
             let refusal = (RefusalReason::Quarantined, retry_after);
-            self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+            self.shard(request.call.0).handle_lasting_refusal(request.call, refusal, now, steps);
             return;
         }
         let Some(request) = lock(&self.held).hold_attempt(request, reason) else {
@@ -63,14 +63,19 @@
             return;
         };
         match self.router().acquire(request, now) {
-            Ok(Some(grant)) => self.shard(grant.request.call.0).granted(grant, now, steps),
+            Ok(Some(grant)) => self.shard(grant.request.call.0).handle_grant(grant, now, steps),
             Ok(None) => {}
             Err(request) => match self.router().away_for(&request, now) {
                 Some(retry_after) => {
                     let refusal = (RefusalReason::Overload, retry_after);
-                    self.shard(request.call.0).denied_for(request.call, refusal, now, steps);
+                    self.shard(request.call.0).handle_lasting_refusal(
+                        request.call,
+                        refusal,
+                        now,
+                        steps,
+                    );
                 }
-                None => self.shard(request.call.0).denied(request.call, reason, now, steps),
+                None => self.shard(request.call.0).handle_refusal(request.call, reason, now, steps),
             },
         }
     }
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -247,6 +247,6 @@
             Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
-        self.shard(attempt.call.0).attempt_event(attempt, event, now, steps);
+        self.shard(attempt.call.0).handle_attempt_event(attempt, event, now, steps);
     }
 }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -101,7 +101,7 @@
     ) -> Vec<ShardAction> {
         let mut steps = Vec::new();
         for grant in grants {
-            self.shard(grant.request.call.0).granted(grant, now, &mut steps);
+            self.shard(grant.request.call.0).handle_grant(grant, now, &mut steps);
         }
         steps
     }
@@ -300,7 +300,12 @@
                     self.acquire(request, reason, now, &mut steps);
                 } else {
                     out.push(Command::Count(CounterName::RetriesDenied));
-                    self.shard(request.call.0).denied(request.call, reason, now, &mut steps);
+                    self.shard(request.call.0).handle_refusal(
+                        request.call,
+                        reason,
+                        now,
+                        &mut steps,
+                    );
                 }
             }
             ShardAction::CancelSlotRequest(request) => {
@@ -370,7 +375,7 @@
         }
         let claimant = (!bury).then_some(&self.own_instance);
         let reply = self.witness(&key, claimant, &witnesses, now, out);
-        self.shard(call.0).register_replied(call, &witness, Some(reply), now, steps);
+        self.shard(call.0).handle_register_reply(call, &witness, Some(reply), now, steps);
     }
 }
 
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -73,7 +73,7 @@
     }
 
     /// Handles the reply of a witness; `None` if no reply came.
-    pub fn register_replied(
+    pub fn handle_register_reply(
         &mut self,
         call: CallId,
         witness: &str,
@@ -96,7 +96,7 @@
 
     /// Handles the reply of the daemon that holds the claim of a key; `None` if it can't be
     /// reached.
-    pub fn holder_replied(
+    pub fn handle_holder_reply(
         &mut self,
         call: CallId,
         reply: Option<HolderReply>,
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -105,7 +105,8 @@
         let Some(index) = waiting_index.filter(|_| !is_too_late) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
             actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
-            return waiting_index.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
+            return waiting_index
+                .and_then(|_| self.handle_refusal(RefusalReason::Overload, now, actions));
         };
         let id = self.next_attempt_id();
         let kind = match self.step_runs[index].work {
@@ -142,7 +143,7 @@
     }
 
     /// Handles the router's refusal to assign an upstream to a step.
-    pub fn denied(
+    pub fn handle_refusal(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
@@ -170,7 +171,7 @@
     }
 
     /// Handles an event of an attempt. Returns the final answer if the event ends the run.
-    pub fn attempt_event(
+    pub fn handle_attempt_event(
         &mut self,
         id: AttemptId,
         event: AttemptEvent,
@@ -242,14 +243,14 @@
 
     /// Handles the router's refusal to assign an upstream, for a reason that holds for the time
     /// `left`.
-    pub fn denied_for(
+    pub fn handle_lasting_refusal(
         &mut self,
         (reason, left): (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         self.retry_after = Some(left);
-        self.denied(reason, now, actions)
+        self.handle_refusal(reason, now, actions)
     }
 
     /// Ends the run without an answer and cancels everything that is still open.
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -121,7 +121,7 @@
     }
 
     /// Handles the upstream that the router assigned to a step.
-    pub fn granted(
+    pub fn handle_grant(
         &mut self,
         grant: SlotGrant,
         now: MonotonicTime,
@@ -141,7 +141,7 @@
     }
 
     /// Handles the router's refusal to assign an upstream to a step of `call`.
-    pub fn denied(
+    pub fn handle_refusal(
         &mut self,
         call: CallId,
         reason: RefusalReason,
@@ -149,13 +149,13 @@
         actions: &mut Vec<ShardAction>,
     ) {
         if let Some(active_run) = self.runs.get_mut(&call) {
-            let final_answer = active_run.run.denied(reason, now, actions);
+            let final_answer = active_run.run.handle_refusal(reason, now, actions);
             self.finish_if_ended(call, final_answer, now, actions);
         }
     }
 
     /// Handles an event of an attempt.
-    pub fn attempt_event(
+    pub fn handle_attempt_event(
         &mut self,
         id: AttemptId,
         event: AttemptEvent,
@@ -164,7 +164,7 @@
     ) {
         match self.runs.get_mut(&id.call) {
             Some(active_run) => {
-                let final_answer = active_run.run.attempt_event(id, event, now, actions);
+                let final_answer = active_run.run.handle_attempt_event(id, event, now, actions);
                 self.finish_if_ended(id.call, final_answer, now, actions);
             }
             None => actions.push(ShardAction::Command(Command::Count(CounterName::LateAnswers))),
@@ -172,7 +172,12 @@
     }
 
     /// Handles an expired timer of this shard.
-    pub fn timer(&mut self, timer: TimerKey, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+    pub fn handle_timer(
+        &mut self,
+        timer: TimerKey,
+        now: MonotonicTime,
+        actions: &mut Vec<ShardAction>,
+    ) {
         match timer {
             TimerKey::Deadline(call) => {
                 if self.runs.contains_key(&call) {
@@ -218,7 +223,12 @@
     /// Handles the disconnect of a caller. A run that may be repeated is cancelled and its
     /// resources are freed; a run that must happen at most once continues, and its outcome can be
     /// looked up.
-    pub fn abandon(&mut self, call: CallId, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+    pub fn handle_disconnect(
+        &mut self,
+        call: CallId,
+        now: MonotonicTime,
+        actions: &mut Vec<ShardAction>,
+    ) {
         let is_cancelled =
             self.runs.get(&call).is_some_and(|active_run| !active_run.run.outlives_caller());
         if is_cancelled {
@@ -241,7 +251,7 @@
         });
         let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in calls {
-            self.denied_for(call, (RefusalReason::Quarantined, left), now, actions);
+            self.handle_lasting_refusal(call, (RefusalReason::Quarantined, left), now, actions);
         }
     }
 
@@ -254,14 +264,16 @@
 
     /// Handles a refusal to assign an upstream to `call`, with the reason and the time for which
     /// the reason holds.
-    pub fn denied_for(
+    pub fn handle_lasting_refusal(
         &mut self,
         call: CallId,
         refusal: (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.settle_run(call, now, actions, |run, actions| run.denied_for(refusal, now, actions));
+        self.settle_run(call, now, actions, |run, actions| {
+            run.handle_lasting_refusal(refusal, now, actions)
+        });
     }
 
     /// Ends every run with `reason`.
