--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -19,7 +19,7 @@
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
-        self.shard(order.attempt.call.0).note_section(order.attempt, &order.pool);
+        self.shard(order.attempt.call.0).record_section(order.attempt, &order.pool);
         let vm = {
             let fleet = lock(&self.fleet);
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -34,7 +34,7 @@
         let mut steps = Vec::new();
         let key = request.key.clone();
         let claimed = !request.repeatable && request.forward().is_none();
-        if claimed && self.shard(call.0).join(call, &key, now, &mut steps) {
+        if claimed && self.shard(call.0).join_run(call, &key, now, &mut steps) {
             self.run_steps(steps, now, out);
             return;
         }
@@ -74,7 +74,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut steps = Vec::new();
-        if !self.shard(call.0).join(call, &key, now, &mut steps) {
+        if !self.shard(call.0).join_run(call, &key, now, &mut steps) {
             steps = self.begin_inquiry(call, key, None, age, now);
         }
         self.run_steps(steps, now, out);
@@ -186,7 +186,7 @@
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller marks as repeatable may match a pipeline that is not.
-        if plan.request.repeatable && shard.join(call, &key, now, steps) {
+        if plan.request.repeatable && shard.join_run(call, &key, now, steps) {
             steps.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
@@ -220,10 +220,10 @@
         now: MonotonicTime,
     ) -> Option<RefusalReason> {
         let key = &plan.request.key;
-        if shard.has_given_up(key) {
+        if shard.has_abandoned(key) {
             return Some(RefusalReason::NeverRun);
         }
-        if !shard.has_memory() {
+        if !shard.has_key_capacity() {
             return Some(RefusalReason::RequestLimit);
         }
         if plan.deadline >= plan.remembered_until {
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -94,7 +94,7 @@
     }
 
     /// Records that `section` of the pool runs the pieces of the attempt `id`.
-    pub fn note_section(&mut self, id: AttemptId, section: &str) {
+    pub fn record_section(&mut self, id: AttemptId, section: &str) {
         if let Some(step_run) = self.step_runs.iter_mut().find(|step_run| step_run.is_attempt(id)) {
             section.clone_into(&mut step_run.pool_section);
         }
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -68,7 +68,7 @@
 
     /// Answers `call` with the outcome of `key` if the key ran here, or attaches it to the running
     /// request. Returns `false` if this shard has no run of the key.
-    pub fn join(
+    pub fn join_run(
         &mut self,
         call: CallId,
         key: &RequestKey,
@@ -94,13 +94,13 @@
 
     /// Whether the key table can hold another key.
     #[must_use]
-    pub fn has_memory(&self) -> bool {
+    pub fn has_key_capacity(&self) -> bool {
         self.key_table.has_capacity()
     }
 
     /// Whether this process incarnation has abandoned `key` and must not claim it again.
     #[must_use]
-    pub fn has_given_up(&self, key: &RequestKey) -> bool {
+    pub fn has_abandoned(&self, key: &RequestKey) -> bool {
         matches!(self.key_table.get(key), Some(KeyState::Abandoned))
     }
 
@@ -256,9 +256,9 @@
     }
 
     /// Records that `section` of the pool runs the pieces of `attempt`.
-    pub fn note_section(&mut self, attempt: AttemptId, section: &str) {
+    pub fn record_section(&mut self, attempt: AttemptId, section: &str) {
         if let Some(active_run) = self.runs.get_mut(&attempt.call) {
-            active_run.run.note_section(attempt, section);
+            active_run.run.record_section(attempt, section);
         }
     }
 
