--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -195,8 +195,8 @@
     steps: &mut Vec<ShardAction>,
 ) {
     steps.push(ShardAction::ReleasePermit(plan.permit.clone()));
-    let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).reason(reason);
-    let answer = FinalAnswer::from(outcome.retry(retry_after, true));
+    let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).with_reason(reason);
+    let answer = FinalAnswer::from(outcome.with_retry(retry_after, true));
     steps.push(ShardAction::Command(Command::Reply { call, answer }));
 }
 
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -381,5 +381,9 @@
 
 /// Refused outcome for `key`, which its caller may retry after `retry_after`.
 fn refusal(key: &RequestKey, reason: RefusalReason, retry_after: Duration) -> Box<FinalOutcome> {
-    Box::new(FinalOutcome::new(OutcomeKind::Refused, key).reason(reason).retry(retry_after, true))
+    Box::new(
+        FinalOutcome::new(OutcomeKind::Refused, key)
+            .with_reason(reason)
+            .with_retry(retry_after, true),
+    )
 }
--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -117,7 +117,9 @@
         let key = RequestKey::new(submitted.workspace, submitted.key);
         let refuse = |reason, detail: String| {
             Err(Box::new(
-                FinalOutcome::new(OutcomeKind::Refused, &key).reason(reason).detail(detail),
+                FinalOutcome::new(OutcomeKind::Refused, &key)
+                    .with_reason(reason)
+                    .with_detail(detail),
             ))
         };
         for (name, value) in [("workspace", &key.workspace), ("key", &key.key)] {
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -153,9 +153,10 @@
         let unknown_witnesses = poll.reopen_unknown();
         let witnesses = poll.witnesses().clone();
         let refusal =
-            FinalOutcome::new(OutcomeKind::Refused, &key).reason(RefusalReason::NotClaimed);
-        let refusal =
-            Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
+            FinalOutcome::new(OutcomeKind::Refused, &key).with_reason(RefusalReason::NotClaimed);
+        let refusal = Box::new(
+            refusal.with_detail("the key could not be claimed").with_retry(Duration::ZERO, false),
+        );
         let answer_by = now + LOOKUP_TIMEOUT;
         for call in active_run.waiting_calls.into_iter().chain([call]) {
             actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
--- a/crates/crocusdale_core/src/pipeline/final_answer.rs
+++ b/crates/crocusdale_core/src/pipeline/final_answer.rs
@@ -203,21 +203,21 @@
 
     /// Sets why the request was not answered.
     #[must_use]
-    pub fn reason(mut self, reason: RefusalReason) -> Self {
+    pub fn with_reason(mut self, reason: RefusalReason) -> Self {
         self.reason = Some(reason);
         self
     }
 
     /// Sets the explanation for people.
     #[must_use]
-    pub fn detail(mut self, detail: impl Into<String>) -> Self {
+    pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
     /// Sets the time after which the caller may retry, and whether a retry may use the same key.
     #[must_use]
-    pub fn retry(mut self, after: Duration, same_key: bool) -> Self {
+    pub fn with_retry(mut self, after: Duration, same_key: bool) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self.same_key = Some(same_key);
         self
--- a/crates/crocusdale_core/src/pipeline/outcome_lookup.rs
+++ b/crates/crocusdale_core/src/pipeline/outcome_lookup.rs
@@ -100,12 +100,16 @@
         if now >= self.remembered_until {
             let outcome = FinalOutcome::new(OutcomeKind::Unknown, &self.key);
             let detail = "the key may be older than its witnesses remember; say its age_ms";
-            return FinalAnswer::from(outcome.reason(RefusalReason::KeyExpired).detail(detail));
+            return FinalAnswer::from(
+                outcome.with_reason(RefusalReason::KeyExpired).with_detail(detail),
+            );
         }
         let never_run_refusal = || {
             let outcome = FinalOutcome::new(OutcomeKind::Refused, &self.key);
             Box::new(
-                outcome.reason(RefusalReason::NeverRun).detail("this key never ran and never will"),
+                outcome
+                    .with_reason(RefusalReason::NeverRun)
+                    .with_detail("this key never ran and never will"),
             )
         };
         let mut outcome = self.refusal.take().unwrap_or_else(never_run_refusal);
@@ -122,8 +126,8 @@
 
     fn unknown_answer(&self, reason: RefusalReason) -> FinalAnswer {
         let retry_after = self.poll.longest_abstention().unwrap_or(Duration::from_secs(1));
-        let outcome = FinalOutcome::new(OutcomeKind::Unknown, &self.key).reason(reason);
+        let outcome = FinalOutcome::new(OutcomeKind::Unknown, &self.key).with_reason(reason);
         let detail = "it can't be proved whether this key ran; the same key is safe to send again";
-        FinalAnswer::from(outcome.detail(detail).retry(retry_after, true))
+        FinalAnswer::from(outcome.with_detail(detail).with_retry(retry_after, true))
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -236,7 +236,7 @@
     detail: impl Into<String>,
 ) -> Result<T, Box<FinalOutcome>> {
     let refusal = FinalOutcome::new(OutcomeKind::Refused, key);
-    Err(Box::new(refusal.reason(reason).detail(detail)))
+    Err(Box::new(refusal.with_reason(reason).with_detail(detail)))
 }
 
 /// Selects the pool of a request by the weights of the pools. The same request always gets the same
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -265,7 +265,8 @@
         self.close_step_runs(actions);
         self.free_all_results(actions);
         let outcome_kind = self.attempt_counts.outcome_kind(self.plan.repeatable);
-        let mut outcome = FinalOutcome::new(outcome_kind, &self.plan.request.key).reason(reason);
+        let mut outcome =
+            FinalOutcome::new(outcome_kind, &self.plan.request.key).with_reason(reason);
         if outcome_kind == OutcomeKind::Refused && self.plan.forward().is_some() {
             // A caller that retries at once meets the queue for which it was refused. A retry delay
             // longer than the caller's deadline is told as well, so that the caller does not retry
@@ -274,7 +275,7 @@
             let retry_after = self
                 .retry_after
                 .map_or(min_retry_after, |pool_retry_after| pool_retry_after.max(min_retry_after));
-            outcome = outcome.retry(retry_after, true);
+            outcome = outcome.with_retry(retry_after, true);
         }
         outcome.stage = stage;
         outcome.stages = std::mem::take(&mut self.stage_costs);
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -69,7 +69,8 @@
         let body = match self.read(body).await {
             Ok(body) => body,
             Err(reason) => {
-                let outcome = FinalOutcome::new(OutcomeKind::Refused, &request.key).reason(reason);
+                let outcome =
+                    FinalOutcome::new(OutcomeKind::Refused, &request.key).with_reason(reason);
                 return self.refusal(&FinalAnswer::from(outcome));
             }
         };
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -141,7 +141,7 @@
         // caller with nowhere to go for as long as answers may be kept.
         if !self.engine.core.is_ready() || answer.addresses.is_empty() {
             let outcome = refusal(RefusalReason::NotReady, "this daemon knows of none to use");
-            return refusal_response(outcome.retry(READY_RETRY, true), false);
+            return refusal_response(outcome.with_retry(READY_RETRY, true), false);
         }
         Json(answer).into_response()
     }
@@ -182,5 +182,5 @@
 
 fn refusal(reason: RefusalReason, detail: &str) -> FinalOutcome {
     let nobody = RequestKey::new("", "");
-    FinalOutcome::new(OutcomeKind::Refused, &nobody).reason(reason).detail(detail)
+    FinalOutcome::new(OutcomeKind::Refused, &nobody).with_reason(reason).with_detail(detail)
 }
