--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -33,13 +33,13 @@
         let HeldRequest { call, request, arrived } = held;
         let mut steps = Vec::new();
         let key = request.key.clone();
-        let claimed = !request.repeatable && request.forward().is_none();
+        let claimed = !request.repeatable && request.forward_head().is_none();
         if claimed && self.shard(call.0).join_run(call, &key, now, &mut steps) {
             self.run_steps(steps, now, out);
             return;
         }
         let is_about_to_exit = lock(&self.refuse_requests_from).is_some_and(|from| now >= from);
-        if is_about_to_exit && request.forward().is_some() {
+        if is_about_to_exit && request.forward_head().is_some() {
             let refusal = refusal(&key, RefusalReason::Draining, DRAINING_RETRY_AFTER);
             self.refuse(call, key, None, refusal, now, out);
             return;
@@ -51,7 +51,7 @@
             self.refuse(call, key, age, refusal, now, out);
             return;
         };
-        let (forwarded, age) = (request.forward().is_some(), request.age);
+        let (forwarded, age) = (request.forward_head().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
             Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut steps),
--- a/crates/crocusdale_core/src/pipeline/attempt_failures.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_failures.rs
@@ -48,8 +48,10 @@
         };
         self.release_slot(index, report, actions);
         let can_repeat = self.can_repeat(index);
-        let is_resumable =
-            self.plan.forward().is_some_and(|rules| rules.repeat == RepeatRule::ResumableStream);
+        let is_resumable = self
+            .plan
+            .forward_rules()
+            .is_some_and(|rules| rules.repeat == RepeatRule::ResumableStream);
         let step_run = &mut self.step_runs[index];
         let in_flight = step_run.in_flight.take()?;
         step_run.tried.push(in_flight.upstream.clone());
--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -102,7 +102,7 @@
 
     /// The head of a forwarded request, or `None` for a JSON request.
     #[must_use]
-    pub fn forward(&self) -> Option<&ForwardHead> {
+    pub fn forward_head(&self) -> Option<&ForwardHead> {
         match &self.content {
             RequestContent::Json(_) => None,
             RequestContent::Forward(head) => Some(head),
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -56,7 +56,7 @@
     pub(super) fn forward_slot_request(&self) -> Option<SlotRequest> {
         let mut steps = self.plan.pipeline.plan.steps().iter().enumerate();
         let (position, step) = steps.find(|(_, step)| step.work == StepWork::Forward)?;
-        let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
+        let demand = self.plan.request.forward_head().and_then(|head| head.demand.clone());
         Some(SlotRequest {
             call: self.call,
             branch: position,
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -37,7 +37,7 @@
         let id = self.next_attempt_id();
         let position = self.step_runs[index].step;
         let input_steps = &self.plan.pipeline.plan.steps()[position].after;
-        let head = self.plan.request.forward();
+        let head = self.plan.request.forward_head();
         let source = if input_steps.is_empty() {
             PieceSource::Caller(head.map(|head| head.piece_source.clone()).unwrap_or_default())
         } else {
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -182,14 +182,14 @@
 
     /// Forwarding rules of the pipeline, or `None` if it serves JSON requests.
     #[must_use]
-    pub fn forward(&self) -> Option<&ForwardRules> {
+    pub fn forward_rules(&self) -> Option<&ForwardRules> {
         self.pipeline.forward.as_ref()
     }
 
     /// Number of pieces of the batched step at `position`; 1 if the request does not say.
     #[must_use]
     pub fn pieces(&self, position: usize) -> u32 {
-        let pieces = self.request.forward().and_then(|head| head.pieces.get(position));
+        let pieces = self.request.forward_head().and_then(|head| head.pieces.get(position));
         pieces.copied().unwrap_or(1)
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -267,7 +267,7 @@
         let outcome_kind = self.attempt_counts.outcome_kind(self.plan.repeatable);
         let mut outcome =
             FinalOutcome::new(outcome_kind, &self.plan.request.key).with_reason(reason);
-        if outcome_kind == OutcomeKind::Refused && self.plan.forward().is_some() {
+        if outcome_kind == OutcomeKind::Refused && self.plan.forward_rules().is_some() {
             // A caller that retries at once meets the queue for which it was refused. A retry delay
             // longer than the caller's deadline is told as well, so that the caller does not retry
             // in vain.
@@ -286,7 +286,7 @@
     /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
-        match self.plan.forward().map(|rules| rules.repeat) {
+        match self.plan.forward_rules().map(|rules| rules.repeat) {
             None => !self.plan.repeatable,
             // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
@@ -340,7 +340,7 @@
 
     pub(super) fn slot_request(&self, index: usize) -> SlotRequest {
         let step_run = &self.step_runs[index];
-        let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
+        let demand = self.plan.request.forward_head().and_then(|head| head.demand.clone());
         SlotRequest {
             call: self.call,
             branch: step_run.step,
@@ -357,7 +357,7 @@
     /// Whether the step run at `index` may be retried on another upstream even if an earlier
     /// attempt may have run.
     pub(super) fn can_repeat(&self, index: usize) -> bool {
-        match self.plan.forward() {
+        match self.plan.forward_rules() {
             None => self.plan.repeatable,
             Some(rules) => self.plan.repeatable && self.step_runs[index].attempts < rules.attempts,
         }
@@ -407,7 +407,7 @@
     /// Builds the final answer from the answers of the last steps, in declared order.
     pub(super) fn finish_answered(&mut self, now: MonotonicTime) -> FinalAnswer {
         let mut outcome = FinalOutcome::new(OutcomeKind::Answered, &self.plan.request.key);
-        if self.plan.forward().is_none() {
+        if self.plan.forward_rules().is_none() {
             outcome.answer = Some(self.combined_answer());
         }
         outcome.stages = std::mem::take(&mut self.stage_costs);
