--- a/crates/crocusdale_core/src/pipeline/forward_head.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_head.rs
@@ -39,14 +39,14 @@
     /// The last prompt segment that other requests may share. Requests with the same segment are
     /// routed to the same engine, whose prefix cache holds it.
     #[must_use]
-    pub fn subject(&self) -> Option<&PromptPart> {
+    pub fn last_shared_part(&self) -> Option<&PromptPart> {
         let shared_count = self.parts.len().checked_sub(1)?;
         self.parts[..shared_count].last()
     }
 
     /// The prompt segments that other requests may share: all but the last.
     #[must_use]
-    pub fn shared(&self) -> &[PromptPart] {
+    pub fn shared_parts(&self) -> &[PromptPart] {
         &self.parts[..self.parts.len().saturating_sub(1)]
     }
 }
--- a/crates/crocusdale_core/src/routing/engine_choice.rs
+++ b/crates/crocusdale_core/src/routing/engine_choice.rs
@@ -108,7 +108,7 @@
         let min_backlog = candidates.iter().map(|candidate| candidate.backlog_tokens).min()?;
         let fleet_load = FleetLoad::new(self.daemons.load(Ordering::Relaxed), &candidates);
         let traffic_share = demand
-            .subject()
+            .last_shared_part()
             .map_or(0.0, |prefix| lock(&routed.queue).prefixes.traffic_share(prefix.id));
         let replicas = fleet_load.replica_count(traffic_share, rules.slots, candidates.len());
         candidates[..replicas].rotate_left(self.replica_offset % replicas);
@@ -147,7 +147,8 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> Vec<EngineCandidate> {
-        let prefix_id = demand.subject().map(|part| part.id.to_string()).unwrap_or_default();
+        let prefix_id =
+            demand.last_shared_part().map(|part| part.id.to_string()).unwrap_or_default();
         let to_candidate = |position: usize| {
             let upstream = &self.upstreams[position];
             let state = lock(&upstream.state);
--- a/crates/crocusdale_core/src/routing/engine_load.rs
+++ b/crates/crocusdale_core/src/routing/engine_load.rs
@@ -34,7 +34,7 @@
             self.cached_parts.get(id).is_some_and(|last_use| now.since(*last_use) < CACHED_PART_TTL)
         };
         // A cached part can be reused only if all parts before it are cached too.
-        let cached_parts = demand.shared().iter().take_while(|part| is_cached(&part.id));
+        let cached_parts = demand.shared_parts().iter().take_while(|part| is_cached(&part.id));
         let cached_tokens: u64 = cached_parts.map(|part| u64::from(part.tokens)).sum();
         demand.prompt_tokens.saturating_sub(cached_tokens)
     }
@@ -60,7 +60,7 @@
         if self.cached_parts.len() >= MAX_CACHED_PARTS {
             self.cached_parts.retain(|_, last_use| now.since(*last_use) < CACHED_PART_TTL);
         }
-        for part in demand.shared() {
+        for part in demand.shared_parts() {
             self.cached_parts.insert(part.id, now);
         }
     }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -235,7 +235,9 @@
         if request.tried.is_empty() {
             let mut queue = lock(&routed.queue);
             queue.retry_budget.earn(now);
-            if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
+            if let Some(prefix) =
+                request.demand.as_ref().and_then(|demand| demand.last_shared_part())
+            {
                 queue.prefixes.record(prefix.id, now);
             }
         }
--- a/crates/stand_ins/src/fleet_model/engine_model.rs
+++ b/crates/stand_ins/src/fleet_model/engine_model.rs
@@ -144,7 +144,7 @@
 
     /// Prompt tokens of `demand` that are to be read; its shared parts are kept from then on.
     fn read_parts(&mut self, demand: &EngineDemand, read: &mut HashSet<u64>) -> u64 {
-        let shared = demand.shared();
+        let shared = demand.shared_parts();
         let known = shared.iter().take_while(|part| self.kept.contains_key(&part.id)).count();
         for part in shared {
             self.kept.insert(part.id, (u64::from(part.tokens), self.steps));
@@ -177,6 +177,6 @@
 
 /// Tokens of a request that no other shares.
 fn own_tokens(demand: &EngineDemand) -> u64 {
-    let shared: u64 = demand.shared().iter().map(|part| u64::from(part.tokens)).sum();
+    let shared: u64 = demand.shared_parts().iter().map(|part| u64::from(part.tokens)).sum();
     demand.prompt_tokens.saturating_sub(shared) + demand.output_tokens
 }
