--- a/crates/crocusdale_core/src/pipeline/attempt_failures.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt_failures.rs
@@ -54,7 +54,7 @@
             .is_some_and(|rules| rules.repeat == RepeatRule::ResumableStream);
         let step_run = &mut self.step_runs[index];
         let in_flight = step_run.in_flight.take()?;
-        step_run.tried.push(in_flight.upstream.clone());
+        step_run.failed_targets.push(in_flight.upstream.clone());
         actions.push(count(failure.counter()));
         if let AttemptFailure::Broken(reason) = failure {
             actions.push(ShardAction::Command(Command::LogStateChange(
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -134,7 +134,7 @@
         self.release_slot(index, AttemptReport::Failed, actions);
         let step_run = &mut self.step_runs[index];
         if let Some(in_flight) = step_run.in_flight.take() {
-            step_run.tried.push(in_flight.upstream);
+            step_run.failed_targets.push(in_flight.upstream);
         }
         step_run.held_attempt = Some(id);
         let request = self.slot_request(index);
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -58,7 +58,7 @@
             is_flood: self.plan.is_flood,
             target_end: self.plan.target_end(position),
             expires: self.plan.latest_end(position),
-            repeated: !self.step_runs[index].tried.is_empty() || self.rebuilds > 0,
+            repeated: !self.step_runs[index].failed_targets.is_empty() || self.rebuilds > 0,
         };
         let step_run = &mut self.step_runs[index];
         step_run.attempts += 1;
@@ -71,10 +71,14 @@
             last_progress: now,
             kind,
         });
-        let tried = step_run.tried.clone();
+        let failed_dispatchers = step_run.failed_targets.clone();
         let target =
             self.forward_slot_request().filter(|_| self.has_large_results(position)).map(Box::new);
-        actions.push(ShardAction::SubmitPieces { order: Box::new(order), tried, target });
+        actions.push(ShardAction::SubmitPieces {
+            order: Box::new(order),
+            tried: failed_dispatchers,
+            target,
+        });
     }
 
     /// Pool section that holds the inputs of the step at `position`, if these inputs can be freed
@@ -190,8 +194,8 @@
     ) -> Option<FinalAnswer> {
         let step_run = &mut self.step_runs[index];
         step_run.in_flight = None;
-        step_run.tried.push(vm);
-        if step_run.tried.len() >= MAX_DISPATCHERS || now >= self.plan.deadline {
+        step_run.failed_targets.push(vm);
+        if step_run.failed_targets.len() >= MAX_DISPATCHERS || now >= self.plan.deadline {
             return Some(self.finish_unanswered(RefusalReason::NoUpstream, now, actions));
         }
         actions.push(count(CounterName::DispatchersLost));
@@ -208,7 +212,8 @@
         self.has_freed_results = false;
         let forward_run =
             self.step_runs.drain(..).find(|step_run| step_run.work == StepWork::Forward);
-        self.forward_history = forward_run.map(|step_run| (step_run.attempts, step_run.tried));
+        self.forward_history =
+            forward_run.map(|step_run| (step_run.attempts, step_run.failed_targets));
         actions.push(count(CounterName::StepsRemade));
         self.start_ready_steps(now, actions);
     }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -307,9 +307,9 @@
             let mut step_run = StepRun::new(position, &step.stage, step.work, now);
             let is_batched = matches!(step.work, StepWork::Batched { .. });
             if step.work == StepWork::Forward
-                && let Some((attempts, tried)) = self.forward_history.take()
+                && let Some((attempts, failed_targets)) = self.forward_history.take()
             {
-                (step_run.attempts, step_run.tried) = (attempts, tried);
+                (step_run.attempts, step_run.failed_targets) = (attempts, failed_targets);
             }
             if is_batched && self.plan.pieces(position) == 0 {
                 step_run.output = Some(StepOutput::Results(Vec::new()));
@@ -347,7 +347,7 @@
             stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: step_run.tried.clone(),
+            tried: step_run.failed_targets.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
             homes: self.plan.home_regions.clone(),
@@ -390,7 +390,7 @@
             upstream: in_flight.upstream.clone(),
             time_ms: now.since(step_run.started_at).as_secs_f64() * 1e3,
             attempts: step_run.attempts,
-            tried: step_run.tried.clone(),
+            tried: step_run.failed_targets.clone(),
             cost: upstream_time.as_secs_f64() * cost_factor,
         });
         if in_flight.has_slot() {
--- a/crates/crocusdale_core/src/pipeline/step_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -21,7 +21,7 @@
     /// Number of attempts that may have run.
     pub(super) attempts: u32,
     /// Names of the upstreams, or of the VMs of dispatchers, that failed the step.
-    pub(super) tried: Vec<String>,
+    pub(super) failed_targets: Vec<String>,
     /// Number of times that the pieces were handed to another dispatcher before any call
     /// contained them.
     pub(super) dispatcher_changes: u32,
@@ -73,7 +73,7 @@
             work,
             started_at: now,
             attempts: 0,
-            tried: Vec::new(),
+            failed_targets: Vec::new(),
             dispatcher_changes: 0,
             in_flight: None,
             held_attempt: None,
