--- a/crates/crocusdale_core/src/batching/batch_job.rs
+++ b/crates/crocusdale_core/src/batching/batch_job.rs
@@ -36,7 +36,13 @@
     pub(super) fn new(order: PieceOrder) -> Self {
         let pieces = order.pieces;
         let (results, waiting) = (vec![None; pieces as usize], (0..pieces).collect());
-        Self { results, waiting, was_dispatched: order.repeated, suspected_crashes: 0, order }
+        Self {
+            results,
+            waiting,
+            was_dispatched: order.is_resubmission,
+            suspected_crashes: 0,
+            order,
+        }
     }
 
     /// Sort key in the queue: the due time, with a penalty for low priority and for floods. The job
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -137,14 +137,14 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let attempt = order.attempt;
-        self.note_activity(order.repeated, now);
+        self.note_activity(order.is_resubmission, now);
         if order.pieces == 0 {
             let pool = order.pool;
             actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(Vec::new()) });
             return;
         }
         // Another dispatcher may already have processed these pieces, so they count as retries.
-        if order.repeated {
+        if order.is_resubmission {
             if !(0..order.pieces).all(|_| self.retry_budget.spend(now)) {
                 actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
--- a/crates/crocusdale_core/src/pipeline/piece_order.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_order.rs
@@ -36,7 +36,7 @@
     /// Time after which the results are of no use.
     pub expires: MonotonicTime,
     /// Whether another dispatcher may already have worked on these pieces.
-    pub repeated: bool,
+    pub is_resubmission: bool,
 }
 
 /// Input from which the pieces of a batched step are computed.
--- a/crates/crocusdale_core/src/pipeline/piece_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_steps.rs
@@ -58,7 +58,7 @@
             is_flood: self.plan.is_flood,
             target_end: self.plan.target_end(position),
             expires: self.plan.latest_end(position),
-            repeated: !self.step_runs[index].failed_targets.is_empty() || self.rebuilds > 0,
+            is_resubmission: !self.step_runs[index].failed_targets.is_empty() || self.rebuilds > 0,
         };
         let step_run = &mut self.step_runs[index];
         step_run.attempts += 1;
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -43,7 +43,7 @@
             level: u32::from(self.level),
             due_ms: millis(self.target_end.since(now)) - millis(now.since(self.target_end)),
             left_ms: millis(self.expires.since(now)).unsigned_abs(),
-            repeated: self.repeated,
+            repeated: self.is_resubmission,
             result_bytes: self.result_bytes,
             inputs_pool: self.inputs_pool.clone().unwrap_or_default(),
             is_flood: self.is_flood,
@@ -78,7 +78,7 @@
             is_flood: wire.is_flood,
             target_end: MonotonicTime::from_start(due),
             expires: now + Duration::from_millis(wire.left_ms),
-            repeated: wire.repeated,
+            is_resubmission: wire.repeated,
         })
     }
 }
--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -244,7 +244,7 @@
     bench.free_room = Some(ROOM / 2);
     let mut order = bench.order(10, 900);
     order.result_bytes = ROOM / 10;
-    order.repeated = true;
+    order.is_resubmission = true;
     bench.offer(order);
     assert_eq!(bench.asked.last().map(String::as_str), Some("u1"));
     assert_eq!(bench.calls[0].items.len(), 4, "half of the memory is free, nine tenths are used");
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -128,7 +128,7 @@
             expires: self.now + Duration::from_secs(6),
             inputs_pool: None,
             is_flood: false,
-            repeated: false,
+            is_resubmission: false,
         }
     }
 
