--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -340,10 +340,10 @@
             ShardAction::WriteRegister(register) => {
                 self.ask_witness(register, now, &mut steps, out)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: false } => {
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: false } => {
                 self.router().greet(&upstream, &life)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: true } => {
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
                 lock(&self.fleet).view.take_leaving_upstream(&news, now);
                 self.take_leaving(&[news], now, out);
--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -117,12 +117,12 @@
     DispatcherLost(String),
     /// No byte of the call was written.
     NotSent,
-    /// The response head arrived from the upstream process `life`.
+    /// The response head arrived from the upstream process `process`.
     ProcessIdentified {
         /// Identity of the process behind the upstream.
-        life: String,
+        process: String,
         /// Whether the process announced that it is shutting down.
-        leaving: bool,
+        is_leaving: bool,
     },
     /// One line of a streamed answer arrived.
     Line(StreamLine),
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -188,9 +188,9 @@
                 self.step_runs[index].attempts -= 1;
                 self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
-            AttemptEvent::ProcessIdentified { life, leaving } => {
+            AttemptEvent::ProcessIdentified { process, is_leaving } => {
                 let upstream = self.record_progress(index, now).to_owned();
-                actions.push(ShardAction::RecordProcess { upstream, life, leaving });
+                actions.push(ShardAction::RecordProcess { upstream, process, is_leaving });
                 None
             }
             AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
--- a/crates/crocusdale_core/src/pipeline/shard_action.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -77,14 +77,14 @@
     ReleasePermit(AdmissionPermit),
     /// Write to the register of one witness.
     WriteRegister(RegisterCall),
-    /// Record that the process `life` behind an upstream answers.
+    /// Record that the process `process` behind an upstream answers.
     RecordProcess {
         /// Name of the upstream.
         upstream: String,
         /// Identity of the upstream's process.
-        life: String,
+        process: String,
         /// Whether the process announced that it is shutting down.
-        leaving: bool,
+        is_leaving: bool,
     },
 }
 
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -47,7 +47,7 @@
     if echo.is_some_and(|echo| echo != attempt) {
         return AttemptEvent::Broken(BreakReason::OtherAttempt);
     }
-    let greeting = AttemptEvent::ProcessIdentified { life, leaving };
+    let greeting = AttemptEvent::ProcessIdentified { process: life, is_leaving: leaving };
     engine.feed(DaemonEvent::Attempt { attempt, event: greeting });
     if order.stream {
         read_lines(engine, attempt, response).await
