--- a/crates/crocusdale_core/src/pipeline/final_answer.rs
+++ b/crates/crocusdale_core/src/pipeline/final_answer.rs
@@ -158,7 +158,7 @@
     /// Time from the arrival of the request to its end, for metrics. It is not sent, as callers can
     /// measure it themselves.
     #[serde(skip)]
-    pub took: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 /// Final answer together with its JSON body, which is serialized once.
@@ -179,7 +179,7 @@
     /// Time and cost of each answered stage.
     pub stages: Vec<StageCost>,
     /// Time from the arrival of the request to its end; `None` if this process did not measure it.
-    pub took: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 impl FinalOutcome {
@@ -197,7 +197,7 @@
             same_key: None,
             answer: None,
             stages: Vec::new(),
-            took: None,
+            duration: None,
         }
     }
 
@@ -235,7 +235,7 @@
             retry_after: outcome.retry_after_ms.map(Duration::from_millis),
             body,
             stages: outcome.stages,
-            took: outcome.took,
+            duration: outcome.duration,
         }
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -279,7 +279,7 @@
         }
         outcome.stage = stage;
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived_at));
+        outcome.duration = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 
@@ -411,7 +411,7 @@
             outcome.answer = Some(self.combined_answer());
         }
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived_at));
+        outcome.duration = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 }
--- a/crates/crocusdaled/src/telemetry/metric_set.rs
+++ b/crates/crocusdaled/src/telemetry/metric_set.rs
@@ -85,8 +85,8 @@
         let reason = answer.reason.as_ref().map(RefusalReason::to_string).unwrap_or_default();
         let kind = answer.kind.to_string();
         self.outcomes.with_label_values(&[kind.as_str(), reason.as_str()]).inc();
-        if let Some(took) = answer.took {
-            self.requests.with_label_values(&[kind.as_str()]).observe(took.as_secs_f64());
+        if let Some(duration) = answer.duration {
+            self.requests.with_label_values(&[kind.as_str()]).observe(duration.as_secs_f64());
         }
         for stage in &answer.stages {
             let histogram = self.stages.with_label_values(&[stage.stage.as_str()]);
--- a/crates/crocusdaled/src/telemetry/mod.rs
+++ b/crates/crocusdaled/src/telemetry/mod.rs
@@ -45,7 +45,7 @@
             "reason" => answer.reason.map(|reason| reason.to_string()),
             "ended_at" => answer.stage.as_deref(), "revision" => revision,
             "retry_after_ms" => answer.retry_after.map(millis),
-            "took_ms" => answer.took.map(millis),
+            "took_ms" => answer.duration.map(millis),
             "stages" => slog::Serde(answer.stages.clone()));
     }
 
