--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -117,7 +117,7 @@
     DispatcherLost(String),
     /// No byte of the call was written.
     NotSent,
-    /// The response head arrived from the upstream process `process`.
+    /// The response head arrived, with the identity of the upstream process that sent it.
     ProcessIdentified {
         /// Identity of the process behind the upstream.
         process: String,
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,9 +10,9 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// Minimum retry delay for a caller whose request was shed, unless less time is left until the
-/// request's deadline; then that time is the minimum. A batched call takes a few tenths of a second,
-/// so the queues have moved on by then.
+/// Minimum retry delay for a caller whose request was shed. If less time is left until the
+/// request's deadline, that time is the minimum instead. A batched call takes a few tenths of a
+/// second, so the queues have moved on by then.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
--- a/crates/crocusdale_core/src/pipeline/shard_action.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -77,7 +77,7 @@
     ReleasePermit(AdmissionPermit),
     /// Write to the register of one witness.
     WriteRegister(RegisterCall),
-    /// Record that the process `process` behind an upstream answers.
+    /// Record which process answers behind an upstream.
     RecordProcess {
         /// Name of the upstream.
         upstream: String,
