--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -91,17 +91,19 @@
             }
             DaemonEvent::CallerDisconnected(call) => {
                 self.state.remove_queued_request(call, &mut actions);
-                self.state.shard(call.0).abandon(call, now, &mut actions);
+                self.state.shard(call.0).handle_disconnect(call, now, &mut actions);
             }
             DaemonEvent::Attempt { attempt, event } => {
-                self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut actions);
+                self.state
+                    .shard(attempt.call.0)
+                    .handle_attempt_event(attempt, event, now, &mut actions);
             }
             DaemonEvent::WitnessReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
-                shard.register_replied(call, &witness, reply, now, &mut actions);
+                shard.handle_register_reply(call, &witness, reply, now, &mut actions);
             }
             DaemonEvent::HolderReplied { call, reply } => {
-                self.state.shard(call.0).holder_replied(call, reply, now, &mut actions);
+                self.state.shard(call.0).handle_holder_reply(call, reply, now, &mut actions);
             }
             DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
             DaemonEvent::PiecesReceived(order) => {
@@ -413,7 +415,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut actions = Vec::new();
-        self.state.shard(call.0).timer(timer, now, &mut actions);
+        self.state.shard(call.0).handle_timer(timer, now, &mut actions);
         self.state.run_actions(actions, now, out);
     }
 
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -20,7 +20,7 @@
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
-        self.shard(order.attempt.call.0).note_section(order.attempt, &order.pool);
+        self.shard(order.attempt.call.0).record_section(order.attempt, &order.pool);
         let vm = {
             let fleet = lock(&self.fleet);
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
@@ -249,6 +249,6 @@
             Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
-        self.shard(attempt.call.0).attempt_event(attempt, event, now, actions);
+        self.shard(attempt.call.0).handle_attempt_event(attempt, event, now, actions);
     }
 }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -34,13 +34,13 @@
         let HeldRequest { call, request, arrived } = held;
         let mut actions = Vec::new();
         let key = request.key.clone();
-        let claimed = !request.repeatable && request.forward().is_none();
-        if claimed && self.shard(call.0).join(call, &key, now, &mut actions) {
+        let claimed = !request.repeatable && request.forward_head().is_none();
+        if claimed && self.shard(call.0).join_run(call, &key, now, &mut actions) {
             self.run_actions(actions, now, out);
             return;
         }
         let is_about_to_exit = lock(&self.refuse_requests_from).is_some_and(|from| now >= from);
-        if is_about_to_exit && request.forward().is_some() {
+        if is_about_to_exit && request.forward_head().is_some() {
             let refusal = refusal(&key, RefusalReason::Draining, DRAINING_RETRY_AFTER);
             self.refuse(call, key, None, refusal, now, out);
             return;
@@ -52,7 +52,7 @@
             self.refuse(call, key, age, refusal, now, out);
             return;
         };
-        let (forwarded, age) = (request.forward().is_some(), request.age);
+        let (forwarded, age) = (request.forward_head().is_some(), request.age);
         let repeatable = request.repeatable || forwarded;
         match self.admit(request, declarations, arrived, now) {
             Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut actions),
@@ -75,7 +75,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut actions = Vec::new();
-        if !self.shard(call.0).join(call, &key, now, &mut actions) {
+        if !self.shard(call.0).join_run(call, &key, now, &mut actions) {
             actions = self.start_inquiry(call, key, None, age, now);
         }
         self.run_actions(actions, now, out);
@@ -102,7 +102,7 @@
     ) -> Vec<ShardAction> {
         let mut actions = Vec::new();
         for grant in grants {
-            self.shard(grant.request.call.0).granted(grant, now, &mut actions);
+            self.shard(grant.request.call.0).handle_grant(grant, now, &mut actions);
         }
         actions
     }
@@ -187,7 +187,7 @@
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller marks as repeatable may match a pipeline that is not.
-        if plan.request.repeatable && shard.join(call, &key, now, actions) {
+        if plan.request.repeatable && shard.join_run(call, &key, now, actions) {
             actions.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
@@ -221,10 +221,10 @@
         now: MonotonicTime,
     ) -> Option<RefusalReason> {
         let key = &plan.request.key;
-        if shard.has_given_up(key) {
+        if shard.has_abandoned(key) {
             return Some(RefusalReason::NeverRun);
         }
-        if !shard.has_memory() {
+        if !shard.has_key_capacity() {
             return Some(RefusalReason::RequestLimit);
         }
         if plan.deadline >= plan.remembered_until {
@@ -305,7 +305,7 @@
                     self.acquire(request, reason, now, &mut actions);
                 } else {
                     out.push(Command::Count(CounterName::RetriesDenied));
-                    self.shard(request.call.0).denied(request.call, reason, now, &mut actions);
+                    self.shard(request.call.0).handle_refusal(request.call, reason, now, &mut actions);
                 }
             }
             ShardAction::CancelSlotRequest(request) => {
@@ -341,10 +341,10 @@
             ShardAction::WriteRegister(register) => {
                 self.ask_witness(register, now, &mut actions, out)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: false } => {
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: false } => {
                 self.router().confirm_running(&upstream, &life)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: true } => {
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
                 lock(&self.fleet).view.take_leaving_upstream(&news, now);
                 self.mark_leaving(&[news], now, out);
@@ -380,11 +380,15 @@
         }
         let claimant = (!bury).then_some(&self.own_instance);
         let reply = self.witness(&key, claimant, &witnesses, now, out);
-        self.shard(call.0).register_replied(call, &witness, Some(reply), now, actions);
+        self.shard(call.0).handle_register_reply(call, &witness, Some(reply), now, actions);
     }
 }
 
 /// Refused outcome for `key`, which its caller may retry after `retry_after`.
 fn refusal(key: &RequestKey, reason: RefusalReason, retry_after: Duration) -> Box<FinalOutcome> {
-    Box::new(FinalOutcome::new(OutcomeKind::Refused, key).reason(reason).retry(retry_after, true))
+    Box::new(
+        FinalOutcome::new(OutcomeKind::Refused, key)
+            .with_reason(reason)
+            .with_retry(retry_after, true),
+    )
 }
--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -102,7 +102,7 @@
 
     /// The head of a forwarded request, or `None` for a JSON request.
     #[must_use]
-    pub fn forward(&self) -> Option<&ForwardHead> {
+    pub fn forward_head(&self) -> Option<&ForwardHead> {
         match &self.content {
             RequestContent::Json(_) => None,
             RequestContent::Forward(head) => Some(head),
@@ -117,7 +117,9 @@
         let key = RequestKey::new(submitted.workspace, submitted.key);
         let refuse = |reason, detail: String| {
             Err(Box::new(
-                FinalOutcome::new(OutcomeKind::Refused, &key).reason(reason).detail(detail),
+                FinalOutcome::new(OutcomeKind::Refused, &key)
+                    .with_reason(reason)
+                    .with_detail(detail),
             ))
         };
         for (name, value) in [("workspace", &key.workspace), ("key", &key.key)] {
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -56,7 +56,7 @@
     pub(super) fn forward_slot_request(&self) -> Option<SlotRequest> {
         let mut steps = self.plan.pipeline.plan.steps().iter().enumerate();
         let (position, step) = steps.find(|(_, step)| step.work == StepWork::Forward)?;
-        let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
+        let demand = self.plan.request.forward_head().and_then(|head| head.demand.clone());
         Some(SlotRequest {
             call: self.call,
             branch: position,
@@ -134,7 +134,7 @@
         self.release_slot(index, AttemptReport::Failed, actions);
         let step_run = &mut self.step_runs[index];
         if let Some(in_flight) = step_run.in_flight.take() {
-            step_run.tried.push(in_flight.upstream);
+            step_run.failed_targets.push(in_flight.upstream);
         }
         step_run.held_attempt = Some(id);
         let request = self.slot_request(index);
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -239,7 +239,9 @@
             let mut queue = lock(&routed.queue);
             queue.retry_budget.record_first_attempt(now);
             // The subject is the last segment of the prompt prefix that other requests may share.
-            if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
+            if let Some(prefix) =
+                request.demand.as_ref().and_then(|demand| demand.last_shared_part())
+            {
                 queue.prefixes.record(prefix.id, now);
             }
         }
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -49,7 +49,7 @@
             due_ms: signed_millis(self.target_end.since(now))
                 - signed_millis(now.since(self.target_end)),
             left_ms: signed_millis(self.expires.since(now)).unsigned_abs(),
-            repeated: self.repeated,
+            repeated: self.is_resubmission,
             result_bytes: self.result_bytes,
             inputs_pool: self.inputs_pool.clone().unwrap_or_default(),
             is_flood: self.is_flood,
@@ -85,7 +85,7 @@
             is_flood: message.is_flood,
             target_end: MonotonicTime::from_start(due),
             expires: now + Duration::from_millis(message.left_ms),
-            repeated: message.repeated,
+            is_resubmission: message.repeated,
         })
     }
 }
