--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -94,9 +94,12 @@
                 self.state.shard(call.0).handle_disconnect(call, now, &mut actions);
             }
             DaemonEvent::Attempt { attempt, event } => {
-                self.state
-                    .shard(attempt.call.0)
-                    .handle_attempt_event(attempt, event, now, &mut actions);
+                self.state.shard(attempt.call.0).handle_attempt_event(
+                    attempt,
+                    event,
+                    now,
+                    &mut actions,
+                );
             }
             DaemonEvent::WitnessReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -305,7 +305,12 @@
                     self.acquire(request, reason, now, &mut actions);
                 } else {
                     out.push(Command::Count(CounterName::RetriesDenied));
-                    self.shard(request.call.0).handle_refusal(request.call, reason, now, &mut actions);
+                    self.shard(request.call.0).handle_refusal(
+                        request.call,
+                        reason,
+                        now,
+                        &mut actions,
+                    );
                 }
             }
             ShardAction::CancelSlotRequest(request) => {
--- a/crates/crocusdale_core/src/daemon/staleness_guard.rs
+++ b/crates/crocusdale_core/src/daemon/staleness_guard.rs
@@ -68,9 +68,16 @@
             Err(request) => match self.router().retry_delay(&request, now) {
                 Some(retry_after) => {
                     let refusal = (RefusalReason::Overload, retry_after);
-                    self.shard(request.call.0).handle_lasting_refusal(request.call, refusal, now, actions);
+                    self.shard(request.call.0).handle_lasting_refusal(
+                        request.call,
+                        refusal,
+                        now,
+                        actions,
+                    );
+                }
+                None => {
+                    self.shard(request.call.0).handle_refusal(request.call, reason, now, actions)
                 }
-                None => self.shard(request.call.0).handle_refusal(request.call, reason, now, actions),
             },
         }
     }
