--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -188,7 +188,7 @@
         let Some(vm_list) = vm_list else { return };
         if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
             self.refresh_basis();
-            self.state.router().take_roster(self.state.basis().history.current());
+            self.state.router().apply_roster(self.state.basis().history.current());
         }
     }
 
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -99,7 +99,7 @@
     ) {
         let directory = lock(&self.directory).directory.clone();
         let router = self.router().reconfigured(declarations, &directory, now);
-        router.take_roster(self.basis().history.current());
+        router.apply_roster(self.basis().history.current());
         // An upstream's entry may expire and come back. The new router has lost how long the
         // upstream refuses requests, so that is set again.
         let unavailable_until = lock(&self.away).clone();
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -170,7 +170,7 @@
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
-    pub fn take_roster(&self, roster: &VmRoster) {
+    pub fn apply_roster(&self, roster: &VmRoster) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
