--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -264,7 +264,7 @@
         let Some(upstream) = self.upstream(upstream) else { return Vec::new() };
         {
             let mut state = lock(&upstream.state);
-            state.end(report, now);
+            state.end_attempt(report, now);
             if let Some(engine) = &mut state.engine {
                 engine.end_request(call);
             }
@@ -349,7 +349,7 @@
         let upstream = &self.upstreams[position];
         let min_answer_time = {
             let mut state = lock(&upstream.state);
-            state.begin();
+            state.start_attempt();
             if let Some(routed) = self.pools.get(&request.stage) {
                 Self::record_send(routed, &mut state, now);
             }
--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -259,12 +259,12 @@
     }
 
     /// Records the start of an attempt.
-    pub fn begin(&mut self) {
+    pub fn start_attempt(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records the end of an attempt.
-    pub fn end(&mut self, report: AttemptReport, now: MonotonicTime) {
+    pub fn end_attempt(&mut self, report: AttemptReport, now: MonotonicTime) {
         debug_assert!(self.in_flight > 0, "an attempt ends once");
         self.in_flight = self.in_flight.saturating_sub(1);
         match report {
--- a/crates/crocusdale_core/tests/upstream_state_test.rs
+++ b/crates/crocusdale_core/tests/upstream_state_test.rs
@@ -10,19 +10,19 @@
 }
 
 fn answered(state: &mut UpstreamState, millis: u64) {
-    state.begin();
-    state.end(AttemptReport::Answered(Duration::from_millis(millis)), at(0));
+    state.start_attempt();
+    state.end_attempt(AttemptReport::Answered(Duration::from_millis(millis)), at(0));
 }
 
 /// Attempts that it takes at one time now.
 fn room(state: &mut UpstreamState) -> u32 {
     let mut open = 0;
     while state.has_room() {
-        state.begin();
+        state.start_attempt();
         open += 1;
     }
     for _ in 0..open {
-        state.end(AttemptReport::Cancelled, at(0));
+        state.end_attempt(AttemptReport::Cancelled, at(0));
     }
     open
 }
@@ -53,12 +53,12 @@
 fn failing_upstream_is_ejected_for_longer_each_time() {
     let mut state = UpstreamState::new("u", 4);
     for _ in 0..3 {
-        state.begin();
-        state.end(AttemptReport::Failed, at(0));
+        state.start_attempt();
+        state.end_attempt(AttemptReport::Failed, at(0));
     }
     assert!(state.is_ejected(at(499)) && !state.is_ejected(at(500)));
-    state.begin();
-    state.end(AttemptReport::Failed, at(500));
+    state.start_attempt();
+    state.end_attempt(AttemptReport::Failed, at(500));
     assert!(state.is_ejected(at(1_499)) && !state.is_ejected(at(1_500)));
     answered(&mut state, 10);
     assert!(!state.is_ejected(at(501)));
@@ -91,8 +91,8 @@
     answered(&mut good, 10);
     answered(&mut bad, 2);
     assert!(bad.cost() < good.cost());
-    bad.begin();
-    bad.end(AttemptReport::Failed, at(0));
+    bad.start_attempt();
+    bad.end_attempt(AttemptReport::Failed, at(0));
     assert!(bad.cost() > good.cost());
     answered(&mut bad, 2);
     assert!(bad.cost() < good.cost());
