--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -402,7 +402,7 @@
                 && self.limiter.allows(&upstream.rules.name, RateUse::Shared, now)
                 && {
                     let state = lock(&upstream.state);
-                    state.has_room()
+                    state.has_free_slot()
                         && !state.is_leaving()
                         && state.backoff_left(now).is_zero()
                         && !state.is_ejected(now)
--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -167,7 +167,7 @@
 
     /// Whether the upstream has a free slot for one more attempt.
     #[must_use]
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         match &self.engine {
             // An engine processes all its requests concurrently, and its answers are streams of any
             // length. Their times don't indicate a queue, so that the adaptive window is not used.
--- a/crates/crocusdale_core/tests/upstream_state_test.rs
+++ b/crates/crocusdale_core/tests/upstream_state_test.rs
@@ -17,7 +17,7 @@
 /// Attempts that it takes at one time now.
 fn room(state: &mut UpstreamState) -> u32 {
     let mut open = 0;
-    while state.has_room() {
+    while state.has_free_slot() {
         state.start_attempt();
         open += 1;
     }
