--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -295,7 +295,7 @@
                 self.acquire(request, RefusalReason::NoUpstream, now, &mut steps);
             }
             ShardAction::AcquireRetrySlot { request, reason } => {
-                if self.router().allow_retry(&request, now) {
+                if self.router().take_retry(&request, now) {
                     out.push(Command::Count(CounterName::Retries));
                     self.acquire(request, reason, now, &mut steps);
                 } else {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -200,7 +200,7 @@
     /// Takes one retry from the retry budget of the request's pool. Returns `false` if the budget
     /// is exhausted. The baseline policy allows a fixed number of retries instead.
     #[must_use]
-    pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
+    pub fn take_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
             return request.tried.len() <= BASELINE_RETRIES;
         }
