--- a/crates/crocusdale_core/examples/directory_slopes.rs
+++ b/crates/crocusdale_core/examples/directory_slopes.rs
@@ -78,7 +78,7 @@
         stage: "notify".to_owned(),
         level: 0,
         deadline: NOW + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
         homes: Default::default(),
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -63,7 +63,7 @@
             stage: step.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: Vec::new(),
+            failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
             homes: self.plan.homes.clone(),
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -342,7 +342,7 @@
             stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: step_run.tried.clone(),
+            failed_upstreams: step_run.tried.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
             homes: self.plan.homes.clone(),
--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -28,7 +28,7 @@
     /// Deadline of the caller's request.
     pub deadline: MonotonicTime,
     /// Names of the upstreams at which earlier attempts of the call failed.
-    pub tried: Vec<String>,
+    pub failed_upstreams: Vec<String>,
     /// Prompt and token counts for a model engine. `None` for other upstreams.
     pub demand: Option<Arc<EngineDemand>>,
     /// Digest of the request, which is equal for its repetitions.
@@ -97,7 +97,8 @@
     pub fn pop_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
         let mut candidates = self.waiting.iter();
         let key = candidates.find(|(_, request)| {
-            request.tried.iter().all(|failed| failed != upstream) && request.homes.allow(region)
+            request.failed_upstreams.iter().all(|failed| failed != upstream)
+                && request.homes.allow(region)
         });
         let key = *key?.0;
         self.waiting.remove(&key)
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -93,7 +93,8 @@
     #[must_use]
     pub fn retry_delay(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
-        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        let availability =
+            self.availability(routed, &request.homes, &request.failed_upstreams, now);
         availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
     }
 
@@ -104,7 +105,8 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> bool {
-        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        let availability =
+            self.availability(routed, &request.homes, &request.failed_upstreams, now);
         match availability {
             PoolAvailability::Available => true,
             PoolAvailability::NoShare(_) | PoolAvailability::NoUpstream => false,
@@ -165,14 +167,14 @@
         &self,
         routed: &RoutedPool,
         homes: &HomeRegions,
-        tried: &[String],
+        failed_upstreams: &[String],
         now: MonotonicTime,
     ) -> PoolAvailability {
         let (mut schedule, mut no_share) = (TokenSchedule::default(), None::<Duration>);
         for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
             let upstream = &self.upstreams[position];
             let name = &upstream.rules.name;
-            if tried.contains(name) || !homes.allow(self.region_of(position)) {
+            if failed_upstreams.contains(name) || !homes.allow(self.region_of(position)) {
                 continue;
             }
             let backoff = {
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -105,7 +105,7 @@
         now: MonotonicTime,
     ) -> Option<f64> {
         let upstream = &self.upstreams[position];
-        if request.tried.contains(&upstream.rules.name) {
+        if request.failed_upstreams.contains(&upstream.rules.name) {
             return None;
         }
         if !request.homes.allow(self.region_of(position)) {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -202,7 +202,7 @@
     #[must_use]
     pub fn take_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
-            return request.tried.len() <= BASELINE_RETRIES;
+            return request.failed_upstreams.len() <= BASELINE_RETRIES;
         }
         self.pools
             .get(&request.stage)
@@ -235,7 +235,7 @@
         now: MonotonicTime,
     ) -> Result<Option<SlotGrant>, SlotRequest> {
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
-        if request.tried.is_empty() {
+        if request.failed_upstreams.is_empty() {
             let mut queue = lock(&routed.queue);
             queue.retry_budget.record_first_attempt(now);
             // The subject is the last segment of the prompt prefix that other requests may share.
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -75,7 +75,7 @@
         stage: "reader".to_owned(),
         level: 0,
         deadline: now + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
         homes: HomeRegions::default(),
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -34,7 +34,7 @@
         stage: "desk".to_owned(),
         level: 0,
         deadline: MonotonicTime::from_millis(1_000),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
         homes: HomeRegions::default(),
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -150,7 +150,7 @@
         stage: "reader".to_owned(),
         level: 1,
         deadline: MonotonicTime::from_start(Duration::from_secs(60)),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: Some(Arc::new(demand)),
         digest: Default::default(),
         homes: HomeRegions::default(),
--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -49,7 +49,7 @@
         stage: stage.to_owned(),
         level: 0,
         deadline: NOW + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
         homes: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -343,7 +343,7 @@
         stage: "notify".to_owned(),
         level: 0,
         deadline: start + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
         homes: HomeRegions::default(),
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -129,7 +129,7 @@
         stage: batch_bench::POOL.to_owned(),
         level: 0,
         deadline: now + Duration::from_secs(5),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
         homes: HomeRegions::default(),
