--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -66,7 +66,7 @@
             failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
-            homes: self.plan.homes.clone(),
+            allowed_regions: self.plan.homes.clone(),
         })
     }
 
