--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -88,7 +88,7 @@
         evacuations: Vec<(u64, String)>,
     ) -> Self {
         let with_position = |(revision, zone)| ZoneEvacuation {
-            written: StorePosition { era: position.era, revision },
+            write_position: StorePosition { era: position.era, revision },
             zone,
         };
         let evacuations = evacuations.into_iter().map(with_position).collect();
--- a/crates/crocusdale_core/src/routing/peer_directory.rs
+++ b/crates/crocusdale_core/src/routing/peer_directory.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct PeerEntry {
     /// Store position of the entry's last write.
-    pub written: StorePosition,
+    pub write_position: StorePosition,
     /// The entry as the platform publishes it, or last published it.
     pub entry: DirectoryEntry,
     /// Remaining time until the sender removes the entry. `None` if the platform still lists it.
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 struct ListedUpstream {
     /// Store position of the entry's last write, including heartbeats.
-    written: StorePosition,
+    write_position: StorePosition,
     /// Store position of the last write that affects routing.
     changed: StorePosition,
     entry: DirectoryEntry,
@@ -239,8 +239,8 @@
         for id in unlisted {
             changed |= self.handle_unlisted(&id, position, grace);
         }
-        for (written, entry) in entries {
-            changed |= self.upsert(written, entry);
+        for (write_position, entry) in entries {
+            changed |= self.upsert(write_position, entry);
         }
         self.position = position;
         changed
@@ -273,7 +273,7 @@
             })
             .collect();
         let entries =
-            list.entries.into_iter().map(|listed| (listed.written, listed.entry)).collect();
+            list.entries.into_iter().map(|listed| (listed.write_position, listed.entry)).collect();
         let (position, cold) = (list.position, list.cold);
         let mut changed = self.replace_evacuations(position, list.evacuations, grace);
         changed |= match list.removed {
@@ -300,8 +300,8 @@
         for removal in removed {
             changed |= self.remove(&removal.id, removal.position);
         }
-        for (written, entry) in entries {
-            changed |= self.upsert(written, entry);
+        for (write_position, entry) in entries {
+            changed |= self.upsert(write_position, entry);
         }
         self.position = position;
         changed
@@ -388,21 +388,21 @@
 
     fn to_peer_entry(&self, id: &str, listed: &ListedUpstream, now: MonotonicTime) -> PeerEntry {
         PeerEntry {
-            written: listed.written,
+            write_position: listed.write_position,
             entry: listed.entry.clone(),
             expires_in: self.missing.get(id).map(|expires_at| expires_at.since(now)),
         }
     }
 
-    fn upsert(&mut self, written: StorePosition, entry: DirectoryEntry) -> bool {
-        if self.removed.get(&entry.id).is_some_and(|(removed, _)| *removed > written) {
+    fn upsert(&mut self, write_position: StorePosition, entry: DirectoryEntry) -> bool {
+        if self.removed.get(&entry.id).is_some_and(|(removed, _)| *removed > write_position) {
             return false;
         }
-        if self.is_restored_after_removal(written, &entry) {
+        if self.is_restored_after_removal(write_position, &entry) {
             return false;
         }
         let recorded = self.entries.get(&entry.id);
-        if recorded.is_some_and(|recorded| recorded.written > written) {
+        if recorded.is_some_and(|recorded| recorded.write_position > write_position) {
             return false;
         }
         // A write from an earlier run of the process may reach the platform after one from a later
@@ -428,13 +428,13 @@
         let is_leaving = is_leaving || self.leaving_notices.contains_key(&entry.name());
         let is_outdated = is_leaving && !entry.leaving;
         let changed = !is_outdated && recorded.is_none_or(|recorded| recorded.entry != entry);
-        let last_change = recorded.map_or(written, |recorded| recorded.changed);
+        let last_change = recorded.map_or(write_position, |recorded| recorded.changed);
         if changed {
-            self.changed = self.changed.max(written);
+            self.changed = self.changed.max(write_position);
         }
         let entry = DirectoryEntry { leaving: entry.leaving || is_leaving, ..entry };
-        let last_change = if changed { written } else { last_change };
-        let listed = ListedUpstream { written, changed: last_change, entry };
+        let last_change = if changed { write_position } else { last_change };
+        let listed = ListedUpstream { write_position, changed: last_change, entry };
         self.entries.insert(listed.entry.id.clone(), listed);
         changed
     }
@@ -466,10 +466,14 @@
     /// Guards against requests to processes that left or crashed in the seconds that the store
     /// lost. The restored store lists them until their leases expire. A process that is still
     /// running renews its entry with a heartbeat, which is written after the restore.
-    fn is_restored_after_removal(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
+    fn is_restored_after_removal(
+        &self,
+        write_position: StorePosition,
+        entry: &DirectoryEntry,
+    ) -> bool {
         self.removed.get(&entry.id).is_some_and(|(removed, started_at_ms)| {
-            removed.era < written.era
-                && written <= self.restore_position
+            removed.era < write_position.era
+                && write_position <= self.restore_position
                 && entry.started_at_ms <= *started_at_ms
         })
     }
@@ -478,7 +482,8 @@
         let started_at_ms = self.entries.get(id).and_then(|listed| listed.entry.started_at_ms);
         let last = self.removed.get(id).and_then(|(_, started_at_ms)| *started_at_ms);
         self.removed.insert(id.to_owned(), (position, started_at_ms.max(last)));
-        let is_removed = self.entries.get(id).is_some_and(|listed| listed.written <= position);
+        let is_removed =
+            self.entries.get(id).is_some_and(|listed| listed.write_position <= position);
         if is_removed {
             self.entries.remove(id);
             self.missing.remove(id);
--- a/crates/crocusdale_core/src/routing/zone_evacuations.rs
+++ b/crates/crocusdale_core/src/routing/zone_evacuations.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneEvacuation {
     /// Store position at which the operator's request was written.
-    pub written: StorePosition,
+    pub write_position: StorePosition,
     /// Name of the availability zone.
     pub zone: String,
 }
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 struct EvacuationRecord {
-    written: StorePosition,
+    write_position: StorePosition,
     /// Time until which the zone stays evacuated although the store, restored from an older copy,
     /// lacks its item. `None` if no time limit applies.
     expires_at: Option<MonotonicTime>,
@@ -43,7 +43,10 @@
     pub(super) fn snapshot(&self) -> Vec<ZoneEvacuation> {
         let zones = self.zones.iter();
         zones
-            .map(|(zone, record)| ZoneEvacuation { written: record.written, zone: zone.clone() })
+            .map(|(zone, record)| ZoneEvacuation {
+                write_position: record.write_position,
+                zone: zone.clone(),
+            })
             .collect()
     }
 
@@ -62,8 +65,8 @@
             is_listed(zone) || record.expires_at.is_some()
         });
         let mut changed = self.zones.len() != before;
-        for ZoneEvacuation { written, zone } in listed {
-            let record = EvacuationRecord { written, expires_at: None };
+        for ZoneEvacuation { write_position, zone } in listed {
+            let record = EvacuationRecord { write_position, expires_at: None };
             changed |= self.zones.insert(zone, record).is_none();
         }
         changed
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -208,20 +208,20 @@
 }
 
 impl From<ZoneEvacuation> for peer::ZoneEvacuation {
-    fn from(ZoneEvacuation { written, zone }: ZoneEvacuation) -> Self {
-        Self { zone, revision: written.revision, era: written.era }
+    fn from(ZoneEvacuation { write_position, zone }: ZoneEvacuation) -> Self {
+        Self { zone, revision: write_position.revision, era: write_position.era }
     }
 }
 
 impl From<peer::ZoneEvacuation> for ZoneEvacuation {
     fn from(wire: peer::ZoneEvacuation) -> Self {
-        let written = StorePosition { era: wire.era, revision: wire.revision };
-        Self { written, zone: wire.zone }
+        let write_position = StorePosition { era: wire.era, revision: wire.revision };
+        Self { write_position, zone: wire.zone }
     }
 }
 
 impl From<PeerEntry> for peer::DirectoryEntry {
-    fn from(PeerEntry { written, entry, expires_in }: PeerEntry) -> Self {
+    fn from(PeerEntry { write_position, entry, expires_in }: PeerEntry) -> Self {
         Self {
             id: entry.id,
             pool: entry.pool,
@@ -229,8 +229,8 @@
             zone: entry.zone,
             slots: entry.slots,
             leaving: entry.leaving,
-            revision: written.revision,
-            era: written.era,
+            revision: write_position.revision,
+            era: write_position.era,
             born: entry.started_at_ms,
             lapses_in_ms: expires_in.map(short_millis),
         }
@@ -251,8 +251,8 @@
             started_at_ms: wire.born,
         };
         let expires_in = wire.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
-        let written = StorePosition { era: wire.era, revision: wire.revision };
-        Ok(Self { written, entry, expires_in })
+        let write_position = StorePosition { era: wire.era, revision: wire.revision };
+        Ok(Self { write_position, entry, expires_in })
     }
 }
 
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -191,7 +191,7 @@
     pub fn informed(&self) -> usize {
         let known = |core: &&DaemonCore| {
             let list = core.published_upstreams(self.now);
-            list.entries.iter().any(|each| each.written == self.published.0.into())
+            list.entries.iter().any(|each| each.write_position == self.published.0.into())
         };
         self.cores.iter().filter(known).count()
     }
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -40,7 +40,7 @@
 }
 
 fn evacuation(written: StorePosition, zone: &str) -> ZoneEvacuation {
-    ZoneEvacuation { written, zone: zone.to_owned() }
+    ZoneEvacuation { write_position: written, zone: zone.to_owned() }
 }
 
 fn staying(directory: &UpstreamDirectory) -> Vec<&str> {
