--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -550,7 +550,7 @@
         out: &mut Vec<Command>,
     ) {
         if changed {
-            let StorePosition { era, revision } = self.directory.changed();
+            let StorePosition { era, revision } = self.directory.change_position();
             let upstreams = self.directory.staying().count();
             let age_ms = age.map(whole_millis);
             let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -139,7 +139,7 @@
             let restarted = state.directory.take_restarted();
             out.extend(restarted.into_iter().map(Command::CloseStaleConnections));
             let lowest_position = StorePosition::from(u64::from(state.directory.is_known()));
-            (state.directory.changed().max(lowest_position), state.verified_at())
+            (state.directory.change_position().max(lowest_position), state.verified_at())
         };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -58,7 +58,7 @@
     /// Store position of the entry's last write, including heartbeats.
     write_position: StorePosition,
     /// Store position of the last write that affects routing.
-    changed: StorePosition,
+    change_position: StorePosition,
     entry: DirectoryEntry,
 }
 
@@ -76,7 +76,7 @@
     /// Store position of the first list in the present era. All changes since then are known.
     complete_since: StorePosition,
     /// Store position of the last change that affects routing.
-    changed: StorePosition,
+    change_position: StorePosition,
     entries: BTreeMap<String, ListedUpstream>,
     /// Removed upstreams by process ID, with the store position of the removal and the last known
     /// start time.
@@ -105,8 +105,8 @@
 
     /// Store position of the last change that affects routing.
     #[must_use]
-    pub fn changed(&self) -> StorePosition {
-        self.changed
+    pub fn change_position(&self) -> StorePosition {
+        self.change_position
     }
 
     /// Whether a list has been read or received from a peer.
@@ -139,7 +139,7 @@
             has_changed |= self.cold.record(upstream, now);
         }
         if has_changed {
-            self.changed = self.changed.max(self.position);
+            self.change_position = self.change_position.max(self.position);
         }
         has_changed
     }
@@ -166,7 +166,7 @@
         }
         let changed = self.evacuations.replace(listed, grace);
         if changed {
-            self.changed = self.changed.max(position);
+            self.change_position = self.change_position.max(position);
         }
         changed
     }
@@ -320,7 +320,7 @@
         self.has_expired_missing |= !expired.is_empty();
         let has_ended_evacuations = self.evacuations.remove_expired(now);
         if has_ended_evacuations {
-            self.changed = self.changed.max(self.position);
+            self.change_position = self.change_position.max(self.position);
         }
         has_ended_evacuations || !expired.is_empty()
     }
@@ -358,8 +358,9 @@
             return self.snapshot(now);
         }
         let entries = self.entries.iter();
-        let recent =
-            entries.filter(|(id, listed)| listed.changed > since || self.missing.contains_key(*id));
+        let recent = entries.filter(|(id, listed)| {
+            listed.change_position > since || self.missing.contains_key(*id)
+        });
         let removed = self.removed.iter().filter(|(_, (position, _))| *position > since);
         let removed =
             removed.map(|(id, (position, _))| PeerRemoval { position: *position, id: id.clone() });
@@ -428,13 +429,13 @@
         let is_leaving = is_leaving || self.leaving_notices.contains_key(&entry.name());
         let is_outdated = is_leaving && !entry.leaving;
         let changed = !is_outdated && recorded.is_none_or(|recorded| recorded.entry != entry);
-        let last_change = recorded.map_or(write_position, |recorded| recorded.changed);
+        let last_change = recorded.map_or(write_position, |recorded| recorded.change_position);
         if changed {
-            self.changed = self.changed.max(write_position);
+            self.change_position = self.change_position.max(write_position);
         }
         let entry = DirectoryEntry { leaving: entry.leaving || is_leaving, ..entry };
         let last_change = if changed { write_position } else { last_change };
-        let listed = ListedUpstream { write_position, changed: last_change, entry };
+        let listed = ListedUpstream { write_position, change_position: last_change, entry };
         self.entries.insert(listed.entry.id.clone(), listed);
         changed
     }
@@ -487,7 +488,7 @@
         if is_removed {
             self.entries.remove(id);
             self.missing.remove(id);
-            self.changed = self.changed.max(position);
+            self.change_position = self.change_position.max(position);
         }
         is_removed
     }
--- a/crates/crocusdale_core/tests/published_upstreams_test.rs
+++ b/crates/crocusdale_core/tests/published_upstreams_test.rs
@@ -89,9 +89,9 @@
     let mut directory = UpstreamDirectory::default();
     assert!(directory.replace(5, vec![(3, entry("u1"))], None));
     assert!(!directory.replace(6, vec![(6, entry("u1"))], None));
-    assert_eq!(directory.changed(), 3.into());
+    assert_eq!(directory.change_position(), 3.into());
     assert!(directory.replace(7, vec![(7, leaving("u1"))], None));
-    assert_eq!(directory.changed(), 7.into());
+    assert_eq!(directory.change_position(), 7.into());
 }
 
 /// A daemon that was cut off reads the list again, and waits two seconds for what may have lapsed
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -59,7 +59,7 @@
     let mut directory = known();
     assert!(directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("c"))], None));
     assert_eq!(staying(&directory), ["a", "c"]);
-    assert!(directory.changed() > at(1, 900));
+    assert!(directory.change_position() > at(1, 900));
     // An answer of before the drill, and a peer that has not heard of it, are late.
     assert!(!directory.replace(at(1, 950), vec![(300, entry("a")), (890, entry("b"))], None));
     assert_eq!(staying(&directory), ["a", "c"]);
@@ -87,7 +87,7 @@
     assert_eq!(staying(&directory), ["a", "b"], "it is still waited for");
     assert!(directory.remove_expired(LATER));
     assert_eq!(staying(&directory), ["a"]);
-    assert!(directory.changed() > at(2, 350), "others hear of it");
+    assert!(directory.change_position() > at(2, 350), "others hear of it");
 }
 
 #[test]
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -131,7 +131,7 @@
     assert_eq!(staying(&directory), ["a1"]);
     assert!(directory.replace_evacuations(at(1, 12), Vec::new(), None));
     assert_eq!(staying(&directory), ["a1", "b1"]);
-    assert_eq!(directory.changed(), at(1, 12), "peers hear of it");
+    assert_eq!(directory.change_position(), at(1, 12), "peers hear of it");
 }
 
 /// Guards against a zone that opens because the store came back from a copy of before its evacuation.
