--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -120,7 +120,7 @@
     ) {
         for (name, stage) in declarations.stages() {
             let PoolKind::Batch(rules) = stage.kind else { continue };
-            let staying = directory.staying().filter(|entry| entry.pool == name);
+            let staying = directory.available_entries().filter(|entry| entry.pool == name);
             let staying = staying.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
             self.upstreams.insert(name.to_owned(), staying.collect());
             for section in PoolSection::all(name, self.sections(name)) {
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -551,7 +551,7 @@
     ) {
         if changed {
             let StorePosition { era, revision } = self.directory.change_position();
-            let upstreams = self.directory.staying().count();
+            let upstreams = self.directory.available_entries().count();
             let age_ms = age.map(whole_millis);
             let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
             out.push(Command::LogStateChange(change));
--- a/crates/crocusdale_core/src/routing/router_update.rs
+++ b/crates/crocusdale_core/src/routing/router_update.rs
@@ -134,8 +134,8 @@
         PoolKind::Batch(_) => UpstreamKind::StagePool,
         PoolKind::Engine(_) => UpstreamKind::ModelEngine,
     };
-    let staying = directory.staying().filter(move |entry| entry.pool == stage);
-    staying.map(move |entry| UpstreamRules {
+    let available = directory.available_entries().filter(move |entry| entry.pool == stage);
+    available.map(move |entry| UpstreamRules {
         name: entry.name(),
         process: entry.id.clone(),
         vm: String::new(),
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -122,7 +122,7 @@
 
     /// Published upstreams that may get new work: those that are not leaving and not in an
     /// evacuated availability zone.
-    pub fn staying(&self) -> impl Iterator<Item = &DirectoryEntry> {
+    pub fn available_entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries().filter(|entry| !entry.leaving && !self.evacuations.contains(&entry.zone))
     }
 
--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -35,7 +35,7 @@
 }
 
 fn staying(directory: &UpstreamDirectory) -> Vec<String> {
-    directory.staying().map(|entry| entry.id.clone()).collect()
+    directory.available_entries().map(|entry| entry.id.clone()).collect()
 }
 
 /// Guards against a peer whose list differs from that of the daemon which tells it changes, whatever
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -44,7 +44,7 @@
 }
 
 fn staying(directory: &UpstreamDirectory) -> Vec<&str> {
-    directory.staying().map(|entry| entry.id.as_str()).collect()
+    directory.available_entries().map(|entry| entry.id.as_str()).collect()
 }
 
 /// Upstreams `a1` in zone a and `b1` in zone b, of which the latter is evacuated.
