--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -45,7 +45,7 @@
             out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
         if let Some(left) = notice.cold {
-            let cold_upstream = ColdUpstream { name: upstream.to_owned(), left };
+            let cold_upstream = ColdUpstream { name: upstream.to_owned(), remaining: left };
             let has_changed = lock(&self.directory).record_cold_start(cold_upstream, now, out);
             if let Some(declarations) = self.declarations_in_force().filter(|_| has_changed) {
                 self.rebuild_router(&declarations, now, out);
--- a/crates/crocusdale_core/src/routing/cold_upstreams.rs
+++ b/crates/crocusdale_core/src/routing/cold_upstreams.rs
@@ -13,7 +13,7 @@
     /// Name of the upstream, which is unique to this run of its process.
     pub name: String,
     /// Longest remaining time of the cold start.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// Published upstreams in their cold start, with the end that each of them reports.
@@ -26,11 +26,11 @@
     /// Records a cold start that an upstream reported by `now`. Returns whether its end is later
     /// than the recorded one by a significant time.
     pub(super) fn record(&mut self, cold: ColdUpstream, now: MonotonicTime) -> bool {
-        if cold.left.is_zero() {
+        if cold.remaining.is_zero() {
             return false;
         }
         self.end_times.retain(|_, end| *end > now);
-        let end = now + cold.left;
+        let end = now + cold.remaining;
         let recorded_end = self.end_times.get(&cold.name).copied();
         let is_extended = recorded_end.is_none_or(|recorded| end > recorded + MIN_EXTENSION);
         self.end_times.insert(cold.name, recorded_end.max(Some(end)).unwrap_or(end));
@@ -47,7 +47,7 @@
         let cold = self.end_times.iter().filter(|(_, end)| **end > now);
         let to_entry = |(name, end): (&String, &MonotonicTime)| ColdUpstream {
             name: name.clone(),
-            left: end.since(now),
+            remaining: end.since(now),
         };
         cold.map(to_entry).collect()
     }
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -196,14 +196,14 @@
 }
 
 impl From<ColdUpstream> for peer::ColdUpstream {
-    fn from(ColdUpstream { name, left }: ColdUpstream) -> Self {
-        Self { name, left_ms: short_millis(left) }
+    fn from(ColdUpstream { name, remaining }: ColdUpstream) -> Self {
+        Self { name, left_ms: short_millis(remaining) }
     }
 }
 
 impl From<peer::ColdUpstream> for ColdUpstream {
     fn from(wire: peer::ColdUpstream) -> Self {
-        Self { name: wire.name, left: Duration::from_millis(u64::from(wire.left_ms)) }
+        Self { name: wire.name, remaining: Duration::from_millis(u64::from(wire.left_ms)) }
     }
 }
 
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -216,7 +216,7 @@
 fn engine_that_turns_cold_again_is_spared_by_daemons_and_their_peers() {
     let mut known = directory(1, &["old"]);
     let now = MonotonicTime::from_millis(10_000);
-    let cold = ColdUpstream { name: entry("old").1.name(), left: Duration::from_secs(2) };
+    let cold = ColdUpstream { name: entry("old").1.name(), remaining: Duration::from_secs(2) };
     assert!(known.record_cold(vec![cold.clone()], now));
     assert!(!known.record_cold(vec![cold.clone()], now), "that is no news");
     let mut peer = directory(1, &["old"]);
