--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -44,7 +44,7 @@
             let upstream = upstream.to_owned();
             out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
-        if let Some(left) = notice.cold {
+        if let Some(left) = notice.cold_remaining {
             let cold_upstream = ColdUpstream { name: upstream.to_owned(), remaining: left };
             let has_changed = lock(&self.directory).record_cold_start(cold_upstream, now, out);
             if let Some(declarations) = self.declarations_in_force().filter(|_| has_changed) {
--- a/crates/crocusdale_core/src/routing/upstream_notice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_notice.rs
@@ -11,7 +11,7 @@
     /// rejected a request. `None` if the answer doesn't ask for that.
     pub backoff: Option<Duration>,
     /// Longest remaining time of the upstream's cold start. `None` if it reports no cold start.
-    pub cold: Option<Duration>,
+    pub cold_remaining: Option<Duration>,
     /// Request rate that the upstream accepts from all daemons together.
     pub rate: RateNotice,
 }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -28,8 +28,12 @@
 /// Time from an answer that turns a daemon away until the upstream must get nothing more from it.
 const AWAY_BOUND: Duration = Duration::from_millis(500);
 
-const LEAVING: UpstreamNotice =
-    UpstreamNotice { leaving: true, backoff: None, cold: None, rate: RateNotice::Unlimited };
+const LEAVING: UpstreamNotice = UpstreamNotice {
+    leaving: true,
+    backoff: None,
+    cold_remaining: None,
+    rate: RateNotice::Unlimited,
+};
 
 fn away(time: Duration) -> UpstreamNotice {
     UpstreamNotice { backoff: Some(time), ..UpstreamNotice::default() }
@@ -237,7 +241,7 @@
     daemon.advance(4_000);
     daemon.publish(&["n1"], &[]);
     let cold = Some(Duration::from_secs(3));
-    notice(&mut daemon, "r1", UpstreamNotice { cold, ..UpstreamNotice::default() });
+    notice(&mut daemon, "r1", UpstreamNotice { cold_remaining: cold, ..UpstreamNotice::default() });
     let list = daemon.core.published_upstreams(daemon.now);
     assert_eq!(list.cold.len(), 1, "peers are told");
     let dump = daemon.core.dump(daemon.now);
