--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -93,7 +93,8 @@
     /// Whether the upstream is in its cold start, and gets few requests.
     pub cold: bool,
     /// Moving average of the answer time, in milliseconds. `None` before the first answer.
-    pub learned_ms: Option<f64>,
+    #[serde(rename = "learned_ms")]
+    pub mean_answer_time_ms: Option<f64>,
 }
 
 impl UpstreamState {
@@ -291,7 +292,7 @@
             leaving: self.is_leaving(),
             ejected: self.is_ejected(now),
             cold: self.cold_until.is_some_and(|until| now < until),
-            learned_ms: self.mean_answer_time.map(|mean| mean.as_secs_f64() * 1e3),
+            mean_answer_time_ms: self.mean_answer_time.map(|mean| mean.as_secs_f64() * 1e3),
         }
     }
 
--- a/crates/crocusdale_core/tests/process_pause_test.rs
+++ b/crates/crocusdale_core/tests/process_pause_test.rs
@@ -90,7 +90,7 @@
         daemon.attempt(order.attempt, AttemptEvent::Passed);
         let learned = daemon.core.dump(daemon.now).upstreams;
         let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
-        assert_eq!(learned.learned_ms, None, "after {pause} ms");
+        assert_eq!(learned.mean_answer_time_ms, None, "after {pause} ms");
     }
 }
 
@@ -105,5 +105,5 @@
     daemon.attempt(order.attempt, AttemptEvent::Passed);
     let learned = daemon.core.dump(daemon.now).upstreams;
     let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
-    assert_eq!(learned.learned_ms, Some(600.0));
+    assert_eq!(learned.mean_answer_time_ms, Some(600.0));
 }
