--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -329,7 +329,7 @@
             registers,
             outcomes,
             keys,
-            waiting: router.waiting(),
+            waiting: router.waiting_counts(),
             waiting_pieces: lock(&self.state.dispatcher).waiting(),
             upstreams: router.summaries(now),
             limited_upstreams: self.state.limiter.summaries(),
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -326,7 +326,7 @@
 
     /// Number of queued attempts by stage, in ascending order of stage names.
     #[must_use]
-    pub fn waiting(&self) -> Vec<(String, usize)> {
+    pub fn waiting_counts(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
         let mut waiting: Vec<_> = pools
             .map(|(stage, routed)| (stage.clone(), lock(&routed.queue).waiting_count()))
