--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -84,7 +84,7 @@
 }
 
 impl DispatchAction {
-    /// Reports that the pieces of `attempt` have failed with `fault`.
+    /// An action that reports that all pieces of `attempt` have failed with `fault`.
     #[must_use]
     pub fn fail(attempt: AttemptId, pool: &str, fault: PieceFault) -> Self {
         Self::ReportOutcome { attempt, pool: pool.to_owned(), outcome: Err(fault) }
@@ -104,31 +104,32 @@
 
     /// Pauses or resumes forming calls. Calls are paused while the list of available upstreams is
     /// unreliable.
-    pub fn hold(&mut self, is_paused: bool) {
+    pub fn set_paused(&mut self, is_paused: bool) {
         self.is_paused = is_paused;
     }
 
-    /// Applies the current pools and upstreams. Each upstream in `away` asked not to be called
-    /// until the given time.
+    /// Applies the current pools and upstreams. `backoffs` holds, by upstream name, the time until
+    /// which the upstream has asked not to be called.
     pub fn reconfigure(
         &mut self,
         declarations: &Declarations,
         directory: &UpstreamDirectory,
-        away: &HashMap<String, MonotonicTime>,
+        backoffs: &HashMap<String, MonotonicTime>,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
         for (name, stage) in declarations.stages() {
             let PoolKind::Batch(rules) = stage.kind else { continue };
-            let staying = directory.available_entries().filter(|entry| entry.pool == name);
-            let staying = staying.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
-            self.upstreams.insert(name.to_owned(), staying.collect());
-            for section in PoolSection::all(name, self.sections(name)) {
+            let remaining = directory.available_entries().filter(|entry| entry.pool == name);
+            let remaining = remaining.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
+            self.upstreams.insert(name.to_owned(), remaining.collect());
+            for section in PoolSection::all(name, self.section_count(name)) {
                 self.open_section(&section, rules, now);
             }
             // Sections of a previous section count may still hold work. They share their upstreams
             // with the current sections.
-            let pools = self.pools.iter_mut().map(|(name, pool)| (PoolSection::named(name), pool));
+            let pools =
+                self.pools.iter_mut().map(|(name, pool)| (PoolSection::from_name(name), pool));
             for (section, pool) in pools.filter(|(section, _)| section.pool == name) {
                 pool.set_rules(rules);
                 pool.set_upstreams(section_upstreams(&section, &self.upstreams), now);
@@ -138,25 +139,25 @@
             declarations.stage(pool).is_some_and(|stage| matches!(stage.kind, PoolKind::Batch(_)))
         };
         self.upstreams.retain(|name, _| is_declared(name));
-        for (upstream, until) in away {
-            self.stay_away(upstream, *until);
+        for (upstream, until) in backoffs {
+            self.back_off(upstream, *until);
         }
-        self.turn(now, actions);
+        self.run_cycle(now, actions);
     }
 
     /// Removes idle sections that are not part of their pool's current section count.
     fn close_sections(&mut self) {
         let upstreams = &self.upstreams;
         self.pools.retain(|name, pool| {
-            let section = PoolSection::named(name);
+            let section = PoolSection::from_name(name);
             let count = upstreams.get(&section.pool).map(|all| PoolSection::count(all.len()));
-            count.is_some_and(|count| section.is_one_of(count)) || !pool.is_idle()
+            count.is_some_and(|count| section.has_section_count(count)) || !pool.is_idle()
         });
     }
 
     /// Number of sections of `pool`, derived from the upstreams known to this daemon.
     #[must_use]
-    pub fn sections(&self, pool: &str) -> usize {
+    pub fn section_count(&self, pool: &str) -> usize {
         PoolSection::count(self.upstreams.get(pool).map_or(0, Vec::len))
     }
 
@@ -165,7 +166,8 @@
         if self.pools.contains_key(&name) {
             return;
         }
-        let budget = self.retries.budget(MAX_DISPATCHERS_PER_POOL * self.sections(&section.pool));
+        let budget =
+            self.retries.budget(MAX_DISPATCHERS_PER_POOL * self.section_count(&section.pool));
         let mut pool = BatchPool::new(rules, budget).limiter(Arc::clone(&self.limiter));
         pool.set_upstreams(section_upstreams(section, &self.upstreams), now);
         self.pools.insert(name, pool);
@@ -174,20 +176,20 @@
     /// Opens a section that another daemon with a different upstream list has submitted pieces to.
     /// Does nothing if the pool is unknown.
     fn open_unlisted_section(&mut self, name: &str, now: MonotonicTime) {
-        let section = PoolSection::named(name);
-        let mut known = self.pools.iter();
-        let known = known.find(|(known, _)| PoolSection::named(known).pool == section.pool);
-        if let Some(rules) = known.map(|(_, pool)| pool.rules()) {
+        let section = PoolSection::from_name(name);
+        let mut sections = self.pools.iter();
+        let sibling = sections.find(|(name, _)| PoolSection::from_name(name).pool == section.pool);
+        if let Some(rules) = sibling.map(|(_, pool)| pool.rules()) {
             self.open_section(&section, rules, now);
         }
     }
 
-    /// Accepts the pieces of a step. `ends` is the number of upstreams that have crashed under
-    /// their request.
+    /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
+    /// while they ran the request of the step.
     pub fn offer(
         &mut self,
         order: PieceOrder,
-        ends: usize,
+        crash_count: usize,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
@@ -199,21 +201,22 @@
             actions.push(DispatchAction::fail(order.attempt, &name, PieceFault::NoUpstream));
             return;
         };
-        pool.offer(order, ends, now, actions);
+        pool.offer(order, crash_count, now, actions);
         self.advance_section(&name, now, actions);
     }
 
-    /// Fails the pieces of all requests with `digest`, under which upstreams have crashed.
-    pub fn end_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
+    /// Fails the pieces of all requests with `digest`, because upstreams that ran such requests
+    /// have crashed.
+    pub fn fail_quarantined(&mut self, digest: RequestDigest, actions: &mut Vec<DispatchAction>) {
         for pool in self.pools.values_mut() {
-            pool.end_quarantined(digest, actions);
+            pool.fail_quarantined(digest, actions);
         }
     }
 
     /// Drops the pieces of `attempt`, whose results are no longer needed.
-    pub fn withdraw(&mut self, attempt: AttemptId, pool: &str) {
+    pub fn cancel_attempt(&mut self, attempt: AttemptId, pool: &str) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.withdraw(attempt);
+            pool.cancel_job(attempt);
         }
     }
 
@@ -226,22 +229,23 @@
 
     /// Requests that unneeded results be freed, and forms calls that use the memory of those freed
     /// before.
-    pub fn turn_unwanted(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
+    pub fn free_unneeded_results(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
             if let Some(pool) = self.pools.get_mut(&name) {
                 pool.free_fetched_inputs(now, actions);
             }
             let has_freed =
-                self.pools.get_mut(&name).is_some_and(|pool| pool.turn_unwanted(actions));
+                self.pools.get_mut(&name).is_some_and(|pool| pool.free_unneeded_results(actions));
             if has_freed {
                 self.advance_section(&name, now, actions);
             }
         }
     }
 
-    /// Handles the outcome of a batch call. Outcomes of unknown calls are ignored.
-    pub fn answered(
+    /// Updates the pool after a batch call has ended with `outcome`. Outcomes of unknown calls are
+    /// ignored.
+    pub fn handle_outcome(
         &mut self,
         batch: BatchId,
         outcome: BatchOutcome,
@@ -250,24 +254,24 @@
     ) {
         let Some(name) = self.call_sections.remove(&batch) else { return };
         if let Some(pool) = self.pools.get_mut(&name) {
-            pool.answered(batch, outcome, now, actions);
+            pool.handle_outcome(batch, outcome, now, actions);
         }
         self.advance_section(&name, now, actions);
     }
 
     /// Records the free memory for results at `upstream`, in bytes, or `None` if it did not answer
     /// the query.
-    pub fn room_told(
+    pub fn record_free_memory(
         &mut self,
         upstream: &str,
-        free: Option<u64>,
+        free_bytes: Option<u64>,
         now: MonotonicTime,
         actions: &mut Vec<DispatchAction>,
     ) {
-        let owners = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
-        let names: Vec<String> = owners
+        let owning_pools = self.pools.iter_mut().filter(|(_, pool)| pool.has_upstream(upstream));
+        let names: Vec<String> = owning_pools
             .map(|(name, pool)| {
-                pool.room_told(upstream, free, now);
+                pool.record_free_memory(upstream, free_bytes, now);
                 name.clone()
             })
             .collect();
@@ -277,30 +281,30 @@
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
-    pub fn stay_away(&mut self, upstream: &str, until: MonotonicTime) {
+    pub fn back_off(&mut self, upstream: &str, until: MonotonicTime) {
         for pool in self.pools.values_mut() {
-            pool.stay_away(upstream, until);
+            pool.back_off(upstream, until);
         }
     }
 
-    /// Adjusts all timers after a pause of this process that lasted `pause` and ends now.
-    pub fn woke(&mut self, pause: Duration, now: MonotonicTime) {
+    /// Adjusts all timeouts after this process was paused for `pause`, which ended at `now`.
+    pub fn resume_after_pause(&mut self, pause: Duration, now: MonotonicTime) {
         for pool in self.pools.values_mut() {
-            pool.woke(pause, now);
+            pool.resume_after_pause(pause, now);
         }
     }
 
     /// Names of the sections that have an upstream with a rate limit.
     #[must_use]
-    pub fn limited_pools(&self) -> Vec<String> {
+    pub fn rate_limited_sections(&self) -> Vec<String> {
         let limited = self.pools.iter().filter(|(_, pool)| pool.has_limits());
         limited.map(|(name, _)| name.clone()).collect()
     }
 
     /// Sets whether this daemon considers itself the only dispatcher of the section `pool`.
-    pub fn set_sole(&mut self, pool: &str, is_sole: bool, now: MonotonicTime) {
+    pub fn set_sole_dispatcher(&mut self, pool: &str, is_sole: bool, now: MonotonicTime) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.set_sole(is_sole, now);
+            pool.set_sole_dispatcher(is_sole, now);
         }
     }
 
@@ -312,7 +316,7 @@
     }
 
     /// Handles timeouts of all sections, and forms calls.
-    pub fn turn(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
+    pub fn run_cycle(&mut self, now: MonotonicTime, actions: &mut Vec<DispatchAction>) {
         self.close_sections();
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
@@ -348,17 +352,17 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let Some(pool) = self.pools.get_mut(name) else { return };
-        let (last_id, calls) = (&mut self.last_batch_id, &mut self.call_sections);
+        let (last_id, call_sections) = (&mut self.last_batch_id, &mut self.call_sections);
         let mut next_batch_id = || {
             *last_id += 1;
-            calls.insert(BatchId(*last_id), name.to_owned());
+            call_sections.insert(BatchId(*last_id), name.to_owned());
             BatchId(*last_id)
         };
         let first_new = actions.len();
         if self.is_paused {
             pool.expire(now, actions);
         } else {
-            pool.turn(&mut next_batch_id, now, actions);
+            pool.run_cycle(&mut next_batch_id, now, actions);
         }
         for action in &actions[first_new..] {
             if let DispatchAction::Cancel(batch) = action {
@@ -374,5 +378,5 @@
     upstreams_by_pool: &'a HashMap<String, Vec<(u64, DirectoryEntry)>>,
 ) -> impl Iterator<Item = &'a DirectoryEntry> {
     let upstreams = upstreams_by_pool.get(&section.pool).into_iter().flatten();
-    upstreams.filter(|(hash, _)| section.holds(*hash)).map(|(_, entry)| entry)
+    upstreams.filter(|(hash, _)| section.contains_hash(*hash)).map(|(_, entry)| entry)
 }
--- a/crates/crocusdale_core/src/batching/pool_waits.rs
+++ b/crates/crocusdale_core/src/batching/pool_waits.rs
@@ -5,7 +5,7 @@
 
 /// Wait of on-time pieces up to which late requests are admitted: less than half of a call's
 /// duration.
-const MAX_WAIT_WITH_ROOM: Duration = Duration::from_millis(120);
+const MAX_WAIT_WITH_SPARE_CAPACITY: Duration = Duration::from_millis(120);
 
 /// Wait of late pieces above which a pool is overloaded: longer than a call with other pieces in
 /// it.
@@ -15,35 +15,35 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolWait {
     /// Wait of pieces whose request can still be on time.
-    pub in_time: Duration,
+    pub on_time_wait: Duration,
     /// Wait of pieces whose request will be late, by its priority level, starting with the most
     /// urgent level 0. Levels beyond the last entry wait as long as that.
-    pub late: Vec<Duration>,
+    pub late_waits: Vec<Duration>,
     /// Time for which the pool has been overloaded, or for which the overload is still expected to
     /// last, whichever is longer. A burst is assumed to last as long again as it has lasted.
-    pub overloaded: Duration,
+    pub overload_time: Duration,
     /// Duration of a call with the recent average number of pieces. Zero if unknown.
-    pub call: Duration,
+    pub call_time: Duration,
 }
 
 impl PoolWait {
     /// Expected wait of the pieces of a late request with the priority `level`.
     #[must_use]
-    pub fn late_for(&self, level: u8) -> Duration {
-        let known = self.late.get(usize::from(level)).or(self.late.last());
-        known.copied().unwrap_or_default().max(self.in_time)
+    pub fn late_wait(&self, level: u8) -> Duration {
+        let known = self.late_waits.get(usize::from(level)).or(self.late_waits.last());
+        known.copied().unwrap_or_default().max(self.on_time_wait)
     }
 
     /// Whether there is spare capacity for late requests, so that they hardly delay on-time ones.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.in_time <= MAX_WAIT_WITH_ROOM
+        self.on_time_wait <= MAX_WAIT_WITH_SPARE_CAPACITY
     }
 
-    /// Whether late requests have a long wait or are not admitted.
+    /// Whether late requests are not admitted, or would wait for a long time.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        !self.has_room() || self.late_for(u8::MAX) > MIN_OVERLOAD_WAIT
+        !self.has_room() || self.late_wait(u8::MAX) > MIN_OVERLOAD_WAIT
     }
 
     /// Time after which a refused caller should retry: by then, all queued work should be done and
@@ -52,15 +52,15 @@
     /// Guards against callers that retry in vain.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
-        self.late_for(u8::MAX).max(self.overloaded)
+        self.late_wait(u8::MAX).max(self.overload_time)
     }
 
-    /// Estimate of the wait after `age` has passed without an update.
+    /// Estimate of the current wait, if the estimate in `self` was made `age` ago.
     #[must_use]
-    pub fn after(&self, age: Duration) -> Self {
+    pub fn reduced_by(&self, age: Duration) -> Self {
         let remaining = |wait: &Duration| wait.saturating_sub(age);
-        let late = self.late.iter().map(remaining).collect();
-        Self { in_time: remaining(&self.in_time), late, ..self.clone() }
+        let late_waits = self.late_waits.iter().map(remaining).collect();
+        Self { on_time_wait: remaining(&self.on_time_wait), late_waits, ..self.clone() }
     }
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl PoolWaits {
-    /// Stores the report of the dispatcher of `pool`.
+    /// Stores `wait` as the wait that the dispatcher of `pool` reported at `now`.
     pub fn note(&mut self, pool: &str, wait: PoolWait, now: MonotonicTime) {
         match self.waits.get_mut(pool) {
             Some(known) => *known = (wait, now),
@@ -90,6 +90,6 @@
     #[must_use]
     pub fn wait(&self, pool: &str, now: MonotonicTime) -> PoolWait {
         let known = self.waits.get(pool);
-        known.map_or(PoolWait::default(), |(wait, at)| wait.after(now.since(*at)))
+        known.map_or(PoolWait::default(), |(wait, at)| wait.reduced_by(now.since(*at)))
     }
 }
--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -7,7 +7,7 @@
 use crate::membership::{ExchangeMessage, WitnessSet};
 use crate::orders::EngineOrder;
 use crate::pipeline::{
-    AttemptOrder, FinalAnswer, PieceFault, PieceOrder, PlacedResult, RelayOrder, ResultHandle,
+    FinalAnswer, ForwardOrder, JsonCallOrder, PieceFault, PieceOrder, PlacedResult, ResultHandle,
 };
 
 /// Side effect that the state machine of the daemon asks its surrounding process to perform.
@@ -28,9 +28,9 @@
         text: String,
     },
     /// Send one attempt of a pipeline step to an upstream.
-    Send(AttemptOrder),
+    Send(JsonCallOrder),
     /// Proxy a caller's HTTP request to an upstream.
-    Relay(RelayOrder),
+    Relay(ForwardOrder),
     /// Stream the upstream's answer, which an attempt has held back so far, to the caller.
     ReleaseAnswer {
         /// Caller's call that receives the answer.
@@ -40,22 +40,22 @@
     },
     /// Abort an attempt and close its connection to the upstream.
     Cancel(AttemptId),
-    /// Send the items of a batched step to another daemon, which is the dispatcher of their pool.
+    /// Send the pieces of a batched step to another daemon, which is the dispatcher of their pool.
     SendPieces {
         /// VM of the dispatcher.
         vm: String,
         /// Items with their attempt, pool and deadline.
         order: Box<PieceOrder>,
     },
-    /// Tell the dispatcher of an attempt's items that the results are no longer needed.
+    /// Tell the dispatcher of an attempt's pieces that the results are no longer needed.
     CancelPieces(AttemptId),
-    /// Report the outcome of a batched step to the daemon that sent its items.
+    /// Report the outcome of a batched step to the daemon that sent its pieces.
     AnswerPieces {
-        /// Attempt that the items belong to.
+        /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Results in the order of the items, or the reason why the step failed.
+        /// Results in the order of the pieces, or the reason why the step failed.
         outcome: Result<Vec<PlacedResult>, PieceFault>,
-        /// Expected queueing time of new items in the pool.
+        /// Expected queueing time of new pieces in the pool.
         wait: PoolWait,
     },
     /// Send one batch to a batched upstream.
@@ -66,8 +66,9 @@
     FreeResults {
         /// Handles of the results to free.
         results: Vec<ResultHandle>,
-        /// Addresses of rate-limited upstreams, which get no such call. Their results expire.
-        spared: Vec<SocketAddr>,
+        /// Addresses of rate-limited upstreams, which get no call to free results. Their results
+        /// expire.
+        excluded: Vec<SocketAddr>,
     },
     /// Ask a batched upstream how much of its memory for results is free.
     QueryFreeMemory {
@@ -89,18 +90,19 @@
     CloseIdleConnections(String),
     /// Close the idle connections to an address whose process has restarted.
     CloseStaleConnections(SocketAddr),
-    /// Ask a witness to claim `key` for this process, or to write a tombstone for it.
-    Register {
+    /// Ask a witness to claim `key` for this process, or to write a tombstone for it. The reply
+    /// comes back as [`super::DaemonEvent::WitnessReplied`].
+    AskWitness {
         /// Caller's call that gets the witness's reply.
         call: CallId,
         /// VM of the witness.
         witness: String,
-        /// Idempotency key to claim or to bury.
+        /// Idempotency key to claim, or to write a tombstone for.
         key: RequestKey,
         /// All witnesses of `key`, as this daemon computes them.
         witnesses: WitnessSet,
         /// Whether the witness writes a tombstone instead of a claim.
-        bury: bool,
+        is_tombstone: bool,
     },
     /// Store the outcome of a request at a witness of its key.
     RecordOutcome {
@@ -164,7 +166,7 @@
         known: u64,
     },
     /// Read the VM list if it is newer than `known`.
-    ReadRoster {
+    ReadVmList {
         /// Revision of the VM list in use, 0 for none.
         known: u64,
     },
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::request_shard::{ActiveRun, InquiryBasis, reply, set_timer};
+use super::request_shard::{ActiveRun, LookupRetention, reply, set_timer};
 use super::{
     FinalAnswer, FinalOutcome, HolderReply, LookupStep, OutcomeKind, OutcomeLookup, RefusalReason,
     RegisterCall, RequestPlan, RequestRun, RequestShard, ShardAction,
@@ -33,7 +33,7 @@
     ) {
         let key = plan.request.key.clone();
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_TIMEOUT));
+        actions.push(set_timer(TimerKey::ClaimTimeout(call), now + CLAIM_TIMEOUT));
         actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
         let poll = Some(WitnessPoll::new(self.own_instance.clone(), witnesses));
         let run = RequestRun::new(call, self.own_instance.mark(), plan);
@@ -44,22 +44,29 @@
 
     /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
     /// the key never ran anywhere; `None` if the caller asked only for the outcome.
-    pub fn inquire(
+    pub fn start_lookup(
         &mut self,
         call: CallId,
         key: RequestKey,
         witnesses: WitnessSet,
         refusal: Option<Box<FinalOutcome>>,
-        basis: InquiryBasis,
+        retention: LookupRetention,
         now: MonotonicTime,
     ) -> Vec<ShardAction> {
-        let InquiryBasis { key_life, provable_until } = basis;
+        let LookupRetention { key_life, remembered_until } = retention;
         let mut actions = register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), true);
         let poll = WitnessPoll::new(self.own_instance.clone(), witnesses);
         let answer_by = now + LOOKUP_TIMEOUT;
-        actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
-        let lookup =
-            OutcomeLookup { key, poll, answer_by, key_life, provable_until, refusal, holder: None };
+        actions.push(set_timer(TimerKey::InquiryTimeout(call), answer_by));
+        let lookup = OutcomeLookup {
+            key,
+            poll,
+            answer_by,
+            key_life,
+            remembered_until,
+            refusal,
+            holder: None,
+        };
         self.lookups.insert(call, lookup);
         self.advance_lookup(call, now, &mut actions);
         actions
@@ -100,7 +107,7 @@
         match lookup.handle_holder_reply(reply) {
             LookupStep::Answer(answer) => self.finish_lookup(call, answer, now, actions),
             LookupStep::Wait | LookupStep::AskHolder(_) => {
-                actions.push(set_timer(TimerKey::Holder(call), now + HOLDER_POLL_INTERVAL));
+                actions.push(set_timer(TimerKey::HolderQuery(call), now + HOLDER_POLL_INTERVAL));
             }
         }
     }
@@ -139,7 +146,7 @@
         let Some(mut poll) = active_run.poll else { return };
         let key = active_run.run.plan().request.key.clone();
         let key_life = active_run.run.plan().declarations.deployment().key_life;
-        let provable_until = active_run.run.plan().provable_until;
+        let remembered_until = active_run.run.plan().remembered_until;
         self.key_table.mark_ended(key.clone(), None, key_life, now);
         actions.push(ShardAction::ReleasePermit(active_run.run.plan().permit.clone()));
         actions.push(ShardAction::Command(Command::Count(CounterName::ClaimsRefused)));
@@ -151,7 +158,7 @@
             Box::new(refusal.detail("the key could not be claimed").retry(Duration::ZERO, false));
         let answer_by = now + LOOKUP_TIMEOUT;
         for call in active_run.waiting_calls.into_iter().chain([call]) {
-            actions.push(set_timer(TimerKey::Inquiry(call), answer_by));
+            actions.push(set_timer(TimerKey::InquiryTimeout(call), answer_by));
             actions.extend(register_calls(call, &key, &witnesses, unknown_witnesses.clone(), true));
             let (poll, refusal) = (poll.clone(), Some(refusal.clone()));
             let lookup = OutcomeLookup {
@@ -159,7 +166,7 @@
                 poll,
                 answer_by,
                 key_life,
-                provable_until,
+                remembered_until,
                 refusal,
                 holder: None,
             };
@@ -223,11 +230,11 @@
     key: &RequestKey,
     witnesses: &WitnessSet,
     recipients: Vec<String>,
-    bury: bool,
+    writes_tombstone: bool,
 ) -> Vec<ShardAction> {
     let to_action = |witness| {
         let (key, witnesses) = (key.clone(), witnesses.clone());
-        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, bury })
+        ShardAction::WriteRegister(RegisterCall { call, witness, key, witnesses, writes_tombstone })
     };
     recipients.into_iter().map(to_action).collect()
 }
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -3,8 +3,8 @@
 use super::request_run::{MAX_REBUILDS, count};
 use super::step_run::{AttemptFailure, StepOutput};
 use super::{
-    AnswerHead, FinalAnswer, PlacedResult, RefusalReason, RelayOrder, RequestRun, RunProof,
-    ShardAction,
+    ExecutionStatus, FinalAnswer, ForwardOrder, PlacedResult, RefusalReason, RequestRun,
+    ResponseHead, ShardAction,
 };
 use crate::configuration::{PlanStep, StepWork};
 use crate::daemon::{Command, CounterName};
@@ -17,9 +17,9 @@
         attempt: AttemptId,
         grant: &SlotGrant,
         now: MonotonicTime,
-    ) -> RelayOrder {
+    ) -> ForwardOrder {
         let workspace = &self.plan.request.key.workspace;
-        RelayOrder {
+        ForwardOrder {
             attempt,
             upstream: grant.upstream.clone(),
             process: grant.process.clone(),
@@ -27,7 +27,7 @@
             workspace: (!workspace.is_empty()).then(|| workspace.clone()),
             inputs: self.forward_inputs().iter().map(|result| result.handle.clone()).collect(),
             level: self.plan.level,
-            fresh: !self.plan.repeatable,
+            needs_new_connection: !self.plan.repeatable,
             kept_connections: grant.max_idle_connections,
             expires: self.plan.deadline,
             write_by: now + CONNECT_TIMEOUT,
@@ -66,7 +66,7 @@
             failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
-            allowed_regions: self.plan.homes.clone(),
+            allowed_regions: self.plan.home_regions.clone(),
         })
     }
 
@@ -74,18 +74,20 @@
         &mut self,
         index: usize,
         id: AttemptId,
-        head: AnswerHead,
+        head: ResponseHead,
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        match head.proof {
-            RunProof::Ran => {}
-            RunProof::Declined | RunProof::WrongProcess | RunProof::Malformed => {
+        match head.execution {
+            ExecutionStatus::Ran => {}
+            ExecutionStatus::Declined
+            | ExecutionStatus::WrongProcess
+            | ExecutionStatus::Malformed => {
                 self.attempt_counts.possibly_sent -= 1;
                 self.step_runs[index].attempts -= 1;
                 return self.handle_attempt_failure(index, AttemptFailure::NotRun, now, actions);
             }
-            RunProof::InputGone => {
+            ExecutionStatus::InputGone => {
                 self.attempt_counts.possibly_sent -= 1;
                 self.step_runs[index].attempts -= 1;
                 self.release_slot(index, AttemptReport::Cancelled, actions);
--- a/crates/crocusdale_core/src/quarantine/crash_detector.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_detector.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{CrashLog, CrashRecord, RecentSuccesses, UpstreamEnd};
+use super::{CrashLog, CrashRecord, RecentSuccesses, UpstreamCrash};
 use crate::identity::{MonotonicTime, RequestDigest};
 
 /// Time within which a second crash of one declared upstream under the same request counts as the
@@ -23,7 +23,7 @@
     has_instance_names: bool,
     log: CrashLog,
     successes: RecentSuccesses,
-    /// Requests whose attempts failed at an upstream that is being probed, by the name of the
+    /// Requests that may have crashed an upstream which is being probed, by the name of the
     /// upstream.
     suspects: HashMap<String, BTreeSet<RequestDigest>>,
     /// Requests whose latest records have not been sent to other daemons.
@@ -60,17 +60,22 @@
         }
     }
 
-    /// Records that an attempt at `upstream` failed. Returns whether the upstream must be probed
-    /// now: a running probe serves all attempts that fail in the meantime.
+    /// Records that `upstream` may have crashed while it ran a request with `digest`. Returns
+    /// whether it must be probed now: a running probe serves all requests that are recorded in the
+    /// meantime.
+    ///
+    /// A request that was sent on its own is recorded if the connection was closed before the
+    /// answer was complete. An answer with an error status is no sign of a crash. The requests of a
+    /// batch call are recorded if the call had no valid answer in time.
     pub fn suspect(&mut self, digest: RequestDigest, upstream: &str) -> bool {
         let needs_probe = !self.suspects.contains_key(upstream);
         self.suspects.entry(upstream.to_owned()).or_default().insert(digest);
         needs_probe
     }
 
-    /// Handles the result of probing `upstream`. If it has crashed, all requests whose attempts
-    /// failed there are suspected.
-    pub fn probed(
+    /// Ends the probe of `upstream`. If the upstream has crashed, the crash is counted for all
+    /// requests that [`Self::suspect`] has recorded for it.
+    pub fn finish_probe(
         &mut self,
         upstream: &str,
         has_crashed: bool,
@@ -83,12 +88,12 @@
                 continue;
             }
             let Some(crash) = self.crash_id(digest, upstream, now) else { continue };
-            let quarantine_before = self.log.quarantine(digest, now);
-            if self.log.note_end(digest, crash, now) {
+            let old_time_left = self.log.quarantine(digest, now);
+            if self.log.record_crash(digest, crash, now) {
                 self.unsent.insert(digest);
                 verdict.has_news = true;
             }
-            if self.log.quarantine(digest, now) > quarantine_before {
+            if self.log.quarantine(digest, now) > old_time_left {
                 verdict.quarantined.push(digest);
             }
         }
@@ -96,7 +101,7 @@
     }
 
     /// Records a complete answer to a request with `digest`, which clears it.
-    pub fn succeeded(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
+    pub fn record_success(&mut self, digest: RequestDigest, now: MonotonicTime) -> CrashVerdict {
         self.successes.record(digest, now);
         let mut verdict = CrashVerdict::default();
         let was_quarantined = self.log.quarantine(digest, now).is_some();
@@ -113,7 +118,7 @@
         let mut verdict = CrashVerdict::default();
         for record in records {
             let digest = record.digest;
-            let quarantine_before = self.log.quarantine(digest, now);
+            let old_time_left = self.log.quarantine(digest, now);
             if !self.log.take(record, now) {
                 continue;
             }
@@ -123,10 +128,10 @@
                 verdict.has_news |= self.log.clear(digest, now);
                 self.unsent.insert(digest);
             }
-            let quarantine_after = self.log.quarantine(digest, now);
-            if quarantine_after > quarantine_before {
+            let new_time_left = self.log.quarantine(digest, now);
+            if new_time_left > old_time_left {
                 verdict.quarantined.push(digest);
-            } else if quarantine_after.is_none() && quarantine_before.is_some() {
+            } else if new_time_left.is_none() && old_time_left.is_some() {
                 verdict.lifted.push(digest);
             }
         }
@@ -142,8 +147,8 @@
 
     /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
-    pub fn ends(&self, digest: RequestDigest) -> usize {
-        self.log.ends(digest)
+    pub fn crash_count(&self, digest: RequestDigest) -> usize {
+        self.log.crash_count(digest)
     }
 
     /// Digests of all quarantined requests.
@@ -159,7 +164,7 @@
     }
 
     /// Returns the records that other daemons have not received, and marks them as sent.
-    pub fn take_fresh(&mut self, now: MonotonicTime) -> Vec<CrashRecord> {
+    pub fn take_unsent(&mut self, now: MonotonicTime) -> Vec<CrashRecord> {
         let unsent = std::mem::take(&mut self.unsent);
         unsent.into_iter().filter_map(|digest| self.log.record(digest, now)).collect()
     }
@@ -174,7 +179,7 @@
     pub fn forget(&mut self, now: MonotonicTime) -> bool {
         let has_removed = self.log.forget(now);
         let log = &self.log;
-        self.observed_crashes.retain(|(digest, _), _| log.ends(*digest) > 0);
+        self.observed_crashes.retain(|(digest, _), _| log.crash_count(*digest) > 0);
         has_removed
     }
 
@@ -192,7 +197,7 @@
         now: MonotonicTime,
     ) -> Option<u64> {
         if self.has_instance_names {
-            return Some(UpstreamEnd::hash_of(upstream));
+            return Some(UpstreamCrash::hash_of(upstream));
         }
         let observed = self.observed_crashes.entry((digest, upstream.to_owned()));
         let (last_seen, count) = observed.or_insert((now, 0));
@@ -201,8 +206,8 @@
         }
         (*last_seen, *count) = (now, *count + 1);
         Some(match *count {
-            1 => UpstreamEnd::hash_of(upstream),
-            count => UpstreamEnd::hash_of(&format!("{upstream} {count} {}", self.own_vm)),
+            1 => UpstreamCrash::hash_of(upstream),
+            count => UpstreamCrash::hash_of(&format!("{upstream} {count} {}", self.own_vm)),
         })
     }
 }
--- a/crates/crocusdale_core/src/quarantine/crash_log.rs
+++ b/crates/crocusdale_core/src/quarantine/crash_log.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use super::recent_successes::CLEARANCE_TIME;
-use super::{CrashRecord, UpstreamEnd};
+use super::{CrashRecord, UpstreamCrash};
 use crate::identity::{MonotonicTime, RequestDigest, stable_hash};
 
 /// Number of upstream crashes under a request after which it is quarantined.
@@ -13,19 +13,20 @@
 /// Duration of a quarantine, from the last crash. Each further trial would cost an upstream and
 /// everything that runs on it. The duration leaves operators time to investigate. After it the
 /// request may be harmless, because the upstreams may have been fixed.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 /// Time after the last crash for which a request below the quarantine threshold stays in the log.
 /// It is longer than callers wait between two retries.
 const CRASH_RETENTION: Duration = Duration::from_secs(120);
 /// Offset added to the clock of this process, so that crashes from before its start have a valid
 /// time.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
-/// Number of crashes kept for one request: those that led to the quarantine, and those of the
-/// attempts that were running when it began. Beyond it, all daemons keep the crashes with the
-/// lowest identifiers, so that their logs agree.
+/// Maximum number of upstream crashes that the log keeps for one request. It leaves space for the
+/// crashes that start a quarantine, and for the crashes of other upstreams that were already
+/// running the same request at that time. If there are more, all daemons keep the crashes with the
+/// lowest upstream identifiers, so that their logs agree.
 const MAX_CRASHES_PER_REQUEST: usize = 8;
-/// Number of requests in the log. It is enough for everything that ran on a few upstreams that
-/// crashed at the same time. More would not fit into one message.
+/// Maximum number of requests in the log. It is enough for everything that ran on a few upstreams
+/// that crashed at the same time. More would not fit into one message.
 const MAX_LOGGED_REQUESTS: usize = 512;
 
 /// Upstream crashes per request, as observed by this daemon or reported by others.
@@ -39,15 +40,21 @@
 
 #[derive(Debug, Default)]
 struct LoggedRequest {
+    /// Identifier of each crashed upstream, with the time of its crash.
     crashes: Vec<(u64, MonotonicTime)>,
     /// Time of the last known complete answer to a request with this digest.
-    cleared: Option<MonotonicTime>,
+    cleared_at: Option<MonotonicTime>,
 }
 
 impl CrashLog {
     /// Records that the upstream with the identifier `upstream` crashed under a request. Returns
     /// whether the crash is new.
-    pub fn note_end(&mut self, digest: RequestDigest, upstream: u64, now: MonotonicTime) -> bool {
+    pub fn record_crash(
+        &mut self,
+        digest: RequestDigest,
+        upstream: u64,
+        now: MonotonicTime,
+    ) -> bool {
         self.add_crash(digest, upstream, now + CLOCK_OFFSET)
     }
 
@@ -56,27 +63,27 @@
     pub fn clear(&mut self, digest: RequestDigest, now: MonotonicTime) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else { return false };
         let had_crashes = !entry.crashes.is_empty();
-        entry.cleared = Some(now + CLOCK_OFFSET);
+        entry.cleared_at = Some(now + CLOCK_OFFSET);
         entry.crashes.clear();
         had_crashes
     }
 
     /// Merges a record of another daemon. Returns whether it contained anything new.
     pub fn take(&mut self, record: &CrashRecord, now: MonotonicTime) -> bool {
-        let time = |age: Duration| {
+        let time_at_age = |age: Duration| {
             MonotonicTime::from_start((now + CLOCK_OFFSET).since_start().saturating_sub(age))
         };
         let mut has_news = false;
         if let Some(age) = record.cleared.filter(|age| *age < CLEARANCE_TIME) {
             let entry = self.entries.entry(record.digest).or_default();
-            if entry.cleared.is_none() {
-                entry.cleared = Some(time(age));
-                entry.crashes.retain(|(_, at)| *at >= time(age) + CLEARANCE_TIME);
+            if entry.cleared_at.is_none() {
+                entry.cleared_at = Some(time_at_age(age));
+                entry.crashes.retain(|(_, at)| *at >= time_at_age(age) + CLEARANCE_TIME);
                 has_news = true;
             }
         }
-        for crash in &record.ends {
-            has_news |= self.add_crash(record.digest, crash.upstream, time(crash.age));
+        for crash in &record.crashes {
+            has_news |= self.add_crash(record.digest, crash.upstream, time_at_age(crash.age));
         }
         has_news
     }
@@ -101,15 +108,15 @@
     #[must_use]
     pub fn quarantine(&self, digest: RequestDigest, now: MonotonicTime) -> Option<Duration> {
         let entry = self.entries.get(&digest)?;
-        let left = entry
+        let time_left = entry
             .quarantine_time()?
             .saturating_sub((now + CLOCK_OFFSET).since(entry.last_crash()?));
-        (!left.is_zero()).then_some(left)
+        (!time_left.is_zero()).then_some(time_left)
     }
 
     /// Number of upstreams that crashed while running a request with `digest`.
     #[must_use]
-    pub fn ends(&self, digest: RequestDigest) -> usize {
+    pub fn crash_count(&self, digest: RequestDigest) -> usize {
         self.entries.get(&digest).map_or(0, |entry| entry.crashes.len())
     }
 
@@ -130,7 +137,7 @@
             crashes.sort_unstable();
             stable_hash(&[
                 &digest.to_string(),
-                &format!("{crashes:x?}/{}", entry.cleared.is_some()),
+                &format!("{crashes:x?}/{}", entry.cleared_at.is_some()),
             ])
         };
         self.entries.iter().map(entry_hash).fold(0, |summary, entry_hash| summary ^ entry_hash)
@@ -142,14 +149,14 @@
     pub fn record(&self, digest: RequestDigest, now: MonotonicTime) -> Option<CrashRecord> {
         let entry = self.entries.get(&digest)?;
         let age = |at: MonotonicTime| (now + CLOCK_OFFSET).since(at);
-        let crash = |(upstream, at): &(u64, MonotonicTime)| UpstreamEnd {
+        let crash = |(upstream, at): &(u64, MonotonicTime)| UpstreamCrash {
             upstream: *upstream,
             age: age(*at),
         };
         Some(CrashRecord {
             digest,
-            ends: entry.crashes.iter().map(crash).collect(),
-            cleared: entry.cleared.map(age),
+            crashes: entry.crashes.iter().map(crash).collect(),
+            cleared: entry.cleared_at.map(age),
         })
     }
 
@@ -185,7 +192,7 @@
     /// answer has cleared it, and the list has space for its identifier.
     fn can_add_crash(&self, upstream: u64, at: MonotonicTime) -> bool {
         let is_known = self.crashes.iter().any(|(known, _)| *known == upstream);
-        let is_cleared = self.cleared.is_some_and(|cleared| at < cleared + CLEARANCE_TIME);
+        let is_cleared = self.cleared_at.is_some_and(|cleared_at| at < cleared_at + CLEARANCE_TIME);
         let has_space = self.crashes.len() < MAX_CRASHES_PER_REQUEST
             || self.crashes.iter().any(|(known, _)| *known > upstream);
         !is_known && !is_cleared && has_space
@@ -193,7 +200,7 @@
 
     /// Duration of the quarantine from the last crash, or `None` below the quarantine threshold.
     fn quarantine_time(&self) -> Option<Duration> {
-        (self.crashes.len() >= QUARANTINE_CRASHES).then_some(QUARANTINE)
+        (self.crashes.len() >= QUARANTINE_CRASHES).then_some(QUARANTINE_DURATION)
     }
 
     fn last_crash(&self) -> Option<MonotonicTime> {
@@ -204,6 +211,6 @@
         let retention = self.quarantine_time().unwrap_or_default().max(CRASH_RETENTION);
         let has_recent_crashes = self.last_crash().is_some_and(|last| now.since(last) < retention);
         has_recent_crashes
-            || self.cleared.is_some_and(|cleared| now.since(cleared) < CLEARANCE_TIME)
+            || self.cleared_at.is_some_and(|cleared_at| now.since(cleared_at) < CLEARANCE_TIME)
     }
 }
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::LabelSet;
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, BreakReason, CallerRequest, ForwardHead, OutcomeKind, RefusalReason,
-    RelayOrder, RequestContent, RunProof,
+    AttemptEvent, BreakReason, CallerRequest, ExecutionStatus, ForwardHead, ForwardOrder,
+    OutcomeKind, RefusalReason, RequestContent, ResponseHead,
 };
-use crocusdale_core::quarantine::QUARANTINE;
+use crocusdale_core::quarantine::QUARANTINE_DURATION;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -31,7 +31,7 @@
 use support::virtual_fleet::VirtualFleet;
 
 /// Sends that are allowed once a request has crashed its third upstream and the daemons have been in
-/// contact for [`NewsBounds::contact`] since.
+/// contact for [`StalenessBounds::recovery_time`] since.
 const LATE_SENDS: usize = 3;
 /// Upstreams that a request may crash before that.
 const CRASHES: usize = 3;
@@ -50,7 +50,7 @@
 struct CrashingEngines {
     fleet: VirtualFleet,
     random: SmallRng,
-    running: Vec<(MonotonicTime, usize, RelayOrder)>,
+    running: Vec<(MonotonicTime, usize, ForwardOrder)>,
     engines: Vec<String>,
     leaving: Vec<String>,
     started: usize,
@@ -71,7 +71,7 @@
     }
 
     fn in_zones(size: usize, zones: usize, seed: u64) -> Self {
-        let fleet = VirtualFleet::with_reader(size, zones, NewsBounds::default(), read);
+        let fleet = VirtualFleet::with_reader(size, zones, StalenessBounds::default(), read);
         let mut engines = Self {
             fleet,
             random: SmallRng::seed_from_u64(seed),
@@ -129,8 +129,8 @@
             self.fleet.run(self.fleet.now.since_start() + STEP);
             for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
                 self.sent.push(at);
-                let head = AnswerHead { status: 200, proof: RunProof::Ran };
-                let (attempt, event) = (order.attempt, AttemptEvent::Headed(head));
+                let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
+                let (attempt, event) = (order.attempt, AttemptEvent::HeadReceived(head));
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
                 let mut until = at + RUN_TIME;
                 if self.upstreams_leave {
@@ -144,14 +144,14 @@
             let (over, running) =
                 std::mem::take(&mut self.running).into_iter().partition(|(at, ..)| now >= *at);
             self.running = running;
-            let over: Vec<(MonotonicTime, usize, RelayOrder)> = over;
+            let over: Vec<(MonotonicTime, usize, ForwardOrder)> = over;
             for (_, daemon, order) in over {
                 self.crash(daemon, &order);
             }
         }
     }
 
-    fn crash(&mut self, daemon: usize, order: &RelayOrder) {
+    fn crash(&mut self, daemon: usize, order: &ForwardOrder) {
         if !self.upstreams_live {
             self.crashed.push(self.fleet.now);
             self.fleet.ended.insert(order.upstream.clone());
@@ -214,8 +214,8 @@
         self.fleet.run(self.fleet.now.since_start() + STEP);
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
             self.sent.push(at);
-            let head = AnswerHead { status: 200, proof: RunProof::Ran };
-            for event in [AttemptEvent::Headed(head), AttemptEvent::Passed] {
+            let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
+            for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt: order.attempt, event });
             }
         }
@@ -224,7 +224,10 @@
     /// Sends later than the contact time after the third crash.
     fn late_sends(&self) -> usize {
         let Some(third) = self.crashed.get(CRASHES - 1).copied() else { return 0 };
-        self.sent.iter().filter(|at| **at > third + NewsBounds::default().contact).count()
+        self.sent
+            .iter()
+            .filter(|at| **at > third + StalenessBounds::default().recovery_time)
+            .count()
     }
 }
 
@@ -283,7 +286,7 @@
         }
         let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
-        assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
+        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?}");
     }
 }
 
@@ -299,7 +302,7 @@
         assert!(!engines.is_quarantined_at(5), "it hears of nothing");
         engines.fleet.cut_off.clear();
         let back = engines.fleet.now.since_start();
-        engines.fleet.run(back + NewsBounds::default().contact);
+        engines.fleet.run(back + StalenessBounds::default().recovery_time);
         assert!(engines.is_quarantined_at(5), "seed {seed}: it does not know");
     }
 }
@@ -332,7 +335,7 @@
             engines.fleet.restart(index);
         }
         let back = engines.fleet.now;
-        engines.run(back + NewsBounds::default().contact);
+        engines.run(back + StalenessBounds::default().recovery_time);
         // The pace of the callers of a request as heavy as this one.
         engines.try_paced(TRY_TIME, Duration::from_millis(1_200));
         let late = engines.late_sends();
@@ -376,7 +379,7 @@
         (OutcomeKind::Refused, Some(RefusalReason::Quarantined))
     );
     let retry_after = answer.retry_after.expect("it is told when to come back");
-    assert!(retry_after <= QUARANTINE);
+    assert!(retry_after <= QUARANTINE_DURATION);
     engines.run(engines.fleet.now + retry_after + STEP);
     engines.try_again();
     engines.answer_all();
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::HomeRegions;
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest, stable_hash};
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 use crocusdale_core::rate_limiting::{
     LIMIT_WINDOW, RateLimiter, RateNotice, RateQuota, RateShare, RateUse, RequestRate,
 };
@@ -75,8 +75,8 @@
     let mut asked = Vec::new();
     for relay in std::mem::take(&mut daemon.relays) {
         asked.push(relay.upstream.clone());
-        daemon.headed(relay.attempt, 200, RunProof::Ran);
-        daemon.attempt(relay.attempt, AttemptEvent::Passed);
+        daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+        daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
     }
     asked
 }
@@ -93,7 +93,7 @@
         upstream.load = 60.0;
         upstream.run(Duration::from_secs(2));
         upstream.name_rate(per_second);
-        let bound_from = upstream.fleet.now + NewsBounds::default().contact;
+        let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(15));
         let most = upstream.most_of_told(bound_from);
         assert!(
@@ -169,7 +169,7 @@
         }
         let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
-        assert!(sum < NewsBounds::default().contact, "{size} daemons: {sum:?}");
+        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?}");
     }
 }
 
@@ -187,7 +187,7 @@
         upstream.writes_are_late = true;
         upstream.run(Duration::from_secs(1));
         upstream.name_rate(per_second);
-        let bound_from = upstream.fleet.now + NewsBounds::default().contact;
+        let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(14));
         let told = upstream.most_of_told(bound_from);
         assert!(told <= allowed(per_second), "{size} daemons: {told} of those told");
@@ -382,7 +382,7 @@
             }
             for relay in std::mem::take(&mut daemon.relays) {
                 asked.push(relay.upstream.clone());
-                daemon.headed(relay.attempt, 200, RunProof::Ran);
+                daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
                 // It is cut, and goes on at another engine.
                 let cut = crocusdale_core::pipeline::BreakReason::Cut;
                 daemon.attempt(relay.attempt, AttemptEvent::Broken(cut));
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -11,18 +11,19 @@
     HomeRegions, LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RegionMap, RepeatRule,
     StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
-use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{Command, DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{
     AttemptId, CallId, InstanceId, MonotonicTime, RequestDigest, RequestKey,
 };
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, CallerRequest, EngineDemand, FinalAnswer, ForwardHead, OutcomeKind,
-    PromptPart, RefusalReason, RelayOrder, RequestContent, ResultHandle, RunProof,
+    AttemptEvent, CallerRequest, EngineDemand, ExecutionStatus, FinalAnswer, ForwardHead,
+    ForwardOrder, OutcomeKind, PromptPart, RefusalReason, RequestContent, ResponseHead,
+    ResultHandle,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
 pub const HOST: &str = "mail.example";
 /// Text of a configuration in which the key of [`Daemon::submit`] is gone.
@@ -105,7 +106,7 @@
     pub now: MonotonicTime,
     pub timers: BTreeMap<(MonotonicTime, u64), TimerKey>,
     pub sequence: u64,
-    pub relays: Vec<RelayOrder>,
+    pub relays: Vec<ForwardOrder>,
     pub batches: Vec<BatchOrder>,
     /// Results that upstreams were told to give up.
     pub freed: Vec<ResultHandle>,
@@ -132,18 +133,18 @@
 
 impl Daemon {
     pub fn new() -> Self {
-        Self::with_bounds(NewsBounds::default())
+        Self::with_bounds(StalenessBounds::default())
     }
 
-    pub fn with_bounds(bounds: NewsBounds) -> Self {
+    pub fn with_bounds(bounds: StalenessBounds) -> Self {
         Self::named("entry-a1", bounds)
     }
 
     /// The daemon on `vm`, in its seventh life.
-    pub fn named(vm: &str, bounds: NewsBounds) -> Self {
+    pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
-        let published = PublishedFleet {
+        let published = DiscoverySettings {
             place: MemberPlace {
                 zone: "a".to_owned(),
                 caller: address,
@@ -159,7 +160,7 @@
             bounds,
         };
         let own = InstanceId::new(vm, 7);
-        let core = DaemonCoreBuilder::new(own, "a").published(published).seed(1).build(now);
+        let core = DaemonCoreBuilder::new(own, "a").discovery(published).seed(1).build(now);
         let mut daemon = Self {
             core,
             now,
@@ -197,7 +198,7 @@
             self.readings.clear();
             let answer = self.answer_with(plain, leaving);
             self.feed(answer);
-            self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+            self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
             if self.readings.is_empty() {
                 break;
             }
@@ -206,7 +207,7 @@
 
     /// Lets the daemon begin a reading, and returns the answer, in which no upstream leaves.
     pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
-        self.feed(DaemonEvent::Timer(TimerKey::DirectoryAnswer));
+        self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
         assert_eq!(self.readings.len(), 1, "what is published is being read");
         self.answer_with(plain, &[])
     }
@@ -250,9 +251,9 @@
             match command {
                 Command::Relay(order) => self.relays.push(order),
                 Command::CallBatch(order) => self.batches.push(order),
-                Command::FreeResults { results, spared } => {
+                Command::FreeResults { results, excluded } => {
                     self.freed.extend(results);
-                    self.spared.extend(spared);
+                    self.spared.extend(excluded);
                 }
                 Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
@@ -325,8 +326,8 @@
         self.feed(DaemonEvent::Attempt { attempt, event });
     }
 
-    pub fn headed(&mut self, attempt: AttemptId, status: u16, proof: RunProof) {
-        self.attempt(attempt, AttemptEvent::Headed(AnswerHead { status, proof }));
+    pub fn headed(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
+        self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
     pub fn make_pieces(&mut self) {
@@ -337,7 +338,7 @@
         self.feed(DaemonEvent::BatchEnded { batch: order.batch, outcome });
     }
 
-    pub fn last_relay(&self) -> RelayOrder {
+    pub fn last_relay(&self) -> ForwardOrder {
         self.relays.last().expect("the request was sent on").clone()
     }
 
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use crocusdale_core::identity::{AttemptId, CallId, InstanceId, MonotonicTime, RequestKey};
 use crocusdale_core::membership::{VmEntry, VmRole, VmRoster, VmState, WitnessSet};
 use crocusdale_core::pipeline::{
-    AttemptEvent, AttemptOrder, CallerRequest, FinalAnswer, HolderReply, OutcomeKind,
+    AttemptEvent, CallerRequest, FinalAnswer, HolderReply, JsonCallOrder, OutcomeKind,
     RequestContent,
 };
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder};
@@ -92,7 +92,7 @@
     pub nodes: Vec<Node>,
     pub network: Vec<Envelope>,
     /// Attempts that were sent and not answered.
-    pub attempts: Vec<(usize, u64, AttemptOrder)>,
+    pub attempts: Vec<(usize, u64, JsonCallOrder)>,
     /// Times that each key was run.
     pub runs: HashMap<RequestKey, u32>,
     /// Final answers by key.
@@ -141,7 +141,7 @@
     /// Gives the daemon the VM list and the declarations.
     fn inform(&mut self, index: usize) {
         let roster = self.roster.clone();
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
         let text = self.declarations.clone();
         self.feed(index, DaemonEvent::ConfigurationWatched(Some((1, text))));
         // Nobody answers heartbeats here; a daemon is ready once it has asked everybody.
@@ -153,7 +153,7 @@
 
     /// Gives the VM list in use to one daemon.
     pub fn give_roster(&mut self, index: usize, roster: VmRoster) {
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
 
     /// Ends a daemon and starts another one on its VM.
@@ -187,7 +187,7 @@
     pub fn restart_without_configuration(&mut self, index: usize) {
         self.nodes[index] = self.fresh_node(index);
         let roster = self.roster.clone();
-        self.feed(index, DaemonEvent::RosterRead(Some(roster)));
+        self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
 
     /// Sends a request to a daemon.
@@ -245,7 +245,7 @@
             Message::RegisterReply { .. } | Message::HolderReply { .. }
                 if self.nodes[asker].life != life || self.nodes[asker].paused => {}
             Message::RegisterReply { call, witness, reply } => {
-                self.feed(asker, DaemonEvent::RegisterReplied { call, witness, reply });
+                self.feed(asker, DaemonEvent::WitnessReplied { call, witness, reply });
             }
             Message::HolderReply { call, reply } => {
                 self.feed(asker, DaemonEvent::HolderReplied { call, reply });
@@ -301,7 +301,7 @@
         let life = self.nodes[index].life;
         let mut send = |message| self.network.push(Envelope { asker: index, life, message });
         match command {
-            Command::Register { call, witness, key, witnesses, bury } => {
+            Command::AskWitness { call, witness, key, witnesses, is_tombstone: bury } => {
                 send(Message::Register { call, witness, key, witnesses, bury });
             }
             Command::AskHolder { call, key, holder } => {
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -13,9 +13,9 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::MonotonicTime;
-use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus, OutcomeKind, RefusalReason};
 use crocusdale_core::rate_limiting::RateNotice;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry, UpstreamNotice};
 
@@ -52,8 +52,8 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             asked.push((relay.upstream.clone(), relay.write_by));
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         daemon.advance(100);
     }
@@ -108,7 +108,7 @@
             if relay.upstream == "n1" {
                 last = last.max(relay.write_by);
             }
-            daemon.headed(relay.attempt, 503, RunProof::Declined);
+            daemon.headed(relay.attempt, 503, ExecutionStatus::Declined);
         }
         let asked = ask(&mut daemon, 30);
         assert_eq!(count_of(&asked, "n1"), 0, "{notice_of:?}");
@@ -208,7 +208,7 @@
 #[test]
 fn peers_hear_of_an_upstream_that_says_it_leaves() {
     for size in [6, 60] {
-        let mut fleet = VirtualFleet::with_reader(size, 3, NewsBounds::default(), read);
+        let mut fleet = VirtualFleet::with_reader(size, 3, StalenessBounds::default(), read);
         let entry = DirectoryEntry {
             id: "e1".to_owned(),
             started_at_ms: Some(7),
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -9,9 +9,9 @@
 
 use std::time::Duration;
 
-use crocusdale_core::daemon::NewsBounds;
+use crocusdale_core::daemon::StalenessBounds;
 use crocusdale_core::identity::{MonotonicTime, StorePosition};
-use crocusdale_core::pipeline::{AttemptEvent, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus};
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory, ZoneEvacuation};
 
 use forward_daemon::Daemon;
@@ -90,11 +90,11 @@
 /// milliseconds into the pause of a reader that falls silent with its answer.
 fn last_request(bound: Duration, offset: u64) -> Duration {
     let slow = Duration::from_secs(60);
-    let bounds = NewsBounds {
+    let bounds = StalenessBounds {
         notice: slow,
         configuration: slow,
         evacuation: bound,
-        contact: Duration::from_secs(3),
+        recovery_time: Duration::from_secs(3),
     };
     let mut daemon = Daemon::with_bounds(bounds);
     daemon.publish(&["n1", "n2"], &[]);
@@ -116,8 +116,8 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
     last.since(evacuated_at)
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -167,8 +167,8 @@
             Command::ReleaseAnswer { call: _, attempt } => self.relays.pass_on(attempt),
             Command::CallBatch(order) => self.batches.call(self, order),
             Command::CancelBatch(batch) => self.batches.cancel(batch),
-            Command::FreeResults { results, spared } => {
-                self.batches.free(self, &results, &spared);
+            Command::FreeResults { results, excluded } => {
+                self.batches.free(self, &results, &excluded);
             }
             Command::QueryFreeMemory { upstream, address } => {
                 self.batches.ask_room(self, upstream, address);
@@ -188,14 +188,14 @@
             Command::LogStateChange(change) => self.telemetry.note(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
-            Command::ReadRoster { known } => self.platform.read_roster(self, known),
+            Command::ReadVmList { known } => self.platform.read_roster(self, known),
             Command::ReadEngineOrder { upstream, address } => {
                 self.upstreams.read_placement(self, upstream, address);
             }
             Command::SendEngineOrder { upstream: _, address, order } => {
                 self.upstreams.give_order(self, address, order);
             }
-            command @ (Command::Register { .. }
+            command @ (Command::AskWitness { .. }
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
             | Command::Exchange { .. }
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::{AttemptId, CallId};
-use crocusdale_core::pipeline::{AttemptEvent, BreakReason, EventVerdict, RelayOrder, RunProof};
+use crocusdale_core::pipeline::{
+    AttemptEvent, BreakReason, EventVerdict, ExecutionStatus, ForwardOrder,
+};
 use crocusdale_core::sync::lock;
 use crocusdale_platform::notice::read_notice;
 use crocusdale_platform::relay::{RelayedHead, read_head, request_headers};
@@ -51,7 +53,7 @@
     }
 
     /// Carries `order` out; what the upstream does goes to the core.
-    pub fn send(&self, engine: &Arc<DaemonEngine>, order: RelayOrder) {
+    pub fn send(&self, engine: &Arc<DaemonEngine>, order: ForwardOrder) {
         let attempt = order.attempt;
         let Some(call) = lock(&self.calls).get(&attempt.call).cloned() else {
             engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
@@ -93,12 +95,12 @@
 async fn relay(
     engine: &Arc<DaemonEngine>,
     call: &RelayCall,
-    order: &RelayOrder,
+    order: &ForwardOrder,
     wanted: oneshot::Receiver<()>,
 ) -> Option<AttemptEvent> {
     let attempt = order.attempt;
     let pool = engine.connections();
-    let mut connection = match pool.connect(order.address, order.fresh).await {
+    let mut connection = match pool.connect(order.address, order.needs_new_connection).await {
         Ok(connection) => connection,
         Err(fault) => return Some(send_failed(engine, call, order, &fault)),
     };
@@ -117,20 +119,20 @@
     let (parts, body) = response.into_parts();
     let head = read_head(parts.status, &parts.headers, &call.attempt);
     if head.foreign {
-        return Some(AttemptEvent::Broken(BreakReason::Foreign));
+        return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
     engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let success = parts.status.is_success();
-    if head.head.proof == RunProof::Ran && success && !head.signed {
+    if head.head.execution == ExecutionStatus::Ran && success && !head.signed {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if success && head.is_stream {
-        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::Headed(head.head) });
+        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
         wanted.await.ok()?;
         let events = open_events(engine, call, attempt.call, parts.status, head);
         let mut pump = EventPump { engine, call, attempt, events, flowing: false };
         let end = pump.run(body).await;
-        if matches!(end, AttemptEvent::Passed) {
+        if matches!(end, AttemptEvent::ResponseForwarded) {
             pool.give_back(connection, &parts.headers, order.kept_connections);
         }
         return Some(end);
@@ -140,24 +142,24 @@
     };
     let body = body.to_bytes();
     pool.give_back(connection, &parts.headers, order.kept_connections);
-    if head.head.proof != RunProof::Ran {
+    if head.head.execution != ExecutionStatus::Ran {
         // Nobody ever wants this answer passed on. An attempt that waited for it would keep its
         // call, and with it the way of another attempt's events to the caller, open for good.
-        return Some(AttemptEvent::Headed(head.head));
+        return Some(AttemptEvent::HeadReceived(head.head));
     }
-    engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::Headed(head.head) });
+    engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
     wanted.await.ok()?;
     let (status, headers) = (parts.status, head.headers);
     let answer = RelayedAnswer { status, headers, body: RelayBody::Whole(body) };
     engine.reply(attempt.call, CallReply::Relayed(answer));
-    Some(AttemptEvent::Passed)
+    Some(AttemptEvent::ResponseForwarded)
 }
 
 /// What it means for an attempt that its request has no answer; the cause goes to the log.
 fn send_failed(
     engine: &DaemonEngine,
     call: &RelayCall,
-    order: &RelayOrder,
+    order: &ForwardOrder,
     fault: &SendFault,
 ) -> AttemptEvent {
     info!(engine.telemetry.log, "attempt_failed";
@@ -210,7 +212,7 @@
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return AttemptEvent::Broken(BreakReason::Cut),
                 None if reader.has_rest() => return AttemptEvent::Broken(BreakReason::Cut),
-                None => return AttemptEvent::Passed,
+                None => return AttemptEvent::ResponseForwarded,
             };
             if let Some(bytes) = frame.data_ref() {
                 reader.push(bytes);
@@ -239,11 +241,11 @@
             }
             if self.events.send(event.bytes).await.is_err() {
                 // The caller is gone; its call says so to the core.
-                return Some(AttemptEvent::Broken(BreakReason::Unwanted));
+                return Some(AttemptEvent::Broken(BreakReason::CallerDisconnected));
             }
             if !self.flowing {
                 self.flowing = true;
-                let event = AttemptEvent::Flowing;
+                let event = AttemptEvent::StreamStarted;
                 self.engine.feed(DaemonEvent::Attempt { attempt: self.attempt, event });
             }
         }
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::InstanceId;
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
-use crocusdale_core::{DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCoreBuilder, DiscoverySettings};
 use crocusdale_platform::configuration::read_declarations;
 use crocusdaled::engine::{DaemonEngine, MonotonicClock};
 use crocusdaled::forwarding::{ForwardService, ReadyService};
@@ -153,25 +153,25 @@
     let (core, platform) = match &settings.platform {
         PlatformSettings::Services { configuration, vm_list, vm_list_period } => {
             let reader = ServiceReader::new(*configuration, *vm_list)?;
-            (core.roster_period(*vm_list_period), PlatformReader::Services(reader))
+            (core.vm_list_interval(*vm_list_period), PlatformReader::Services(reader))
         }
         PlatformSettings::Published(published) => {
             let reader = StoreReader::new(published.store);
-            (core.published(published_fleet(settings, published)), PlatformReader::Store(reader))
+            (core.discovery(published_fleet(settings, published)), PlatformReader::Store(reader))
         }
     };
     let core = core.build(clock.now());
     Ok(DaemonEngine::start(core, clock, Telemetry::new(log), platform))
 }
 
-fn published_fleet(settings: &ProcessSettings, published: &PublishedSettings) -> PublishedFleet {
+fn published_fleet(settings: &ProcessSettings, published: &PublishedSettings) -> DiscoverySettings {
     let place = MemberPlace {
         zone: settings.zone.clone(),
         caller: settings.caller,
         peer: settings.peer,
         capacity: MemberCapacity::new(settings.cpu_share, settings.link_mbps),
     };
-    PublishedFleet {
+    DiscoverySettings {
         place,
         regions: settings.regions.clone(),
         seeds: published.seeds.clone(),
@@ -222,6 +222,6 @@
                 continue;
             }
         }
-        engine.feed(DaemonEvent::DrainAsked);
+        engine.feed(DaemonEvent::DrainRequested);
     }
 }
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -6,17 +6,18 @@
 
 use crocusdale_core::batching::BatchOrder;
 use crocusdale_core::configuration::{ConfigurationError, Declarations, RegionMap};
-use crocusdale_core::daemon::{DaemonEvent, NewsBounds, TimerKey};
+use crocusdale_core::daemon::{DaemonEvent, StalenessBounds, TimerKey};
 use crocusdale_core::identity::{
     AttemptId, CallId, InstanceId, MonotonicTime, RequestDigest, RequestKey,
 };
 use crocusdale_core::membership::{ExchangeMessage, MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
-    AttemptEvent, CallerRequest, FinalAnswer, ForwardHead, OutcomeKind, RelayOrder, RequestContent,
+    AttemptEvent, CallerRequest, FinalAnswer, ForwardHead, ForwardOrder, OutcomeKind,
+    RequestContent,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, DirectoryEntry};
-use crocusdale_core::{DaemonCore, DaemonCoreBuilder, PublishedFleet};
+use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 use rand::{Rng as _, SeedableRng as _};
 
 use super::batch_model::BatchModel;
@@ -53,7 +54,7 @@
     Try { request: u64 },
     Call { life: u64, order: BatchOrder },
     CallEnd { upstream: String },
-    Relay(RelayOrder),
+    Relay(ForwardOrder),
     EngineStep { engine: String },
     FaultBegin { fault: usize },
     FaultEnd { fault: usize },
@@ -248,7 +249,7 @@
             CallForming::EachDaemon => 0,
             CallForming::OneDispatcher => SEEDS.min(self.load.daemons),
         };
-        let published = PublishedFleet {
+        let published = DiscoverySettings {
             place,
             regions: RegionMap::default(),
             seeds: (0..seeds).map(peer_address).collect(),
@@ -256,10 +257,10 @@
             retries: RetryLimits::default(),
             grace: Duration::from_secs(8),
             cold_limits: ColdLimits::default(),
-            bounds: NewsBounds::default(),
+            bounds: StalenessBounds::default(),
         };
         let own = InstanceId::new(vm_name(daemon), life);
-        DaemonCoreBuilder::new(own, zone).published(published).seed(daemon as u64).build(self.now)
+        DaemonCoreBuilder::new(own, zone).discovery(published).seed(daemon as u64).build(self.now)
     }
 
     fn feed(&mut self, life: u64, event: DaemonEvent) {
