--- a/crates/crocusdale_core/examples/directory_slopes.rs
+++ b/crates/crocusdale_core/examples/directory_slopes.rs
@@ -81,7 +81,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        allowed_regions: Default::default(),
+        home_regions: Default::default(),
     }
 }
 
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -66,7 +66,7 @@
             failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
-            allowed_regions: self.plan.home_regions.clone(),
+            home_regions: self.plan.home_regions.clone(),
         })
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -348,7 +348,7 @@
             failed_upstreams: step_run.tried.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            allowed_regions: self.plan.home_regions.clone(),
+            home_regions: self.plan.home_regions.clone(),
         }
     }
 
--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -34,7 +34,7 @@
     /// Digest of the request, which is equal for its repetitions.
     pub digest: RequestDigest,
     /// Regions in which the request may be processed.
-    pub allowed_regions: HomeRegions,
+    pub home_regions: HomeRegions,
 }
 
 /// Queue of the attempts that wait for one pool, most urgent first, with the pool's latency
@@ -98,7 +98,7 @@
         let mut candidates = self.waiting.iter();
         let key = candidates.find(|(_, request)| {
             request.failed_upstreams.iter().all(|failed| failed != upstream)
-                && request.allowed_regions.allow(region)
+                && request.home_regions.allow(region)
         });
         let key = *key?.0;
         self.waiting.remove(&key)
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -94,7 +94,7 @@
     pub fn retry_delay(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
         let availability =
-            self.availability(routed, &request.allowed_regions, &request.failed_upstreams, now);
+            self.availability(routed, &request.home_regions, &request.failed_upstreams, now);
         availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
     }
 
@@ -106,7 +106,7 @@
         now: MonotonicTime,
     ) -> bool {
         let availability =
-            self.availability(routed, &request.allowed_regions, &request.failed_upstreams, now);
+            self.availability(routed, &request.home_regions, &request.failed_upstreams, now);
         match availability {
             PoolAvailability::Available => true,
             PoolAvailability::NoShare(_) | PoolAvailability::NoUpstream => false,
@@ -123,7 +123,7 @@
     pub fn admission_delay(
         &self,
         stage: &str,
-        allowed_regions: &HomeRegions,
+        home_regions: &HomeRegions,
         deadline: MonotonicTime,
         now: MonotonicTime,
     ) -> Option<Duration> {
@@ -131,7 +131,7 @@
             return None;
         }
         let routed = self.pools.get(stage)?;
-        let availability = self.availability(routed, allowed_regions, &[], now);
+        let availability = self.availability(routed, home_regions, &[], now);
         let has_no_share = matches!(availability, PoolAvailability::NoShare(_));
         let wait = availability.wait_behind(lock(&routed.queue).waiting_count())?;
         (has_no_share || now + wait + DEADLINE_MARGIN >= deadline).then_some(wait)
@@ -166,7 +166,7 @@
     fn availability(
         &self,
         routed: &RoutedPool,
-        allowed_regions: &HomeRegions,
+        home_regions: &HomeRegions,
         failed_upstreams: &[String],
         now: MonotonicTime,
     ) -> PoolAvailability {
@@ -174,7 +174,7 @@
         for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
             let upstream = &self.upstreams[position];
             let name = &upstream.rules.name;
-            if failed_upstreams.contains(name) || !allowed_regions.allow(self.region_of(position)) {
+            if failed_upstreams.contains(name) || !home_regions.allow(self.region_of(position)) {
                 continue;
             }
             let backoff = {
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -66,7 +66,7 @@
             positions.iter().cycle().skip(start % positions.len().max(1)).take(positions.len());
         let is_usable = |position: &&usize| {
             let state = lock(&self.upstreams[**position].state);
-            let is_region_allowed = request.allowed_regions.allow(self.region_of(**position));
+            let is_region_allowed = request.home_regions.allow(self.region_of(**position));
             let is_within_quota =
                 self.limiter.allows(&self.upstreams[**position].rules.name, RateUse::Shared, now);
             is_region_allowed
@@ -108,7 +108,7 @@
         if request.failed_upstreams.contains(&upstream.rules.name) {
             return None;
         }
-        if !request.allowed_regions.allow(self.region_of(position)) {
+        if !request.home_regions.allow(self.region_of(position)) {
             return None;
         }
         if !self.is_within_cold_limit(routed, position, now)
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -78,7 +78,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        allowed_regions: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -37,7 +37,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
-        allowed_regions: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
     grant.expect("the pool is there").expect("a place is free").max_idle_connections
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -153,7 +153,7 @@
         failed_upstreams: Vec::new(),
         demand: Some(Arc::new(demand)),
         digest: Default::default(),
-        allowed_regions: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -52,7 +52,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        allowed_regions: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
+        home_regions: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
     }
 }
 
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -346,7 +346,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        allowed_regions: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     };
     assert_eq!(router.acquire(request(1), start).map(|grant| grant.is_some()), Ok(false));
     let place = start + Duration::from_millis(1_010);
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -132,7 +132,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
-        allowed_regions: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     };
     for call in 1..=3 {
         let grant = router.acquire(request(call), now).expect("hope").expect("a place");
