--- a/crates/crocusdale_core/src/batching/batch_dispatcher.rs
+++ b/crates/crocusdale_core/src/batching/batch_dispatcher.rs
@@ -120,7 +120,7 @@
     ) {
         for (name, stage) in declarations.stages() {
             let PoolKind::Batch(rules) = stage.kind else { continue };
-            let remaining = directory.staying().filter(|entry| entry.pool == name);
+            let remaining = directory.available_entries().filter(|entry| entry.pool == name);
             let remaining = remaining.map(|entry| (stable_hash(&[&entry.name()]), entry.clone()));
             self.upstreams.insert(name.to_owned(), remaining.collect());
             for section in PoolSection::all(name, self.section_count(name)) {
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -88,7 +88,7 @@
         evacuations: Vec<(u64, String)>,
     ) -> Self {
         let with_position = |(revision, zone)| ZoneEvacuation {
-            written: StorePosition { era: position.era, revision },
+            write_position: StorePosition { era: position.era, revision },
             zone,
         };
         let evacuations = evacuations.into_iter().map(with_position).collect();
@@ -550,8 +550,8 @@
         out: &mut Vec<Command>,
     ) {
         if changed {
-            let StorePosition { era, revision } = self.directory.changed();
-            let upstreams = self.directory.staying().count();
+            let StorePosition { era, revision } = self.directory.change_position();
+            let upstreams = self.directory.available_entries().count();
             let age_ms = age.map(whole_millis);
             let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
             out.push(Command::LogStateChange(change));
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -148,7 +148,7 @@
             let restarted = state.directory.take_restarted();
             out.extend(restarted.into_iter().map(Command::CloseStaleConnections));
             let lowest_position = StorePosition::from(u64::from(state.directory.is_known()));
-            (state.directory.changed().max(lowest_position), state.verified_at())
+            (state.directory.change_position().max(lowest_position), state.verified_at())
         };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
@@ -198,7 +198,7 @@
         let Some(vm_list) = vm_list else { return };
         if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
             self.refresh_fleet_snapshot();
-            self.state.router().take_roster(self.state.fleet_snapshot().history.current());
+            self.state.router().apply_roster(self.state.fleet_snapshot().history.current());
         }
     }
 
--- a/crates/crocusdale_core/src/daemon/upstream_notices.rs
+++ b/crates/crocusdale_core/src/daemon/upstream_notices.rs
@@ -44,8 +44,8 @@
             let upstream = upstream.to_owned();
             out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
         }
-        if let Some(left) = notice.cold {
-            let cold_upstream = ColdUpstream { name: upstream.to_owned(), left };
+        if let Some(left) = notice.cold_remaining {
+            let cold_upstream = ColdUpstream { name: upstream.to_owned(), remaining: left };
             let has_changed = lock(&self.directory).record_cold_start(cold_upstream, now, out);
             if let Some(declarations) = self.declarations_in_force().filter(|_| has_changed) {
                 self.rebuild_router(&declarations, now, out);
@@ -100,7 +100,7 @@
     ) {
         let directory = lock(&self.directory).directory.clone();
         let router = self.router().reconfigured(declarations, &directory, now);
-        router.take_roster(self.fleet_snapshot().history.current());
+        router.apply_roster(self.fleet_snapshot().history.current());
         // An upstream's entry may expire and come back. The new router has lost how long the
         // upstream refuses requests, so that is set again.
         let unavailable_until = lock(&self.unavailable_until).clone();
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -63,10 +63,10 @@
             stage: step.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: Vec::new(),
+            failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
-            homes: self.plan.home_regions.clone(),
+            home_regions: self.plan.home_regions.clone(),
         })
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -347,10 +347,10 @@
             stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: step_run.failed_targets.clone(),
+            failed_upstreams: step_run.failed_targets.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            homes: self.plan.home_regions.clone(),
+            home_regions: self.plan.home_regions.clone(),
         }
     }
 
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -66,7 +66,7 @@
             positions.iter().cycle().skip(start % positions.len().max(1)).take(positions.len());
         let is_usable = |position: &&usize| {
             let state = lock(&self.upstreams[**position].state);
-            let is_region_allowed = request.homes.allow(self.region_of(**position));
+            let is_region_allowed = request.home_regions.allow(self.region_of(**position));
             let is_within_quota =
                 self.limiter.allows(&self.upstreams[**position].rules.name, RateUse::Shared, now);
             is_region_allowed
@@ -105,10 +105,10 @@
         now: MonotonicTime,
     ) -> Option<f64> {
         let upstream = &self.upstreams[position];
-        if request.tried.contains(&upstream.rules.name) {
+        if request.failed_upstreams.contains(&upstream.rules.name) {
             return None;
         }
-        if !request.homes.allow(self.region_of(position)) {
+        if !request.home_regions.allow(self.region_of(position)) {
             return None;
         }
         if !self.is_within_cold_limit(routed, position, now)
@@ -119,6 +119,6 @@
         let state = lock(&upstream.state);
         let is_unhealthy = require_healthy && (state.is_ejected(now) || state.is_full(now));
         let is_accepting = !state.is_leaving() && state.backoff_left(now).is_zero();
-        (is_accepting && !is_unhealthy && state.has_room()).then(|| state.cost())
+        (is_accepting && !is_unhealthy && state.has_free_slot()).then(|| state.cost())
     }
 }
--- a/crates/crocusdale_core/src/routing/upstream_directory.rs
+++ b/crates/crocusdale_core/src/routing/upstream_directory.rs
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug)]
 struct ListedUpstream {
     /// Store position of the entry's last write, including heartbeats.
-    written: StorePosition,
+    write_position: StorePosition,
     /// Store position of the last write that affects routing.
-    changed: StorePosition,
+    change_position: StorePosition,
     entry: DirectoryEntry,
 }
 
@@ -76,7 +76,7 @@
     /// Store position of the first list in the present era. All changes since then are known.
     complete_since: StorePosition,
     /// Store position of the last change that affects routing.
-    changed: StorePosition,
+    change_position: StorePosition,
     entries: BTreeMap<String, ListedUpstream>,
     /// Removed upstreams by process ID, with the store position of the removal and the last known
     /// start time.
@@ -105,8 +105,8 @@
 
     /// Store position of the last change that affects routing.
     #[must_use]
-    pub fn changed(&self) -> StorePosition {
-        self.changed
+    pub fn change_position(&self) -> StorePosition {
+        self.change_position
     }
 
     /// Whether a list has been read or received from a peer.
@@ -122,7 +122,7 @@
 
     /// Published upstreams that may get new work: those that are not leaving and not in an
     /// evacuated availability zone.
-    pub fn staying(&self) -> impl Iterator<Item = &DirectoryEntry> {
+    pub fn available_entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries().filter(|entry| !entry.leaving && !self.evacuations.contains(&entry.zone))
     }
 
@@ -139,7 +139,7 @@
             has_changed |= self.cold.record(upstream, now);
         }
         if has_changed {
-            self.changed = self.changed.max(self.position);
+            self.change_position = self.change_position.max(self.position);
         }
         has_changed
     }
@@ -166,7 +166,7 @@
         }
         let changed = self.evacuations.replace(listed, grace);
         if changed {
-            self.changed = self.changed.max(position);
+            self.change_position = self.change_position.max(position);
         }
         changed
     }
@@ -239,8 +239,8 @@
         for id in unlisted {
             changed |= self.handle_unlisted(&id, position, grace);
         }
-        for (written, entry) in entries {
-            changed |= self.upsert(written, entry);
+        for (write_position, entry) in entries {
+            changed |= self.upsert(write_position, entry);
         }
         self.position = position;
         changed
@@ -273,7 +273,7 @@
             })
             .collect();
         let entries =
-            list.entries.into_iter().map(|listed| (listed.written, listed.entry)).collect();
+            list.entries.into_iter().map(|listed| (listed.write_position, listed.entry)).collect();
         let (position, cold) = (list.position, list.cold);
         let mut changed = self.replace_evacuations(position, list.evacuations, grace);
         changed |= match list.removed {
@@ -300,8 +300,8 @@
         for removal in removed {
             changed |= self.remove(&removal.id, removal.position);
         }
-        for (written, entry) in entries {
-            changed |= self.upsert(written, entry);
+        for (write_position, entry) in entries {
+            changed |= self.upsert(write_position, entry);
         }
         self.position = position;
         changed
@@ -320,7 +320,7 @@
         self.has_expired_missing |= !expired.is_empty();
         let has_ended_evacuations = self.evacuations.remove_expired(now);
         if has_ended_evacuations {
-            self.changed = self.changed.max(self.position);
+            self.change_position = self.change_position.max(self.position);
         }
         has_ended_evacuations || !expired.is_empty()
     }
@@ -358,8 +358,9 @@
             return self.snapshot(now);
         }
         let entries = self.entries.iter();
-        let recent =
-            entries.filter(|(id, listed)| listed.changed > since || self.missing.contains_key(*id));
+        let recent = entries.filter(|(id, listed)| {
+            listed.change_position > since || self.missing.contains_key(*id)
+        });
         let removed = self.removed.iter().filter(|(_, (position, _))| *position > since);
         let removed =
             removed.map(|(id, (position, _))| PeerRemoval { position: *position, id: id.clone() });
@@ -388,21 +389,21 @@
 
     fn to_peer_entry(&self, id: &str, listed: &ListedUpstream, now: MonotonicTime) -> PeerEntry {
         PeerEntry {
-            written: listed.written,
+            write_position: listed.write_position,
             entry: listed.entry.clone(),
             expires_in: self.missing.get(id).map(|expires_at| expires_at.since(now)),
         }
     }
 
-    fn upsert(&mut self, written: StorePosition, entry: DirectoryEntry) -> bool {
-        if self.removed.get(&entry.id).is_some_and(|(removed, _)| *removed > written) {
+    fn upsert(&mut self, write_position: StorePosition, entry: DirectoryEntry) -> bool {
+        if self.removed.get(&entry.id).is_some_and(|(removed, _)| *removed > write_position) {
             return false;
         }
-        if self.is_restored_after_removal(written, &entry) {
+        if self.is_restored_after_removal(write_position, &entry) {
             return false;
         }
         let recorded = self.entries.get(&entry.id);
-        if recorded.is_some_and(|recorded| recorded.written > written) {
+        if recorded.is_some_and(|recorded| recorded.write_position > write_position) {
             return false;
         }
         // A write from an earlier run of the process may reach the platform after one from a later
@@ -428,13 +429,13 @@
         let is_leaving = is_leaving || self.leaving_notices.contains_key(&entry.name());
         let is_outdated = is_leaving && !entry.leaving;
         let changed = !is_outdated && recorded.is_none_or(|recorded| recorded.entry != entry);
-        let last_change = recorded.map_or(written, |recorded| recorded.changed);
+        let last_change = recorded.map_or(write_position, |recorded| recorded.change_position);
         if changed {
-            self.changed = self.changed.max(written);
+            self.change_position = self.change_position.max(write_position);
         }
         let entry = DirectoryEntry { leaving: entry.leaving || is_leaving, ..entry };
-        let last_change = if changed { written } else { last_change };
-        let listed = ListedUpstream { written, changed: last_change, entry };
+        let last_change = if changed { write_position } else { last_change };
+        let listed = ListedUpstream { write_position, change_position: last_change, entry };
         self.entries.insert(listed.entry.id.clone(), listed);
         changed
     }
@@ -466,10 +467,14 @@
     /// Guards against requests to processes that left or crashed in the seconds that the store
     /// lost. The restored store lists them until their leases expire. A process that is still
     /// running renews its entry with a heartbeat, which is written after the restore.
-    fn is_restored_after_removal(&self, written: StorePosition, entry: &DirectoryEntry) -> bool {
+    fn is_restored_after_removal(
+        &self,
+        write_position: StorePosition,
+        entry: &DirectoryEntry,
+    ) -> bool {
         self.removed.get(&entry.id).is_some_and(|(removed, started_at_ms)| {
-            removed.era < written.era
-                && written <= self.restore_position
+            removed.era < write_position.era
+                && write_position <= self.restore_position
                 && entry.started_at_ms <= *started_at_ms
         })
     }
@@ -478,11 +483,12 @@
         let started_at_ms = self.entries.get(id).and_then(|listed| listed.entry.started_at_ms);
         let last = self.removed.get(id).and_then(|(_, started_at_ms)| *started_at_ms);
         self.removed.insert(id.to_owned(), (position, started_at_ms.max(last)));
-        let is_removed = self.entries.get(id).is_some_and(|listed| listed.written <= position);
+        let is_removed =
+            self.entries.get(id).is_some_and(|listed| listed.write_position <= position);
         if is_removed {
             self.entries.remove(id);
             self.missing.remove(id);
-            self.changed = self.changed.max(position);
+            self.change_position = self.change_position.max(position);
         }
         is_removed
     }
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -170,7 +170,7 @@
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
-    pub fn take_roster(&self, roster: &VmRoster) {
+    pub fn apply_roster(&self, roster: &VmRoster) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
@@ -200,9 +200,9 @@
     /// Takes one retry from the retry budget of the request's pool. Returns `false` if the budget
     /// is exhausted. The baseline policy allows a fixed number of retries instead.
     #[must_use]
-    pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
+    pub fn take_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
-            return request.tried.len() <= BASELINE_RETRIES;
+            return request.failed_upstreams.len() <= BASELINE_RETRIES;
         }
         self.pools
             .get(&request.stage)
@@ -235,7 +235,7 @@
         now: MonotonicTime,
     ) -> Result<Option<SlotGrant>, SlotRequest> {
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
-        if request.tried.is_empty() {
+        if request.failed_upstreams.is_empty() {
             let mut queue = lock(&routed.queue);
             queue.retry_budget.record_first_attempt(now);
             // The subject is the last segment of the prompt prefix that other requests may share.
@@ -266,7 +266,7 @@
         let Some(upstream) = self.upstream(upstream) else { return Vec::new() };
         {
             let mut state = lock(&upstream.state);
-            state.end(report, now);
+            state.end_attempt(report, now);
             if let Some(engine) = &mut state.engine {
                 engine.end_request(call);
             }
@@ -328,7 +328,7 @@
 
     /// Number of queued attempts by stage, in ascending order of stage names.
     #[must_use]
-    pub fn waiting(&self) -> Vec<(String, usize)> {
+    pub fn waiting_counts(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
         let mut waiting: Vec<_> = pools
             .map(|(stage, routed)| (stage.clone(), lock(&routed.queue).waiting_count()))
@@ -351,7 +351,7 @@
         let upstream = &self.upstreams[position];
         let min_answer_time = {
             let mut state = lock(&upstream.state);
-            state.begin();
+            state.start_attempt();
             if let Some(routed) = self.pools.get(&request.stage) {
                 Self::record_send(routed, &mut state, now);
             }
@@ -404,7 +404,7 @@
                 && self.limiter.allows(&upstream.rules.name, RateUse::Shared, now)
                 && {
                     let state = lock(&upstream.state);
-                    state.has_room()
+                    state.has_free_slot()
                         && !state.is_leaving()
                         && state.backoff_left(now).is_zero()
                         && !state.is_ejected(now)
--- a/crates/crocusdale_core/src/routing/upstream_state.rs
+++ b/crates/crocusdale_core/src/routing/upstream_state.rs
@@ -93,7 +93,8 @@
     /// Whether the upstream is in its cold start, and gets few requests.
     pub cold: bool,
     /// Moving average of the answer time, in milliseconds. `None` before the first answer.
-    pub learned_ms: Option<f64>,
+    #[serde(rename = "learned_ms")]
+    pub mean_answer_time_ms: Option<f64>,
 }
 
 impl UpstreamState {
@@ -167,7 +168,7 @@
 
     /// Whether the upstream has a free slot for one more attempt.
     #[must_use]
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         match &self.engine {
             // An engine processes all its requests concurrently, and its answers are streams of any
             // length. Their times don't indicate a queue, so that the adaptive window is not used.
@@ -259,12 +260,12 @@
     }
 
     /// Records the start of an attempt.
-    pub fn begin(&mut self) {
+    pub fn start_attempt(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records the end of an attempt.
-    pub fn end(&mut self, report: AttemptReport, now: MonotonicTime) {
+    pub fn end_attempt(&mut self, report: AttemptReport, now: MonotonicTime) {
         debug_assert!(self.in_flight > 0, "an attempt ends once");
         self.in_flight = self.in_flight.saturating_sub(1);
         match report {
@@ -291,7 +292,7 @@
             leaving: self.is_leaving(),
             ejected: self.is_ejected(now),
             cold: self.cold_until.is_some_and(|until| now < until),
-            learned_ms: self.mean_answer_time.map(|mean| mean.as_secs_f64() * 1e3),
+            mean_answer_time_ms: self.mean_answer_time.map(|mean| mean.as_secs_f64() * 1e3),
         }
     }
 
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -34,10 +34,10 @@
         stage: "desk".to_owned(),
         level: 0,
         deadline: MonotonicTime::from_millis(1_000),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
     grant.expect("the pool is there").expect("a place is free").max_idle_connections
--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -49,10 +49,10 @@
         stage: stage.to_owned(),
         level: 0,
         deadline: NOW + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
+        home_regions: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
     }
 }
 
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -129,10 +129,10 @@
         stage: batch_bench::POOL.to_owned(),
         level: 0,
         deadline: now + Duration::from_secs(5),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     };
     for call in 1..=3 {
         let grant = router.acquire(request(call), now).expect("hope").expect("a place");
