--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -163,7 +163,7 @@
             Delivery::Exchange { from, message, sent } => {
                 let reply = self.cores[index].exchange(&message, self.now, &mut commands);
                 self.tally.bytes += wire_size(&reply);
-                let event = DaemonEvent::Exchanged { message: Box::new(reply), sent };
+                let event = DaemonEvent::HeartbeatAnswered { message: Box::new(reply), sent };
                 self.push(from, self.latency(index, from), Delivery::Event(event));
             }
             Delivery::Fetch { from, known } => {
@@ -187,7 +187,7 @@
                     let delivery = Delivery::Event(DaemonEvent::Timer(timer));
                     self.queue.insert((at, self.sequence), (index, delivery));
                 }
-                Command::Exchange { vm, message } => self.exchange(index, vm, message),
+                Command::SendHeartbeat { vm, message } => self.exchange(index, vm, message),
                 Command::FetchConfiguration { vm, known } => {
                     let to = position(&vm);
                     let delivery = Delivery::Fetch { from: index, known };
@@ -205,7 +205,7 @@
         self.tally.exchanges += 1;
         self.tally.bytes += wire_size(&message);
         if self.lost[to] {
-            let event = DaemonEvent::ExchangeFailed(vm);
+            let event = DaemonEvent::HeartbeatFailed(vm);
             self.push(index, PATIENCE, Delivery::Event(event));
         } else {
             let delivery = Delivery::Exchange { from: index, message, sent: self.now };
--- a/crates/crocusdale_core/src/daemon/command.rs
+++ b/crates/crocusdale_core/src/daemon/command.rs
@@ -123,7 +123,7 @@
         holder: InstanceId,
     },
     /// Exchange heartbeats with a peer.
-    Exchange {
+    SendHeartbeat {
         /// VM of the peer.
         vm: String,
         /// Heartbeat of this daemon.
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -59,14 +59,14 @@
     },
     /// A peer answered a heartbeat of this daemon with its own, which the daemon merges into its
     /// view of the fleet.
-    Exchanged {
+    HeartbeatAnswered {
         /// Heartbeat of the peer.
         message: Box<ExchangeMessage>,
         /// Time at which this daemon sent its own heartbeat.
         sent: MonotonicTime,
     },
     /// The peer on the named VM did not answer a heartbeat, which may make it suspect.
-    ExchangeFailed(String),
+    HeartbeatFailed(String),
     /// A peer's configuration was fetched, as revision and text; `None` if the fetch failed.
     ConfigurationFetched(Option<(u64, String)>),
     /// The configuration service answered with a revision and its text; `None` without a change.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -19,7 +19,7 @@
         out: &mut Vec<Command>,
     ) {
         match event {
-            DaemonEvent::Exchanged { message, sent } => {
+            DaemonEvent::HeartbeatAnswered { message, sent } => {
                 let sender = &message.sender.instance.vm;
                 self.state.merge_crash_records(&message.crashes, sender, now, out);
                 self.state.merge_limits(&message.limits, sender, now, out);
@@ -53,7 +53,7 @@
                 let changed = lock(&self.state.directory).apply_peer_list(list, revision, now, out);
                 self.propagate_directory(changed, now, out);
             }
-            DaemonEvent::ExchangeFailed(vm) => {
+            DaemonEvent::HeartbeatFailed(vm) => {
                 lock(&self.state.fleet).record_heartbeat_failure(&vm, now, out);
             }
             DaemonEvent::ConfigurationFetched(configuration) => {
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -469,7 +469,7 @@
     ) {
         for vm in partners {
             let message = Box::new(self.heartbeat_for(&vm, now));
-            out.push(Command::Exchange { vm, message });
+            out.push(Command::SendHeartbeat { vm, message });
         }
     }
 
@@ -494,7 +494,7 @@
                 limits: limits.to_vec(),
                 ..self.heartbeat_for(&vm, now)
             };
-            out.push(Command::Exchange { vm, message: Box::new(message) });
+            out.push(Command::SendHeartbeat { vm, message: Box::new(message) });
         }
     }
 
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -146,7 +146,7 @@
         self.feed(index, DaemonEvent::ConfigurationWatched(Some((1, text))));
         // Nobody answers heartbeats here; a daemon is ready once it has asked everybody.
         for peer in self.roster.vms.clone() {
-            self.feed(index, DaemonEvent::ExchangeFailed(peer.name));
+            self.feed(index, DaemonEvent::HeartbeatFailed(peer.name));
         }
         self.feed(index, DaemonEvent::Timer(TimerKey::Housekeeping));
     }
--- a/crates/crocusdale_core/tests/support/reader_answer.rs
+++ b/crates/crocusdale_core/tests/support/reader_answer.rs
@@ -55,5 +55,5 @@
         limits: Vec::new(),
         crashes: Vec::new(),
     });
-    DaemonEvent::Exchanged { message, sent }
+    DaemonEvent::HeartbeatAnswered { message, sent }
 }
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -237,8 +237,10 @@
                     reply.limits.clear();
                 }
                 self.records += message.records.len() + reply.records.len();
-                let event =
-                    Delivery::Event(DaemonEvent::Exchanged { message: Box::new(reply), sent });
+                let event = Delivery::Event(DaemonEvent::HeartbeatAnswered {
+                    message: Box::new(reply),
+                    sent,
+                });
                 let delay = self.delay(ONE_WAY, SILENCE);
                 self.push(self.now + delay, from, event);
             }
@@ -255,7 +257,7 @@
                 let to = (0..self.cores.len()).find(|each| peer_address(*each) == address);
                 self.ask(index, to.expect("seeds are daemons"), message);
             }
-            Command::Exchange { vm, message } => {
+            Command::SendHeartbeat { vm, message } => {
                 let to = vm_index(&vm);
                 self.ask(index, to, message);
             }
@@ -327,7 +329,7 @@
 
     fn ask(&mut self, from: usize, to: usize, message: Box<ExchangeMessage>) {
         if !self.reaches(from, to) {
-            let failed = Delivery::Event(DaemonEvent::ExchangeFailed(vm_name(to)));
+            let failed = Delivery::Event(DaemonEvent::HeartbeatFailed(vm_name(to)));
             self.push(self.now + SILENCE, from, failed);
             return;
         }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -198,7 +198,7 @@
             command @ (Command::AskWitness { .. }
             | Command::RecordOutcome { .. }
             | Command::AskHolder { .. }
-            | Command::Exchange { .. }
+            | Command::SendHeartbeat { .. }
             | Command::PingSeed { .. }
             | Command::SendPieces { .. }
             | Command::ReleaseRemoteResults { .. }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -63,7 +63,7 @@
         let engine = Arc::clone(engine);
         tokio::spawn(async move {
             match command {
-                Command::Exchange { vm, message } => exchange(&engine, vm, *message).await,
+                Command::SendHeartbeat { vm, message } => exchange(&engine, vm, *message).await,
                 Command::PingSeed { address, message } => greet(&engine, address, *message).await,
                 Command::FetchDirectory { vm, known } => fetch_directory(&engine, &vm, known).await,
                 Command::FetchConfiguration { vm, known } => fetch(&engine, &vm, known).await,
@@ -111,9 +111,9 @@
     engine.feed(match message {
         // Another VM may have taken over the address since the list was read.
         Some(message) if message.sender.instance.vm == vm => {
-            DaemonEvent::Exchanged { message: Box::new(message), sent }
+            DaemonEvent::HeartbeatAnswered { message: Box::new(message), sent }
         }
-        _ => DaemonEvent::ExchangeFailed(vm),
+        _ => DaemonEvent::HeartbeatFailed(vm),
     });
 }
 
@@ -125,7 +125,7 @@
         call_at(engine, address, PATIENCE, |mut client| async move { client.exchange(wire).await });
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
     engine.feed(match message {
-        Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
+        Some(message) => DaemonEvent::HeartbeatAnswered { message: Box::new(message), sent },
         None => DaemonEvent::SeedPingFailed,
     });
 }
--- a/crates/crocusdaled/src/peer/piece_client.rs
+++ b/crates/crocusdaled/src/peer/piece_client.rs
@@ -45,7 +45,7 @@
 fn finish(engine: &Arc<DaemonEngine>, attempt: AttemptId, event: AttemptEvent, vm: String) {
     // A dispatcher that can't be reached is doubted at once, so that other pieces pass it by.
     if matches!(event, AttemptEvent::DispatcherLost(_)) {
-        engine.feed(DaemonEvent::ExchangeFailed(vm));
+        engine.feed(DaemonEvent::HeartbeatFailed(vm));
     }
     engine.feed(DaemonEvent::Attempt { attempt, event });
 }
--- a/crates/stand_ins/src/fleet_model/daemon_commands.rs
+++ b/crates/stand_ins/src/fleet_model/daemon_commands.rs
@@ -94,7 +94,7 @@
                 let to = usize::from(u16::from_be_bytes([high, low]));
                 self.push(HOP, ModelEvent::Ask { life, to, message });
             }
-            Command::Exchange { vm, message } => {
+            Command::SendHeartbeat { vm, message } => {
                 let to = daemon_index(&vm);
                 self.push(HOP, ModelEvent::Ask { life, to, message });
             }
@@ -126,7 +126,7 @@
 
     pub(super) fn answer_exchange(&mut self, life: u64, to: usize, message: &ExchangeMessage) {
         let Some(core) = &self.daemons[to].core else {
-            self.push_core(SILENCE, life, DaemonEvent::ExchangeFailed(vm_name(to)));
+            self.push_core(SILENCE, life, DaemonEvent::HeartbeatFailed(vm_name(to)));
             return;
         };
         let mut commands = Vec::new();
@@ -135,6 +135,10 @@
         self.carry_out(own, commands);
         // The question came with the same delay as the answer goes.
         let sent = MonotonicTime::from_start(self.now.since_start().saturating_sub(HOP));
-        self.push_core(HOP, life, DaemonEvent::Exchanged { message: Box::new(reply), sent });
+        self.push_core(
+            HOP,
+            life,
+            DaemonEvent::HeartbeatAnswered { message: Box::new(reply), sent },
+        );
     }
 }
