--- a/crates/crocusdale_core/src/daemon/configuration_watch.rs
+++ b/crates/crocusdale_core/src/daemon/configuration_watch.rs
@@ -42,8 +42,8 @@
         self.is_watching = false;
         self.failed_watches += 1;
         let backoff = WATCH_BACKOFF.0 * 2_u32.pow(self.failed_watches.min(8));
-        let pause = self.with_jitter(backoff.min(WATCH_BACKOFF.1));
-        out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + pause });
+        let delay = self.with_jitter(backoff.min(WATCH_BACKOFF.1));
+        out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + delay });
     }
 
     /// Starts a watch if this daemon is a watcher of its availability zone, has no configuration,
@@ -70,8 +70,8 @@
             self.is_watching = true;
             out.push(Command::WatchConfiguration { known: self.watched_revision });
         } else {
-            let pause = self.with_jitter(WATCHER_CHECK_INTERVAL);
-            out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + pause });
+            let delay = self.with_jitter(WATCHER_CHECK_INTERVAL);
+            out.push(Command::SetTimer { timer: TimerKey::Configuration, at: now + delay });
         }
     }
 }
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -319,7 +319,7 @@
         self.shard(key.stable_hash())
     }
 
-    pub(super) fn register(&self, key: &RequestKey) -> MutexGuard<'_, RegisterShard> {
+    pub(super) fn register_shard(&self, key: &RequestKey) -> MutexGuard<'_, RegisterShard> {
         lock(&self.register_shards[(key.stable_hash() % SHARD_COUNT as u64) as usize])
     }
 }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -86,7 +86,7 @@
     }
 
     /// Remaining quarantine of requests with `digest`, or `None` if they may be dispatched.
-    pub(super) fn quarantine_left(
+    pub(super) fn remaining_quarantine(
         &self,
         digest: RequestDigest,
         now: MonotonicTime,
@@ -136,14 +136,14 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let Some(left) = self.quarantine_left(digest, now) else { return };
+        let Some(remaining) = self.remaining_quarantine(digest, now) else { return };
         let mut actions = Vec::new();
         let queued = lock(&self.entry_backlog).take_like(digest);
         for (call, plan) in queued {
-            self.refuse_quarantined(call, &plan, left, &mut actions);
+            self.refuse_quarantined(call, &plan, remaining, &mut actions);
         }
         for shard in &self.request_shards {
-            lock(shard).end_quarantined(digest, left, now, &mut actions);
+            lock(shard).end_quarantined(digest, remaining, now, &mut actions);
         }
         let mut dispatch_actions = Vec::new();
         lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_actions);
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -83,8 +83,8 @@
         let mut actions = Vec::new();
         match event {
             DaemonEvent::Submitted { call, request } => {
-                let held = HeldRequest { call, request: *request, arrived: now };
-                self.state.submit_or_hold(held, now, out);
+                let held_request = HeldRequest { call, request: *request, arrived_at: now };
+                self.state.submit_or_hold(held_request, now, out);
             }
             DaemonEvent::Inquired { call, key, age } => {
                 self.state.inquire(call, key, age, now, out);
@@ -205,7 +205,7 @@
         now: MonotonicTime,
     ) {
         let key_life = self.state.fleet_snapshot().key_life;
-        self.state.register(key).record(key, holder, body, now, key_life);
+        self.state.register_shard(key).record(key, holder, body, now, key_life);
     }
 
     /// Answers a peer's inquiry about the request `key` that the process `holder` has claimed. A
@@ -344,8 +344,8 @@
     fn open_call_count(&self) -> usize {
         let started: usize =
             self.state.request_shards.iter().map(|shard| lock(shard).open_count()).sum();
-        let held = lock(&self.state.held_work).request_count();
-        started + lock(&self.state.entry_backlog).len() + held
+        let held_count = lock(&self.state.held_work).request_count();
+        started + lock(&self.state.entry_backlog).len() + held_count
     }
 
     /// Dispatches a timer that has fired to its handler.
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -324,8 +324,8 @@
         self.consecutive_failures += 1;
         let failing_since = *self.failing_since.get_or_insert(now);
         self.had_outage |= now.since(failing_since) >= OUTAGE_THRESHOLD;
-        let pause = READ_BACKOFF.0 * 2_u32.pow(self.consecutive_failures.min(4) - 1);
-        self.schedule_poll(now + pause.min(READ_BACKOFF.1), out);
+        let backoff = READ_BACKOFF.0 * 2_u32.pow(self.consecutive_failures.min(4) - 1);
+        self.schedule_poll(now + backoff.min(READ_BACKOFF.1), out);
     }
 
     /// Fetches changes from the peer on `vm` if its last change, at `changed`, is newer than the
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -41,8 +41,8 @@
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
                         verdict: verdict.to_string(),
-                        needed_ms: millis(self.expected_duration(&plan, now)),
-                        objective_ms: millis(plan.objective.since(now)),
+                        needed_ms: whole_millis(self.expected_duration(&plan, now)),
+                        objective_ms: whole_millis(plan.objective.since(now)),
                         is_flood: plan.is_flood,
                     },
                 )));
@@ -99,8 +99,8 @@
     fn expected_delays(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<Duration> {
         let steps = plan.pipeline.plan.steps().iter().enumerate();
         let delay = |(position, step): (usize, &PlanStep)| {
-            let batched = matches!(step.work, StepWork::Batched { .. });
-            if plan.is_flood || !batched || plan.pieces(position) == 0 {
+            let is_batched = matches!(step.work, StepWork::Batched { .. });
+            if plan.is_flood || !is_batched || plan.pieces(position) == 0 {
                 return Duration::ZERO;
             }
             let wait = self.step_wait(plan, step, now);
@@ -138,15 +138,15 @@
         refuse_unstarted(call, plan, (RefusalReason::Overload, retry_after), actions);
     }
 
-    /// Refuses a queued request that is quarantined for `left`.
+    /// Refuses a queued request that is quarantined for `remaining`.
     pub(super) fn refuse_quarantined(
         &self,
         call: CallId,
         plan: &RequestPlan,
-        left: Duration,
+        remaining: Duration,
         actions: &mut Vec<ShardAction>,
     ) {
-        refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), actions);
+        refuse_unstarted(call, plan, (RefusalReason::Quarantined, remaining), actions);
     }
 
     /// `Retry-After` of a request that the rate limits of its last step's upstreams leave no slot
@@ -169,15 +169,15 @@
         let expected = self.expected_duration(plan, now);
         let waits = self.needed_pool_waits(plan, now);
         let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
-        let unqueued =
+        let unqueued_duration =
             plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
         let expected = if plan.is_flood {
-            expected.max(unqueued + late_wait.unwrap_or_default())
+            expected.max(unqueued_duration + late_wait.unwrap_or_default())
         } else {
             expected
         };
-        if now + unqueued >= plan.deadline {
+        if now + unqueued_duration >= plan.deadline {
             EntryVerdict::Unservable
         } else if now + expected.mul_f64(1.0 / OBJECTIVE_FRACTION) <= plan.objective {
             EntryVerdict::InTime
@@ -205,6 +205,6 @@
 }
 
 /// Whole milliseconds of `duration`.
-fn millis(duration: Duration) -> u64 {
+fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -208,7 +208,7 @@
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force().filter(|_| fleet.is_ready());
         let snapshot = FleetSnapshot {
-            declarations: in_force.map(|each| Arc::clone(&each.declarations)),
+            declarations: in_force.map(|in_force| Arc::clone(&in_force.declarations)),
             history: fleet.history.clone(),
             key_life: fleet.key_life(),
         };
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -160,8 +160,8 @@
         let message = Box::new(self.heartbeat_for("", now));
         out.push(Command::PingSeed { address, message });
         let is_isolated = self.view.peer_count() == 0;
-        let pause = if is_isolated { SEED_INTERVALS.0 } else { SEED_INTERVALS.1 };
-        let at = now + self.with_jitter(pause);
+        let delay = if is_isolated { SEED_INTERVALS.0 } else { SEED_INTERVALS.1 };
+        let at = now + self.with_jitter(delay);
         out.push(Command::SetTimer { timer: TimerKey::SeedPing, at });
     }
 
@@ -189,10 +189,10 @@
     /// Schedules the next read of the VM list.
     pub fn schedule_vm_list_read(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let peers = u32::try_from(self.view.peer_count()).unwrap_or(u32::MAX);
-        let pause = self.with_jitter(
+        let delay = self.with_jitter(
             self.vm_list_interval.max(VM_LIST_INTERVAL_PER_PEER.saturating_mul(peers)),
         );
-        out.push(Command::SetTimer { timer: TimerKey::VmListRead, at: now + pause });
+        out.push(Command::SetTimer { timer: TimerKey::VmListRead, at: now + delay });
     }
 
     /// Whether the daemon serves callers. Never becomes false again.
@@ -252,13 +252,13 @@
         self.view.ask_for_all(is_discovering);
         let partners = self.view.tick(now);
         self.send_heartbeats_to(partners, now, out);
-        let pause = if is_discovering {
+        let delay = if is_discovering {
             DISCOVERY_PHASE.1.min(self.view.period())
         } else {
             self.view.period()
         };
-        let pause = self.with_jitter(pause);
-        out.push(Command::SetTimer { timer: TimerKey::Heartbeat, at: now + pause });
+        let delay = self.with_jitter(delay);
+        out.push(Command::SetTimer { timer: TimerKey::Heartbeat, at: now + delay });
     }
 
     /// Returns this daemon's share of the request rates that upstreams accept from all daemons
@@ -415,8 +415,8 @@
                 out.push(Command::ReadEngineOrder { upstream, address });
             }
         }
-        let pause = self.with_jitter(ENGINE_POLL_INTERVAL);
-        out.push(Command::SetTimer { timer: TimerKey::EngineCheck, at: now + pause });
+        let delay = self.with_jitter(ENGINE_POLL_INTERVAL);
+        out.push(Command::SetTimer { timer: TimerKey::EngineCheck, at: now + delay });
     }
 
     /// Compares the placement that an engine reported with the desired one, and sends an order if
@@ -452,9 +452,9 @@
     /// names this daemon. Includes four heartbeat periods in which peers learn of the drain.
     #[must_use]
     pub fn drain_window(&self) -> Duration {
-        let address_hold = self.ledger.in_force();
-        let address_hold =
-            address_hold.map_or(Duration::ZERO, |each| each.declarations.deployment().address_hold);
+        let in_force = self.ledger.in_force();
+        let address_hold = in_force
+            .map_or(Duration::ZERO, |in_force| in_force.declarations.deployment().address_hold);
         let announced_time =
             if self.needs_directory { address_hold * ADDRESS_HOLD_FACTOR } else { address_hold };
         announced_time + self.view.period() * 4
@@ -507,10 +507,10 @@
         }
     }
 
-    /// Shortens `pause` by a random amount of up to a quarter, so that daemons do not act in
+    /// Shortens `delay` by a random amount of up to a quarter, so that daemons do not act in
     /// lockstep.
-    pub fn with_jitter(&mut self, pause: Duration) -> Duration {
-        pause.mul_f64(self.random.random_range(0.75..=1.0))
+    pub fn with_jitter(&mut self, delay: Duration) -> Duration {
+        delay.mul_f64(self.random.random_range(0.75..=1.0))
     }
 
     /// Position and age of the local list of published upstreams, as reported in heartbeats.
--- a/crates/crocusdale_core/src/daemon/held_work.rs
+++ b/crates/crocusdale_core/src/daemon/held_work.rs
@@ -29,7 +29,7 @@
     pub(super) call: CallId,
     pub(super) request: CallerRequest,
     /// When the request arrived, from which its deadline is counted.
-    pub(super) arrived: MonotonicTime,
+    pub(super) arrived_at: MonotonicTime,
 }
 
 impl HeldWork {
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -64,7 +64,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        if order.digest.is_some_and(|digest| self.quarantine_left(digest, now).is_some()) {
+        if order.digest.is_some_and(|digest| self.remaining_quarantine(digest, now).is_some()) {
             let fault = PieceFault::Quarantined;
             dispatch_actions.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -30,12 +30,17 @@
 impl CoreState {
     /// Starts, queues or refuses a caller's request. Its deadline counts from its arrival, not from
     /// `now`.
-    pub(super) fn submit(&self, held: HeldRequest, now: MonotonicTime, out: &mut Vec<Command>) {
-        let HeldRequest { call, request, arrived } = held;
+    pub(super) fn submit(
+        &self,
+        held_request: HeldRequest,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
+        let HeldRequest { call, request, arrived_at } = held_request;
         let mut actions = Vec::new();
         let key = request.key.clone();
-        let claimed = !request.repeatable && request.forward().is_none();
-        if claimed && self.shard(call.0).join(call, &key, now, &mut actions) {
+        let needs_claim = !request.repeatable && request.forward().is_none();
+        if needs_claim && self.shard(call.0).join(call, &key, now, &mut actions) {
             self.run_actions(actions, now, out);
             return;
         }
@@ -48,17 +53,18 @@
         let snapshot = self.fleet_snapshot();
         let Some(declarations) = &snapshot.declarations else {
             let refusal = refusal(&key, RefusalReason::NotReady, NOT_READY_RETRY_AFTER);
-            let age = claimed.then_some(request.age);
+            let age = needs_claim.then_some(request.age);
             self.refuse(call, key, age, refusal, now, out);
             return;
         };
-        let (forwarded, age) = (request.forward().is_some(), request.age);
-        let repeatable = request.repeatable || forwarded;
-        match self.admit(request, declarations, arrived, now) {
+        let (is_forwarded, age) = (request.forward().is_some(), request.age);
+        let is_repeatable = request.repeatable || is_forwarded;
+        match self.admit(request, declarations, arrived_at, now) {
             Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut actions),
             Ok(plan) => self.start_claimed(call, plan, now, &mut actions),
             Err((refusal, is_pipeline_repeatable)) => {
-                let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
+                let age =
+                    (!is_repeatable || !(is_pipeline_repeatable || is_forwarded)).then_some(age);
                 self.refuse(call, key, age, refusal, now, out);
             }
         }
@@ -131,7 +137,7 @@
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(abstention);
         }
-        let mut register = self.register(key);
+        let mut register = self.register_shard(key);
         let reply = match claimant {
             Some(claimant) => register.claim(key, claimant, now, snapshot.key_life),
             None => register.bury(key, now, snapshot.key_life),
@@ -150,15 +156,15 @@
         &self,
         request: CallerRequest,
         declarations: &Arc<Declarations>,
-        arrived: MonotonicTime,
+        arrived_at: MonotonicTime,
         now: MonotonicTime,
     ) -> Result<RequestPlan, (Box<FinalOutcome>, bool)> {
         let key = request.key.clone();
-        let mut plan =
-            RequestPlan::make(request, declarations, arrived).map_err(|refusal| (refusal, true))?;
-        let repeatable = plan.repeatable;
-        if let Some(quarantine) = self.quarantine_left(plan.digest, now) {
-            return Err((refusal(&key, RefusalReason::Quarantined, quarantine), repeatable));
+        let mut plan = RequestPlan::make(request, declarations, arrived_at)
+            .map_err(|refusal| (refusal, true))?;
+        let is_repeatable = plan.repeatable;
+        if let Some(quarantine) = self.remaining_quarantine(plan.digest, now) {
+            return Err((refusal(&key, RefusalReason::Quarantined, quarantine), is_repeatable));
         }
         // Load shedding: a request that can't meet its deadline is refused before it uses any
         // capacity of requests that can.
@@ -166,12 +172,12 @@
         if now + estimated_time > plan.deadline {
             let retry_after =
                 estimated_time.saturating_sub(plan.request.deadline).max(LIMIT_RETRY_AFTER);
-            return Err((refusal(&key, RefusalReason::Overload, retry_after), repeatable));
+            return Err((refusal(&key, RefusalReason::Overload, retry_after), is_repeatable));
         }
         let workspace = &plan.request.key.workspace;
         let admission = lock(&self.admission_gate).admit(declarations, workspace, &plan.labels);
-        plan.permit =
-            admission.map_err(|reason| (refusal(&key, reason, LIMIT_RETRY_AFTER), repeatable))?;
+        plan.permit = admission
+            .map_err(|reason| (refusal(&key, reason, LIMIT_RETRY_AFTER), is_repeatable))?;
         Ok(plan)
     }
 
--- a/crates/crocusdale_core/src/daemon/staleness_guard.rs
+++ b/crates/crocusdale_core/src/daemon/staleness_guard.rs
@@ -53,7 +53,7 @@
     ) {
         // Checked when an upstream is chosen, so that attempts of requests that started before the
         // quarantine are denied too.
-        if let Some(retry_after) = self.quarantine_left(request.digest, now) {
+        if let Some(retry_after) = self.remaining_quarantine(request.digest, now) {
             let refusal = (RefusalReason::Quarantined, retry_after);
             self.shard(request.call.0).denied_for(request.call, refusal, now, actions);
             return;
