--- a/crates/crocusdale_core/src/admission/entry_backlog.rs
+++ b/crates/crocusdale_core/src/admission/entry_backlog.rs
@@ -21,7 +21,8 @@
     /// The request can meet its latency objective, so it starts.
     InTime,
     /// The request will miss its latency objective, but there is spare capacity to run it.
-    LateWithRoom,
+    #[strum(serialize = "late_with_room")]
+    LateWithCapacity,
     /// The request will miss its latency objective and would delay others, so it waits.
     Late,
     /// The request cannot be answered before its deadline, so it is refused.
@@ -30,50 +31,50 @@
 
 impl EntryBacklog {
     /// Queues the request of `call`.
-    pub fn wait(&mut self, call: CallId, plan: RequestPlan) {
+    pub fn push(&mut self, call: CallId, plan: RequestPlan) {
         self.waiting.insert((plan.level, plan.deadline, call), plan);
     }
 
     /// Removes the request of `call` from the queue and returns its plan, or `None` if it is not
     /// queued.
-    pub fn withdraw(&mut self, call: CallId) -> Option<RequestPlan> {
-        let rank = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
-        self.waiting.remove(&rank)
+    pub fn remove(&mut self, call: CallId) -> Option<RequestPlan> {
+        let key = *self.waiting.keys().find(|(_, _, waiting)| *waiting == call)?;
+        self.waiting.remove(&key)
     }
 
-    /// Removes the requests that need not wait any longer, as classified by `decide`, and returns
-    /// each with its verdict. At most `max_late` requests with the verdict
-    /// [`EntryVerdict::LateWithRoom`] are removed.
-    pub fn take(
+    /// Removes the requests that need not wait any longer according to `decide`, and returns each
+    /// with its verdict. At most `max_late` requests with the verdict
+    /// [`EntryVerdict::LateWithCapacity`] are removed.
+    pub fn take_ready(
         &mut self,
         max_late: usize,
         mut decide: impl FnMut(&RequestPlan) -> EntryVerdict,
     ) -> Vec<(CallId, RequestPlan, EntryVerdict)> {
         let mut late_left = max_late;
         let mut ready = Vec::new();
-        for (rank, plan) in &self.waiting {
+        for (key, plan) in &self.waiting {
             let verdict = decide(plan);
             let is_ready = match verdict {
                 EntryVerdict::InTime | EntryVerdict::Unservable => true,
-                EntryVerdict::LateWithRoom if late_left > 0 => {
+                EntryVerdict::LateWithCapacity if late_left > 0 => {
                     late_left -= 1;
                     true
                 }
-                EntryVerdict::LateWithRoom | EntryVerdict::Late => false,
+                EntryVerdict::LateWithCapacity | EntryVerdict::Late => false,
             };
             if is_ready {
-                ready.push((*rank, verdict));
+                ready.push((*key, verdict));
             }
         }
-        let remove = |(rank, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
-            let plan = self.waiting.remove(&rank)?;
-            Some((rank.2, plan, verdict))
+        let remove = |(key, verdict): ((u8, MonotonicTime, CallId), EntryVerdict)| {
+            let plan = self.waiting.remove(&key)?;
+            Some((key.2, plan, verdict))
         };
         ready.into_iter().filter_map(remove).collect()
     }
 
     /// Removes all requests whose digest equals `digest`.
-    pub fn take_like(&mut self, digest: RequestDigest) -> Vec<(CallId, RequestPlan)> {
+    pub fn take_matching(&mut self, digest: RequestDigest) -> Vec<(CallId, RequestPlan)> {
         let matching = self.waiting.extract_if(.., |_, plan| plan.digest == digest);
         matching.map(|((_, _, call), plan)| (call, plan)).collect()
     }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -39,7 +39,7 @@
         // An upstream that had announced its departure has not crashed: it exited as planned, with
         // requests still running.
         let has_crashed = has_ended && !lock(&self.directory).directory.is_leaving(upstream);
-        let verdict = lock(&self.crash_detector).probed(upstream, has_crashed, now);
+        let verdict = lock(&self.crash_detector).finish_probe(upstream, has_crashed, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
@@ -50,7 +50,7 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let verdict = lock(&self.crash_detector).succeeded(digest, now);
+        let verdict = lock(&self.crash_detector).record_success(digest, now);
         self.apply_verdict(verdict, None, now, out);
     }
 
@@ -63,7 +63,7 @@
         out: &mut Vec<Command>,
     ) {
         if !records.is_empty() {
-            let verdict = lock(&self.crash_detector).take(records, now);
+            let verdict = lock(&self.crash_detector).merge(records, now);
             self.update_crash_summary();
             self.apply_verdict(verdict, Some(vm), now, out);
         }
@@ -71,8 +71,8 @@
 
     /// Sends peers the crash records and rate limits of upstreams that they have not been sent yet.
     pub(super) fn send_new_upstream_records(&self, now: MonotonicTime, out: &mut Vec<Command>) {
-        let crashes = lock(&self.crash_detector).take_fresh(now);
-        let limits = self.limiter.take_untold(now);
+        let crashes = lock(&self.crash_detector).take_unsent(now);
+        let limits = self.limiter.take_unsent(now);
         if !(crashes.is_empty() && limits.is_empty()) {
             lock(&self.fleet).send_records_to_readers(&crashes, &limits, now, out);
         }
@@ -80,7 +80,7 @@
 
     /// Drops crash records that have expired.
     pub(super) fn expire_crash_records(&self, now: MonotonicTime) {
-        if lock(&self.crash_detector).forget(now) {
+        if lock(&self.crash_detector).remove_expired(now) {
             self.update_crash_summary();
         }
     }
@@ -91,7 +91,7 @@
         digest: RequestDigest,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        lock(&self.crash_detector).quarantine(digest, now)
+        lock(&self.crash_detector).quarantine_left(digest, now)
     }
 
     /// Logs new and lifted quarantines, refuses the queued requests they apply to, and schedules
@@ -117,7 +117,8 @@
             out.push(Command::LogStateChange(StateChange::QuarantineLifted { digest }));
         }
         for digest in verdict.quarantined {
-            let (ends, peer) = (lock(&self.crash_detector).ends(digest), peer.map(str::to_owned));
+            let (ends, peer) =
+                (lock(&self.crash_detector).crash_count(digest), peer.map(str::to_owned));
             out.push(Command::Count(CounterName::RequestsQuarantined));
             out.push(Command::LogStateChange(StateChange::RequestQuarantined {
                 digest,
@@ -138,7 +139,7 @@
     ) {
         let Some(remaining) = self.remaining_quarantine(digest, now) else { return };
         let mut actions = Vec::new();
-        let queued = lock(&self.entry_backlog).take_like(digest);
+        let queued = lock(&self.entry_backlog).take_matching(digest);
         for (call, plan) in queued {
             self.refuse_quarantined(call, &plan, remaining, &mut actions);
         }
@@ -146,7 +147,7 @@
             lock(shard).end_quarantined(digest, remaining, now, &mut actions);
         }
         let mut dispatch_actions = Vec::new();
-        lock(&self.dispatcher).end_quarantined(digest, &mut dispatch_actions);
+        lock(&self.dispatcher).fail_quarantined(digest, &mut dispatch_actions);
         self.run_dispatch_actions(dispatch_actions, now, &mut actions, out);
         self.run_actions(actions, now, out);
     }
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -108,10 +108,10 @@
                 self.state.queue_pieces(*order, now, &mut actions, out);
             }
             DaemonEvent::PiecesCancelled { attempt, pool } => {
-                lock(&self.state.dispatcher).withdraw(attempt, &pool);
+                lock(&self.state.dispatcher).cancel_attempt(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
-                lock(&self.state.pool_waits).note(&pool, wait, now);
+                lock(&self.state.pool_waits).record(&pool, wait, now);
             }
             DaemonEvent::ResultsReleased { pool, results } => {
                 lock(&self.state.dispatcher).release(&pool, results);
@@ -141,7 +141,7 @@
     #[must_use]
     pub fn issue_ticket(&self, key: &RequestKey, now: MonotonicTime) -> (String, Duration) {
         let validity = self.state.fleet_snapshot().ticket_life();
-        (self.state.ticket_issuer.mint(key, now), validity)
+        (self.state.ticket_issuer.issue(key, now), validity)
     }
 
     /// Merges a peer's heartbeat and returns the heartbeat of this daemon as its answer.
@@ -479,7 +479,7 @@
     fn detect_pause(&self, now: MonotonicTime, out: &mut Vec<Command>) {
         let Some(pause) = lock(&self.state.pause_detector).record_event(now) else { return };
         out.push(Command::Count(CounterName::PausesNoticed));
-        lock(&self.state.dispatcher).woke(pause, now);
+        lock(&self.state.dispatcher).resume_after_pause(pause, now);
         lock(&self.state.directory).extend_read_deadline(pause, now);
         if pause >= REFRESH_PAUSE {
             self.refresh_peer_view(pause, now, out);
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -27,16 +27,17 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
+        plan.is_flood =
+            lock(&self.workspace_meter).record_request(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
             refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), actions);
             return;
         }
-        plan.delays = self.expected_delays(&plan, now);
+        plan.queueing_delays = self.expected_delays(&plan, now);
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, actions),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, actions),
-            verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
+            verdict @ (EntryVerdict::LateWithCapacity | EntryVerdict::Late) => {
                 actions.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
@@ -46,7 +47,7 @@
                         is_flood: plan.is_flood,
                     },
                 )));
-                lock(&self.entry_backlog).wait(call, plan);
+                lock(&self.entry_backlog).push(call, plan);
             }
         }
     }
@@ -55,9 +56,9 @@
     /// answered before their deadline.
     pub(super) fn start_queued_requests(&self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
-        let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
+        let ready = lock(&self.entry_backlog).take_ready(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
-            plan.delays = self.expected_delays(&plan, now);
+            plan.queueing_delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
                 self.refuse_overloaded(call, &plan, now, actions);
             } else {
@@ -69,7 +70,7 @@
     /// Removes the queued request of `call`, whose caller has disconnected.
     pub(super) fn remove_queued_request(&self, call: CallId, actions: &mut Vec<ShardAction>) {
         lock(&self.held_work).remove_request(call);
-        if let Some(plan) = lock(&self.entry_backlog).withdraw(call) {
+        if let Some(plan) = lock(&self.entry_backlog).remove(call) {
             actions.push(ShardAction::ReleasePermit(plan.permit));
         }
     }
@@ -104,7 +105,7 @@
                 return Duration::ZERO;
             }
             let wait = self.step_wait(plan, step, now);
-            wait.in_time + wait.call.saturating_sub(plan.step_time(position, step))
+            wait.on_time_wait + wait.call_time.saturating_sub(plan.step_time(position, step))
         };
         steps.map(delay).collect()
     }
@@ -155,7 +156,7 @@
     fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
-        self.router().refused_for(&forwarded.stage, &plan.homes, plan.deadline, now)
+        self.router().admission_delay(&forwarded.stage, &plan.home_regions, plan.deadline, now)
     }
 
     /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
@@ -168,7 +169,7 @@
         }
         let expected = self.expected_duration(plan, now);
         let waits = self.needed_pool_waits(plan, now);
-        let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
+        let late_wait = waits.iter().map(|wait| wait.late_wait(plan.level)).max();
         let unqueued_duration =
             plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
@@ -183,8 +184,8 @@
             EntryVerdict::InTime
         } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
-        } else if waits.iter().all(PoolWait::has_room) {
-            EntryVerdict::LateWithRoom
+        } else if waits.iter().all(PoolWait::has_spare_capacity) {
+            EntryVerdict::LateWithCapacity
         } else {
             EntryVerdict::Late
         }
--- a/crates/crocusdale_core/src/daemon/limit_updates.rs
+++ b/crates/crocusdale_core/src/daemon/limit_updates.rs
@@ -19,8 +19,8 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let change = self.limiter.hear(upstream, notice, sent, now);
-        if change.is_some() || self.limiter.has_untold() {
+        let change = self.limiter.record_notice(upstream, notice, sent, now);
+        if change.is_some() || self.limiter.has_unsent() {
             self.apply_limit_changes(change.map(|change| (upstream, change)), None, now, out);
         }
     }
@@ -36,16 +36,16 @@
         if records.is_empty() {
             return;
         }
-        let applied = records
-            .iter()
-            .filter_map(|record| Some((record.upstream.as_str(), self.limiter.take(record, now)?)));
+        let applied = records.iter().filter_map(|record| {
+            Some((record.upstream.as_str(), self.limiter.merge_record(record, now)?))
+        });
         let changes: Vec<(&str, LimitChange)> = applied.collect();
         self.apply_limit_changes(changes, Some(vm), now, out);
     }
 
     /// Removes rate limits that no daemon has received from their upstreams for a long time.
     pub(super) fn expire_limits(&self, now: MonotonicTime) {
-        if self.limiter.forget(now) {
+        if self.limiter.remove_expired(now) {
             self.publish_limit_digest();
         }
     }
@@ -78,7 +78,7 @@
             }));
         }
         self.publish_limit_digest();
-        if self.limiter.has_untold() {
+        if self.limiter.has_unsent() {
             out.push(Command::SetTimer {
                 timer: TimerKey::UpstreamRecords,
                 at: now + UPSTREAM_RECORD_DELAY,
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -40,7 +40,7 @@
     /// Guards against a herd: with full choice, all daemons would pick the section that was last
     /// reported as idle.
     pub(super) fn section_for(&self, pool: &str, key: &str, now: MonotonicTime) -> String {
-        let section_count = lock(&self.dispatcher).sections(pool);
+        let section_count = lock(&self.dispatcher).section_count(pool);
         if section_count == 1 {
             return pool.to_owned();
         }
@@ -49,7 +49,7 @@
         let waits = lock(&self.pool_waits);
         let queueing_time = |section: &str| {
             let wait = waits.wait(section, now);
-            (wait.in_time, wait.late_for(u8::MAX))
+            (wait.on_time_wait, wait.late_wait(u8::MAX))
         };
         if queueing_time(&second) < queueing_time(&first) { second } else { first }
     }
@@ -69,8 +69,8 @@
             dispatch_actions.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let crash_count =
-                order.digest.map_or(0, |digest| lock(&self.crash_detector).ends(digest));
-            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_actions);
+                order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
+            lock(&self.dispatcher).submit(order, crash_count, now, &mut dispatch_actions);
         }
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
@@ -103,7 +103,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        lock(&self.dispatcher).turn_unwanted(now, &mut dispatch_actions);
+        lock(&self.dispatcher).free_unneeded_results(now, &mut dispatch_actions);
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
@@ -117,7 +117,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        lock(&self.dispatcher).answered(batch, outcome, now, &mut dispatch_actions);
+        lock(&self.dispatcher).handle_outcome(batch, outcome, now, &mut dispatch_actions);
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
@@ -131,7 +131,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        lock(&self.dispatcher).room_told(upstream, free, now, &mut dispatch_actions);
+        lock(&self.dispatcher).record_free_memory(upstream, free, now, &mut dispatch_actions);
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
@@ -165,14 +165,14 @@
         if !self.limiter.has_limits() {
             return;
         }
-        let pools = lock(&self.dispatcher).limited_pools();
+        let pools = lock(&self.dispatcher).rate_limited_sections();
         for pool in pools {
             let is_sole = {
                 let fleet = lock(&self.fleet);
                 let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
                 choice.dispatcher(&pool, &[]) == self.own_instance.vm
             };
-            lock(&self.dispatcher).set_sole(&pool, is_sole, now);
+            lock(&self.dispatcher).set_sole_dispatcher(&pool, is_sole, now);
         }
     }
 
@@ -184,7 +184,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        lock(&self.dispatcher).turn(now, &mut dispatch_actions);
+        lock(&self.dispatcher).run_cycle(now, &mut dispatch_actions);
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
 
@@ -244,9 +244,9 @@
             return;
         }
         let retry_after = wait.retry_after();
-        lock(&self.pool_waits).note(pool, wait, now);
+        lock(&self.pool_waits).record(pool, wait, now);
         let event = match outcome {
-            Ok(results) => AttemptEvent::PiecesMade(results),
+            Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
         self.shard(attempt.call.0).attempt_event(attempt, event, now, actions);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -10,7 +10,7 @@
 use crate::identity::{CallId, InstanceId, MonotonicTime, RequestKey};
 use crate::membership::{LeavingUpstream, WitnessSet};
 use crate::pipeline::{
-    CallerRequest, FinalAnswer, FinalOutcome, InquiryBasis, OutcomeKind, RefusalReason,
+    CallerRequest, FinalAnswer, FinalOutcome, LookupRetention, OutcomeKind, RefusalReason,
     RegisterCall, RequestPlan, RequestShard, ShardAction,
 };
 use crate::routing::{AttemptReport, SlotGrant};
@@ -60,7 +60,7 @@
         let (is_forwarded, age) = (request.forward().is_some(), request.age);
         let is_repeatable = request.repeatable || is_forwarded;
         match self.admit(request, declarations, arrived_at, now) {
-            Ok(plan) if !plan.claimed => self.start_or_queue(call, plan, now, &mut actions),
+            Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut actions),
             Ok(plan) => self.start_claimed(call, plan, now, &mut actions),
             Err((refusal, is_pipeline_repeatable)) => {
                 let age =
@@ -140,11 +140,11 @@
         let mut register = self.register_shard(key);
         let reply = match claimant {
             Some(claimant) => register.claim(key, claimant, now, snapshot.key_life),
-            None => register.bury(key, now, snapshot.key_life),
+            None => register.write_tombstone(key, now, snapshot.key_life),
         };
         out.push(Command::Count(match &reply {
             RegisterReply::Holds(RegisterState::Claimed { .. }) => CounterName::WitnessClaims,
-            RegisterReply::Holds(RegisterState::Buried) => CounterName::WitnessTombstones,
+            RegisterReply::Holds(RegisterState::Tombstone) => CounterName::WitnessTombstones,
             RegisterReply::Abstains(_) => CounterName::WitnessAbstentions,
         }));
         reply
@@ -160,7 +160,7 @@
         now: MonotonicTime,
     ) -> Result<RequestPlan, (Box<FinalOutcome>, bool)> {
         let key = request.key.clone();
-        let mut plan = RequestPlan::make(request, declarations, arrived_at)
+        let mut plan = RequestPlan::build(request, declarations, arrived_at)
             .map_err(|refusal| (refusal, true))?;
         let is_repeatable = plan.repeatable;
         if let Some(quarantine) = self.remaining_quarantine(plan.digest, now) {
@@ -233,12 +233,12 @@
         if !shard.has_memory() {
             return Some(RefusalReason::RequestLimit);
         }
-        if plan.deadline >= plan.provable_until {
+        if plan.deadline >= plan.remembered_until {
             return Some(RefusalReason::KeyExpired);
         }
         match &plan.request.ticket {
             Some(ticket) => {
-                let is_good = self.ticket_issuer.is_good(
+                let is_good = self.ticket_issuer.is_valid(
                     ticket,
                     key,
                     now,
@@ -288,8 +288,8 @@
             .zip(age)
             .map_or(Duration::ZERO, |(key_life, age)| key_life.saturating_sub(age));
         let inquiry =
-            InquiryBasis { key_life: snapshot.key_life, provable_until: now + provable_time };
-        self.shard(call.0).inquire(call, key, witnesses, refusal, inquiry, now)
+            LookupRetention { key_life: snapshot.key_life, remembered_until: now + provable_time };
+        self.shard(call.0).start_lookup(call, key, witnesses, refusal, inquiry, now)
     }
 
     /// Carries out one action of a request shard and returns the actions that result from it.
@@ -316,7 +316,7 @@
             }
             ShardAction::CancelSlotRequest(request) => {
                 lock(&self.held_work).remove_attempts(&request);
-                self.router().withdraw(&request);
+                self.router().remove_waiting(&request);
             }
             ShardAction::ReleaseSlot { upstream, call, report } => {
                 let report = self.exclude_paused_time(report, now);
@@ -336,7 +336,7 @@
                 self.send_to_dispatcher(*order, &tried, now, &mut actions, out);
             }
             ShardAction::CancelPieces { attempt, pool } => {
-                lock(&self.dispatcher).withdraw(attempt, &pool);
+                lock(&self.dispatcher).cancel_attempt(attempt, &pool);
                 out.push(Command::CancelPieces(attempt));
             }
             ShardAction::CheckCrash { digest, upstream, address } => {
@@ -348,7 +348,7 @@
                 self.ask_witness(register, now, &mut actions, out)
             }
             ShardAction::RecordProcess { upstream, life, leaving: false } => {
-                self.router().greet(&upstream, &life)
+                self.router().confirm_running(&upstream, &life)
             }
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
@@ -379,7 +379,7 @@
         actions: &mut Vec<ShardAction>,
         out: &mut Vec<Command>,
     ) {
-        let RegisterCall { call, witness, key, witnesses, bury } = register;
+        let RegisterCall { call, witness, key, witnesses, writes_tombstone: bury } = register;
         if witness != self.own_instance.vm {
             out.push(Command::AskWitness { call, witness, key, witnesses, is_tombstone: bury });
             return;
--- a/crates/crocusdale_core/src/daemon/upstream_notices.rs
+++ b/crates/crocusdale_core/src/daemon/upstream_notices.rs
@@ -33,13 +33,13 @@
             drop(fleet);
             self.mark_leaving(&[leaving_upstream], now, out);
         }
-        if let Some(duration) = notice.stay_away {
+        if let Some(duration) = notice.backoff {
             let mut unavailable_until = lock(&self.unavailable_until);
             unavailable_until.retain(|_, until| *until > now);
             unavailable_until.insert(upstream.to_owned(), now + duration);
             drop(unavailable_until);
-            self.router().stay_away(upstream, now + duration);
-            lock(&self.dispatcher).stay_away(upstream, now + duration);
+            self.router().back_off(upstream, now + duration);
+            lock(&self.dispatcher).back_off(upstream, now + duration);
             let stay_away_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
             let upstream = upstream.to_owned();
             out.push(Command::LogStateChange(StateChange::UpstreamAway { upstream, stay_away_ms }));
@@ -64,7 +64,7 @@
     ) {
         let (mut has_changed, mut has_list_changed) = (false, false);
         for leaving_upstream in leaving_upstreams {
-            let is_routed = self.router().take_leaving(leaving_upstream);
+            let is_routed = self.router().record_leaving(leaving_upstream);
             let is_listed =
                 lock(&self.directory).directory.record_leaving(&leaving_upstream.upstream, now);
             if is_routed || is_listed {
@@ -105,7 +105,7 @@
         // upstream refuses requests, so that is set again.
         let unavailable_until = lock(&self.unavailable_until).clone();
         for (upstream, until) in &unavailable_until {
-            router.stay_away(upstream, *until);
+            router.back_off(upstream, *until);
         }
         self.set_router(router);
         let (mut actions, mut dispatch_actions) = (Vec::new(), Vec::new());
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,8 +10,9 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// Minimum retry delay for a caller whose request was shed. A batched call takes a few tenths of a
-/// second, so the queues have moved on by then.
+/// Minimum retry delay for a caller whose request was shed, unless less time is left until the
+/// request's deadline; then that time is the minimum. A batched call takes a few tenths of a second,
+/// so the queues have moved on by then.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
@@ -186,7 +187,7 @@
                 self.step_runs[index].attempts -= 1;
                 self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
-            AttemptEvent::Greeted { life, leaving } => {
+            AttemptEvent::ProcessIdentified { life, leaving } => {
                 let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardAction::RecordProcess { upstream, life, leaving });
                 None
@@ -194,7 +195,7 @@
             AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
             AttemptEvent::Answered { echo, answer } => {
                 if echo != Some(id) {
-                    let failure = AttemptFailure::Broken(BreakReason::Foreign);
+                    let failure = AttemptFailure::Broken(BreakReason::OtherAttempt);
                     return self.handle_attempt_failure(index, failure, now, actions);
                 }
                 self.attempt_counts.executed += 1;
@@ -208,14 +209,16 @@
             AttemptEvent::Broken(reason) => {
                 self.handle_attempt_failure(index, AttemptFailure::Broken(reason), now, actions)
             }
-            AttemptEvent::Headed(head) => self.handle_response_head(index, id, head, now, actions),
-            AttemptEvent::Flowing => {
+            AttemptEvent::HeadReceived(head) => {
+                self.handle_response_head(index, id, head, now, actions)
+            }
+            AttemptEvent::StreamStarted => {
                 let upstream = self.record_progress(index, now).to_owned();
                 actions.push(ShardAction::RecordStreamStart { upstream, call: self.call });
                 self.free_all_results(actions);
                 None
             }
-            AttemptEvent::Passed => {
+            AttemptEvent::ResponseForwarded => {
                 if self.has_upstream_success {
                     actions.push(ShardAction::RecordSuccess(self.plan.digest));
                 }
@@ -224,7 +227,7 @@
                 self.free_all_results(actions);
                 self.complete_step(index, StepOutput::Forwarded, now, actions)
             }
-            AttemptEvent::PiecesMade(results) => {
+            AttemptEvent::PiecesCompleted(results) => {
                 self.complete_step(index, StepOutput::Results(results), now, actions)
             }
             AttemptEvent::PiecesFailed { fault, retry_after } => {
@@ -274,14 +277,14 @@
         }
         outcome.stage = stage;
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived));
+        outcome.took = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 
     /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
-        match self.plan.forward().map(|forward| forward.repeat) {
+        match self.plan.forward().map(|rules| rules.repeat) {
             None => !self.plan.repeatable,
             // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
@@ -345,7 +348,7 @@
             tried: step_run.tried.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            homes: self.plan.homes.clone(),
+            homes: self.plan.home_regions.clone(),
         }
     }
 
@@ -354,9 +357,7 @@
     pub(super) fn can_repeat(&self, index: usize) -> bool {
         match self.plan.forward() {
             None => self.plan.repeatable,
-            Some(forward) => {
-                self.plan.repeatable && self.step_runs[index].attempts < forward.attempts
-            }
+            Some(rules) => self.plan.repeatable && self.step_runs[index].attempts < rules.attempts,
         }
     }
 
@@ -408,7 +409,7 @@
             outcome.answer = Some(self.combined_answer());
         }
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived));
+        outcome.took = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 }
--- a/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
+++ b/crates/crocusdale_core/src/rate_limiting/rate_limiter.rs
@@ -52,7 +52,7 @@
     /// Records what an answer of `upstream` says about its request rate. The answer belongs to a
     /// request that was sent at `sent`. Returns the change, or `None` if the known rate stays
     /// valid.
-    pub fn hear(
+    pub fn record_notice(
         &self,
         upstream: &str,
         notice: RateNotice,
@@ -74,7 +74,7 @@
 
     /// Merges a record from another daemon. Returns the change, or `None` if the known rate stays
     /// valid.
-    pub fn take(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
+    pub fn merge_record(&self, record: &LimitRecord, now: MonotonicTime) -> Option<LimitChange> {
         let mut table = lock(&self.table);
         if record.age >= LIMIT_TTL {
             return None;
@@ -103,7 +103,7 @@
     /// whose name has the hash `hash`.
     #[must_use]
     pub fn share_of(&self, hash: u64, requests: u32) -> u32 {
-        lock(&self.table).share.of(hash, requests)
+        lock(&self.table).share.request_share(hash, requests)
     }
 
     /// Whether any upstream has a rate limit.
@@ -148,7 +148,7 @@
     }
 
     /// Takes a token for a request to `upstream`, if it has a rate limit.
-    pub fn spend(&self, upstream: &str) {
+    pub fn take_token(&self, upstream: &str) {
         if self.has_limits()
             && let Some(limit) = lock(&self.table).limits.get_mut(upstream)
         {
@@ -159,13 +159,13 @@
 
     /// Whether any record must still be sent to the other daemons.
     #[must_use]
-    pub fn has_untold(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         !lock(&self.table).unsent.is_empty()
     }
 
     /// Returns the records that must still be sent to the other daemons, and marks them as sent.
     #[must_use]
-    pub fn take_untold(&self, now: MonotonicTime) -> Vec<LimitRecord> {
+    pub fn take_unsent(&self, now: MonotonicTime) -> Vec<LimitRecord> {
         let mut table = lock(&self.table);
         let unsent = std::mem::take(&mut table.unsent);
         let to_record =
@@ -186,9 +186,9 @@
         lock(&self.table).limits.values().fold(0, |digest, limit| digest ^ limit.digest())
     }
 
-    /// Forgets limits that no daemon has confirmed for their time to live. Returns whether there
+    /// Removes limits that no daemon has confirmed for their time to live. Returns whether there
     /// were any.
-    pub fn forget(&self, now: MonotonicTime) -> bool {
+    pub fn remove_expired(&self, now: MonotonicTime) -> bool {
         let mut table = lock(&self.table);
         let before = table.limits.len();
         table.limits.retain(|_, limit| limit.age(now) < LIMIT_TTL);
--- a/crates/crocusdale_core/tests/crash_log_test.rs
+++ b/crates/crocusdale_core/tests/crash_log_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crocusdale_core::identity::{MonotonicTime, RequestDigest};
-use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE, UpstreamEnd};
+use crocusdale_core::quarantine::{CrashLog, CrashRecord, QUARANTINE_DURATION, UpstreamCrash};
 use proptest::prelude::*;
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(5_000);
@@ -14,10 +14,10 @@
 
 fn record(number: u32, upstreams: &[u64], cleared: bool) -> CrashRecord {
     let age = Duration::from_millis(700);
-    let end = |upstream: &u64| UpstreamEnd { upstream: *upstream, age };
+    let crash = |upstream: &u64| UpstreamCrash { upstream: *upstream, age };
     CrashRecord {
         digest: digest(number),
-        ends: upstreams.iter().map(end).collect(),
+        crashes: upstreams.iter().map(crash).collect(),
         cleared: cleared.then_some(age / 2),
     }
 }
@@ -39,15 +39,15 @@
     ) {
         let (mut book, mut other) = (CrashLog::default(), CrashLog::default());
         for record in &records {
-            book.take(record, NOW);
+            book.merge(record, NOW);
         }
         for record in shuffled.iter().chain(&shuffled) {
-            other.take(record, NOW);
+            other.merge(record, NOW);
         }
         prop_assert_eq!(book.summary(), other.summary());
         prop_assert_eq!(book.quarantined(NOW).len(), other.quarantined(NOW).len());
         let told = book.records(NOW);
-        prop_assert!(!told.iter().any(|record| other.take(record, NOW)));
+        prop_assert!(!told.iter().any(|record| other.merge(record, NOW)));
     }
 }
 
@@ -57,22 +57,24 @@
 fn third_end_quarantines_for_the_time_that_is_left() {
     let mut book = CrashLog::default();
     for _ in 0..5 {
-        book.take(&record(1, &[10, 11], false), NOW);
+        book.merge(&record(1, &[10, 11], false), NOW);
     }
-    assert_eq!(book.quarantine(digest(1), NOW), None);
+    assert_eq!(book.quarantine_left(digest(1), NOW), None);
     let age = Duration::from_secs(400);
-    let old =
-        CrashRecord { ends: vec![UpstreamEnd { upstream: 12, age }; 2], ..record(2, &[], false) };
-    book.take(&old, NOW);
-    book.note_end(digest(1), 12, NOW);
-    assert_eq!(book.quarantine(digest(1), NOW), Some(QUARANTINE));
-    assert_eq!(book.quarantine(digest(2), NOW), None);
+    let old = CrashRecord {
+        crashes: vec![UpstreamCrash { upstream: 12, age }; 2],
+        ..record(2, &[], false)
+    };
+    book.merge(&old, NOW);
+    book.record_crash(digest(1), 12, NOW);
+    assert_eq!(book.quarantine_left(digest(1), NOW), Some(QUARANTINE_DURATION));
+    assert_eq!(book.quarantine_left(digest(2), NOW), None);
     let told = book.records(NOW);
     let told = told.iter().find(|record| record.digest == digest(2)).expect("it is remembered");
-    assert_eq!(told.ends[0].age, age);
-    assert!(book.forget(NOW), "two minutes without a third end");
-    assert_eq!(book.ends(digest(2)), 0);
-    assert_eq!(book.ends(digest(1)), 3);
+    assert_eq!(told.crashes[0].age, age);
+    assert!(book.remove_expired(NOW), "two minutes without a third end");
+    assert_eq!(book.crash_count(digest(2)), 0);
+    assert_eq!(book.crash_count(digest(1)), 3);
 }
 
 /// Upstreams end by the dozen under requests that come once: the book stays small, and what has ended
@@ -80,10 +82,10 @@
 #[test]
 fn flood_of_new_requests_displaces_no_quarantine() {
     let mut book = CrashLog::default();
-    book.take(&record(0, &[1, 2, 3], false), NOW);
+    book.merge(&record(0, &[1, 2, 3], false), NOW);
     for number in 1..5_000 {
-        book.note_end(digest(number), u64::from(number % 7), NOW);
+        book.record_crash(digest(number), u64::from(number % 7), NOW);
     }
     assert!(book.records(NOW).len() <= 512);
-    assert!(book.quarantine(digest(0), NOW).is_some());
+    assert!(book.quarantine_left(digest(0), NOW).is_some());
 }
--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -19,10 +19,10 @@
 use crocusdale_core::daemon::{DaemonEvent, StalenessBounds};
 use crocusdale_core::identity::{MonotonicTime, RequestDigest, RequestKey};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, BreakReason, CallerRequest, ForwardHead, OutcomeKind, RefusalReason,
-    RelayOrder, RequestContent, RunProof,
+    AttemptEvent, BreakReason, CallerRequest, ExecutionStatus, ForwardHead, ForwardOrder,
+    OutcomeKind, RefusalReason, RequestContent, ResponseHead,
 };
-use crocusdale_core::quarantine::QUARANTINE;
+use crocusdale_core::quarantine::QUARANTINE_DURATION;
 use crocusdale_core::routing::{CONNECT_TIMEOUT, DirectoryEntry};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -50,7 +50,7 @@
 struct CrashingEngines {
     fleet: VirtualFleet,
     random: SmallRng,
-    running: Vec<(MonotonicTime, usize, RelayOrder)>,
+    running: Vec<(MonotonicTime, usize, ForwardOrder)>,
     engines: Vec<String>,
     leaving: Vec<String>,
     started: usize,
@@ -129,8 +129,8 @@
             self.fleet.run(self.fleet.now.since_start() + STEP);
             for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
                 self.sent.push(at);
-                let head = AnswerHead { status: 200, proof: RunProof::Ran };
-                let (attempt, event) = (order.attempt, AttemptEvent::Headed(head));
+                let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
+                let (attempt, event) = (order.attempt, AttemptEvent::HeadReceived(head));
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt, event });
                 let mut until = at + RUN_TIME;
                 if self.upstreams_leave {
@@ -144,14 +144,14 @@
             let (over, running) =
                 std::mem::take(&mut self.running).into_iter().partition(|(at, ..)| now >= *at);
             self.running = running;
-            let over: Vec<(MonotonicTime, usize, RelayOrder)> = over;
+            let over: Vec<(MonotonicTime, usize, ForwardOrder)> = over;
             for (_, daemon, order) in over {
                 self.crash(daemon, &order);
             }
         }
     }
 
-    fn crash(&mut self, daemon: usize, order: &RelayOrder) {
+    fn crash(&mut self, daemon: usize, order: &ForwardOrder) {
         if !self.upstreams_live {
             self.crashed.push(self.fleet.now);
             self.fleet.ended.insert(order.upstream.clone());
@@ -214,8 +214,8 @@
         self.fleet.run(self.fleet.now.since_start() + STEP);
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
             self.sent.push(at);
-            let head = AnswerHead { status: 200, proof: RunProof::Ran };
-            for event in [AttemptEvent::Headed(head), AttemptEvent::Passed] {
+            let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
+            for event in [AttemptEvent::HeadReceived(head), AttemptEvent::ResponseForwarded] {
                 self.fleet.feed(daemon, DaemonEvent::Attempt { attempt: order.attempt, event });
             }
         }
@@ -379,7 +379,7 @@
         (OutcomeKind::Refused, Some(RefusalReason::Quarantined))
     );
     let retry_after = answer.retry_after.expect("it is told when to come back");
-    assert!(retry_after <= QUARANTINE);
+    assert!(retry_after <= QUARANTINE_DURATION);
     engines.run(engines.fleet.now + retry_after + STEP);
     engines.try_again();
     engines.answer_all();
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -60,14 +60,14 @@
     bench.advance(50);
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
     assert!(wait.retry_after() >= Duration::from_millis(6 * FULL_MS), "{wait:?}");
-    assert!(!wait.has_room());
+    assert!(!wait.has_spare_capacity());
     for _ in 0..40 {
         bench.advance(50);
         let _ = bench.dispatcher.expected_wait(POOL, bench.now);
     }
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
-    assert!(wait.overloaded >= Duration::from_millis(2_000), "{wait:?}");
-    assert!(wait.retry_after() >= wait.overloaded);
+    assert!(wait.overload_time >= Duration::from_millis(2_000), "{wait:?}");
+    assert!(wait.retry_after() >= wait.overload_time);
 }
 
 /// The crowd is over: the queue is made. A caller that is refused now for another reason must not be
--- a/crates/crocusdale_core/tests/retry_budget_test.rs
+++ b/crates/crocusdale_core/tests/retry_budget_test.rs
@@ -54,10 +54,10 @@
             let now = MonotonicTime::from_millis(millis);
             match step {
                 Step::First => {
-                    budget.earn(now);
+                    budget.record_first_attempt(now);
                     firsts.push(millis);
                 }
-                Step::Failure if budget.spend(now) => retries.push(millis),
+                Step::Failure if budget.take_retry(now) => retries.push(millis),
                 Step::Failure => {}
                 Step::Pause(pause) => millis += pause,
             }
@@ -84,10 +84,12 @@
     let now = MonotonicTime::from_millis(0);
     for budget in &mut budgets {
         for _ in 0..1_000 {
-            budget.earn(now);
+            budget.record_first_attempt(now);
         }
     }
-    let spent: usize =
-        budgets.iter_mut().map(|budget| (0..1_000).filter(|_| budget.spend(now)).count()).sum();
+    let spent: usize = budgets
+        .iter_mut()
+        .map(|budget| (0..1_000).filter(|_| budget.take_retry(now)).count())
+        .sum();
     assert!(spent <= 26, "{spent} retries at one moment");
 }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -17,8 +17,9 @@
 };
 use crocusdale_core::membership::{MemberCapacity, MemberPlace};
 use crocusdale_core::pipeline::{
-    AnswerHead, AttemptEvent, CallerRequest, EngineDemand, FinalAnswer, ForwardHead, OutcomeKind,
-    PromptPart, RefusalReason, RelayOrder, RequestContent, ResultHandle, RunProof,
+    AttemptEvent, CallerRequest, EngineDemand, ExecutionStatus, FinalAnswer, ForwardHead,
+    ForwardOrder, OutcomeKind, PromptPart, RefusalReason, RequestContent, ResponseHead,
+    ResultHandle,
 };
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
@@ -105,7 +106,7 @@
     pub now: MonotonicTime,
     pub timers: BTreeMap<(MonotonicTime, u64), TimerKey>,
     pub sequence: u64,
-    pub relays: Vec<RelayOrder>,
+    pub relays: Vec<ForwardOrder>,
     pub batches: Vec<BatchOrder>,
     /// Results that upstreams were told to give up.
     pub freed: Vec<ResultHandle>,
@@ -325,8 +326,8 @@
         self.feed(DaemonEvent::Attempt { attempt, event });
     }
 
-    pub fn headed(&mut self, attempt: AttemptId, status: u16, proof: RunProof) {
-        self.attempt(attempt, AttemptEvent::Headed(AnswerHead { status, proof }));
+    pub fn headed(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
+        self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
     pub fn make_pieces(&mut self) {
@@ -337,7 +338,7 @@
         self.feed(DaemonEvent::BatchEnded { batch: order.batch, outcome });
     }
 
-    pub fn last_relay(&self) -> RelayOrder {
+    pub fn last_relay(&self) -> ForwardOrder {
         self.relays.last().expect("the request was sent on").clone()
     }
 
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -11,7 +11,7 @@
 
 use crocusdale_core::daemon::StalenessBounds;
 use crocusdale_core::identity::{MonotonicTime, StorePosition};
-use crocusdale_core::pipeline::{AttemptEvent, RunProof};
+use crocusdale_core::pipeline::{AttemptEvent, ExecutionStatus};
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory, ZoneEvacuation};
 
 use forward_daemon::Daemon;
@@ -116,8 +116,8 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
-            daemon.headed(relay.attempt, 200, RunProof::Ran);
-            daemon.attempt(relay.attempt, AttemptEvent::Passed);
+            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
     last.since(evacuated_at)
