--- a/crates/crocusdale_core/src/configuration/configuration_ledger.rs
+++ b/crates/crocusdale_core/src/configuration/configuration_ledger.rs
@@ -10,7 +10,7 @@
 
 /// Configuration in force at a daemon.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Revision number that the configuration service assigned. At least 1.
     pub revision: u64,
     /// Hash of the text, equal in all daemons.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct ConfigurationLedger {
     reader: DeclarationReader,
-    in_force: Option<InForce>,
+    in_force: Option<ActiveConfiguration>,
     rejected: Option<RejectedRevision>,
     conflicts: u64,
 }
@@ -73,7 +73,7 @@
 
     /// Configuration in force, or `None` if no revision has been accepted yet.
     #[must_use]
-    pub fn in_force(&self) -> Option<&InForce> {
+    pub fn in_force(&self) -> Option<&ActiveConfiguration> {
         self.in_force.as_ref()
     }
 
@@ -135,7 +135,7 @@
         }
         match (self.reader)(&format!("revision {revision}"), text) {
             Ok(declarations) => {
-                self.put_in_force(InForce {
+                self.put_in_force(ActiveConfiguration {
                     revision,
                     digest,
                     text: text.into(),
@@ -150,7 +150,7 @@
         }
     }
 
-    fn put_in_force(&mut self, in_force: InForce) {
+    fn put_in_force(&mut self, in_force: ActiveConfiguration) {
         if self.rejected.as_ref().is_some_and(|rejected| rejected.revision <= in_force.revision) {
             self.rejected = None;
         }
--- a/crates/crocusdale_core/src/configuration/mod.rs
+++ b/crates/crocusdale_core/src/configuration/mod.rs
@@ -17,7 +17,9 @@
 
 pub use caller_limits::CallerLimits;
 pub use configuration_error::{ConfigurationError, ConfigurationErrorKind};
-pub use configuration_ledger::{ConfigurationLedger, DeclarationReader, InForce, LedgerVerdict};
+pub use configuration_ledger::{
+    ActiveConfiguration, ConfigurationLedger, DeclarationReader, LedgerVerdict,
+};
 pub use declarations::{
     Declarations, DeploymentRules, PipelineRules, PlacementRules, PriorityRules, RequestRule,
     RoutingPolicy, StageRules, UpstreamKind, UpstreamRules, WorkspaceRules,
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -123,10 +123,10 @@
     /// order.
     fn digest(&self) -> u64 {
         let record_hash = |record: &MemberRecord| {
-            let life = record.instance.incarnation.to_string();
+            let incarnation = record.instance.incarnation.to_string();
             let status_text =
                 format!("{}/{}/{}", record.generation, record.refutation, record.status);
-            stable_hash(&[&record.instance.vm, &life, &status_text])
+            stable_hash(&[&record.instance.vm, &incarnation, &status_text])
         };
         self.records().chain([&self.own]).fold(0, |digest, record| digest ^ record_hash(record))
     }
