--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -237,7 +237,7 @@
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
-        if attempt.incarnation != self.own_instance.mark() {
+        if attempt.incarnation != self.own_instance.process_hash() {
             out.push(Command::AnswerPieces { attempt, outcome, wait });
             return;
         }
--- a/crates/crocusdale_core/src/identity/instance_id.rs
+++ b/crates/crocusdale_core/src/identity/instance_id.rs
@@ -27,7 +27,7 @@
     /// the same incarnation in a quarter of all cases. The numbers of their first calls are equal
     /// too, so a dispatcher returned results of one process to the other.
     #[must_use]
-    pub fn mark(&self) -> u64 {
+    pub fn process_hash(&self) -> u64 {
         stable_hash(&[&self.vm, &self.incarnation.to_string()])
     }
 }
--- a/crates/crocusdale_core/src/identity/request_key.rs
+++ b/crates/crocusdale_core/src/identity/request_key.rs
@@ -41,7 +41,7 @@
 /// Identifier of one attempt to run one stage, unique among all attempts of all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct AttemptId {
-    /// [`super::InstanceId::mark`] of the process that made the attempt.
+    /// [`super::InstanceId::process_hash`] of the process that made the attempt.
     pub incarnation: u64,
     /// Call from the caller that the attempt belongs to.
     pub call: CallId,
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -36,7 +36,7 @@
         actions.push(set_timer(TimerKey::Claim(call), now + CLAIM_TIMEOUT));
         actions.extend(register_calls(call, &key, &witnesses, witnesses.vms().to_vec(), false));
         let poll = Some(WitnessPoll::new(self.own_instance.clone(), witnesses));
-        let run = RequestRun::new(call, self.own_instance.mark(), plan);
+        let run = RequestRun::new(call, self.own_instance.process_hash(), plan);
         let waiting_calls = self.take_lookups(&key);
         self.key_table.mark_running(key, call);
         self.runs.insert(call, ActiveRun { run, poll, witnesses: None, waiting_calls });
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -114,7 +114,7 @@
     ) {
         debug_assert!(!plan.claimed);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
-        let mut run = RequestRun::new(call, self.own_instance.mark(), plan);
+        let mut run = RequestRun::new(call, self.own_instance.process_hash(), plan);
         run.begin(now, actions);
         let active_run = ActiveRun { run, poll: None, witnesses: None, waiting_calls: Vec::new() };
         self.runs.insert(call, active_run);
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -58,7 +58,8 @@
 fn caller_of_pieces_that_were_given_up_is_told_when_to_come_back() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
-    let attempt = AttemptId { incarnation: daemon.core.instance().mark(), call, sequence: 1 };
+    let attempt =
+        AttemptId { incarnation: daemon.core.instance().process_hash(), call, sequence: 1 };
     let retry_after = Duration::from_millis(1_300);
     let fault = PieceFault::Late;
     daemon.attempt(attempt, AttemptEvent::PiecesFailed { fault, retry_after });
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -69,7 +69,7 @@
         fault: PieceFault::Moved,
         retry_after: Duration::from_millis(300),
     };
-    let incarnation = daemon.core.instance().mark();
+    let incarnation = daemon.core.instance().process_hash();
     let attempt = |sequence| AttemptId { incarnation, call, sequence };
     daemon.attempt(attempt(1), moved());
     assert_eq!(daemon.answer(call), None);
--- a/crates/stand_ins/src/fleet_model/fleet_run.rs
+++ b/crates/stand_ins/src/fleet_model/fleet_run.rs
@@ -228,7 +228,7 @@
 
     fn start(&mut self, daemon: usize) {
         let life = self.daemons[daemon].life;
-        self.lives.insert(InstanceId::new(vm_name(daemon), life).mark(), life);
+        self.lives.insert(InstanceId::new(vm_name(daemon), life).process_hash(), life);
         let core = self.core(daemon, life);
         let mut commands = Vec::new();
         core.start(self.now, &mut commands);
