--- a/crates/crocusdale_core/src/batching/dispatcher_choice.rs
+++ b/crates/crocusdale_core/src/batching/dispatcher_choice.rs
@@ -42,7 +42,9 @@
         let capacity = |vm: &&str| self.view.capacity(vm);
         let largest = vms().filter(is_usable).filter_map(|vm| capacity(&vm)).max();
         let has_enough_capacity = |vm: &&str| {
-            capacity(vm).zip(largest).is_none_or(|(capacity, largest)| capacity.carries(largest))
+            capacity(vm)
+                .zip(largest)
+                .is_none_or(|(capacity, largest)| capacity.is_at_least_half_of(largest))
         };
         let candidates = vms().filter(is_usable).filter(has_enough_capacity);
         candidates.max_by_key(|vm| stable_hash(&[pool, vm])).unwrap_or(own_vm)
--- a/crates/crocusdale_core/src/daemon/reader_choice.rs
+++ b/crates/crocusdale_core/src/daemon/reader_choice.rs
@@ -78,7 +78,7 @@
         let largest = ranked.iter().filter_map(|vm| self.view.capacity(vm)).max();
         let has_capacity = |vm: &str| {
             let capacity = self.view.capacity(vm).zip(largest);
-            capacity.is_none_or(|(capacity, largest)| capacity.carries(largest))
+            capacity.is_none_or(|(capacity, largest)| capacity.is_at_least_half_of(largest))
         };
         ranked.sort_by_cached_key(|vm| {
             (!has_capacity(vm), std::cmp::Reverse(stable_hash(&[role, vm])))
--- a/crates/crocusdale_core/src/membership/member_record.rs
+++ b/crates/crocusdale_core/src/membership/member_record.rs
@@ -81,7 +81,7 @@
     /// Whether a VM of this capacity may do work on behalf of others, such as the dispatch of a
     /// pool: it needs at least half of `largest`, the capacity of the largest VM.
     #[must_use]
-    pub fn carries(self, largest: Self) -> bool {
+    pub fn is_at_least_half_of(self, largest: Self) -> bool {
         self.0 >= largest.0 / 2
     }
 }
