--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -159,7 +159,7 @@
             let directory = fleet.directory_news(now);
             let vm = &message.sender.instance.vm;
             let reply = match message.known_members {
-                Some(known) => fleet.view.welcome(vm, known, position, directory),
+                Some(known) => fleet.view.full_sync_message(vm, known, position, directory),
                 None => fleet.view.message(vm, position, directory),
             };
             let reply = ExchangeMessage {
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -142,7 +142,7 @@
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: MonotonicTime) {
         self.seeds = seeds;
         self.needs_directory = true;
-        self.view.ask_for_all(true);
+        self.view.set_full_sync(true);
         self.refresh_vm_list(now, &mut Vec::new());
     }
 
@@ -249,7 +249,7 @@
     /// Sends the heartbeats of one period and schedules the next period.
     pub fn heartbeat(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let is_discovering = self.is_discovering_members(now);
-        self.view.ask_for_all(is_discovering);
+        self.view.set_full_sync(is_discovering);
         let partners = self.view.tick(now);
         self.exchange_with(partners, now, out);
         let pause = if is_discovering {
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -54,7 +54,7 @@
             leaving_upstreams: self.take_leaving_upstreams(),
             directory: directory.changed,
             directory_age: directory.age,
-            known_members: self.asks_for_all.then(|| self.digest()),
+            known_members: self.requests_full_sync.then(|| self.digest()),
             // The daemon core fills in crash records and rate limits.
             crash_summary: 0,
             crashes: Vec::new(),
@@ -65,7 +65,7 @@
 
     /// Builds the reply to a member that requests all records. `known` is the digest of its own
     /// records. If the digests are equal, the reply is an ordinary message.
-    pub fn welcome(
+    pub fn full_sync_message(
         &mut self,
         partner: &str,
         known: u64,
@@ -91,7 +91,7 @@
     /// Guards against callers that are sent to crashed daemons long after many have crashed at
     /// once: the ordinary record limit would delay the report about each of them.
     fn recent_failures(&mut self, partner: &str, sent: &[MemberRecord]) -> Vec<MemberRecord> {
-        if self.asks_for_all {
+        if self.requests_full_sync {
             // Replies to requests for all records already contain the failures.
             return Vec::new();
         }
@@ -115,8 +115,8 @@
     }
 
     /// Sets whether messages request all member records that this daemon lacks.
-    pub fn ask_for_all(&mut self, asks: bool) {
-        self.asks_for_all = asks;
+    pub fn set_full_sync(&mut self, is_enabled: bool) {
+        self.requests_full_sync = is_enabled;
     }
 
     /// Digest of all member records, including this daemon's own. It does not depend on their
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -37,7 +37,7 @@
     pub(super) own: MemberRecord,
     pub(super) own_leaving: bool,
     /// Whether messages request all member records that this daemon lacks.
-    pub(super) asks_for_all: bool,
+    pub(super) requests_full_sync: bool,
     pub(super) period: Duration,
     pub(super) suspicion: Duration,
     pub(super) peers: BTreeMap<String, PeerState>,
@@ -132,7 +132,7 @@
         MemberView {
             own: MemberRecord::new(self.own, self.place),
             own_leaving: false,
-            asks_for_all: false,
+            requests_full_sync: false,
             period: self.period,
             suspicion: self.suspicion,
             peers: BTreeMap::new(),
--- a/crates/crocusdale_core/tests/member_places_test.rs
+++ b/crates/crocusdale_core/tests/member_places_test.rs
@@ -52,7 +52,10 @@
     let others = (1..100).map(|index| record(index, MemberStatus::Alive)).collect();
     seed.take_message(&told(others), now);
     let mut fresh = view(200);
-    fresh.take_message(&seed.welcome("entry-200", 0, (0, 0), DirectoryNews::default()), now);
+    fresh.take_message(
+        &seed.full_sync_message("entry-200", 0, (0, 0), DirectoryNews::default()),
+        now,
+    );
     assert_eq!(fresh.peer_count(), 100);
     assert_eq!(fresh.places().len(), 101);
 }
