--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -125,7 +125,7 @@
             return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
         }
         if let Some(abstention) =
-            basis.history.abstention(&self.own_instance.vm, key, now, basis.key_life)
+            basis.history.remaining_abstention(&self.own_instance.vm, key, now, basis.key_life)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(abstention);
--- a/crates/crocusdale_core/src/membership/roster_history.rs
+++ b/crates/crocusdale_core/src/membership/roster_history.rs
@@ -49,7 +49,7 @@
     /// It abstains until its process, and its role as a witness of `key`, are both older than the
     /// key lifetime `key_life`.
     #[must_use]
-    pub fn abstention(
+    pub fn remaining_abstention(
         &self,
         vm: &str,
         key: &RequestKey,
