--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -265,7 +265,7 @@
     /// together, or `None` if the share has not changed since the last call.
     pub(super) fn changed_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
         let names = self.view.records().map(|record| record.instance.vm.as_str());
-        let has_changed = self.known_daemons.note(names, now);
+        let has_changed = self.known_daemons.update(names, now);
         let is_share_withheld = self.is_discovering_members(now);
         let is_new_share = has_changed || self.was_share_withheld != Some(is_share_withheld);
         self.was_share_withheld = Some(is_share_withheld);
--- a/crates/crocusdale_core/src/membership/known_daemons.rs
+++ b/crates/crocusdale_core/src/membership/known_daemons.rs
@@ -17,7 +17,7 @@
 impl KnownDaemons {
     /// Records that the member view contains the daemons `names` at `now`, and removes daemons
     /// whose retention has expired. Returns whether the set of known daemons changed.
-    pub fn note<'a>(&mut self, names: impl Iterator<Item = &'a str>, now: MonotonicTime) -> bool {
+    pub fn update<'a>(&mut self, names: impl Iterator<Item = &'a str>, now: MonotonicTime) -> bool {
         let mut changed = false;
         for name in names {
             match self.last_seen.get_mut(name) {
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -236,10 +236,10 @@
 fn daemons_that_cannot_be_reached_keep_their_share() {
     let mut known = KnownDaemons::default();
     let (all, reachable) = (names(74), names(50));
-    assert!(known.note(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
+    assert!(known.update(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
     for second in 1..500 {
         let now = MonotonicTime::from_millis(second * 1_000);
-        known.note(reachable.iter().map(String::as_str), now);
+        known.update(reachable.iter().map(String::as_str), now);
         assert_eq!(known.names().count(), 74, "after {second} s");
     }
 }
