--- a/crates/crocusdale_core/src/configuration/stage_plan.rs
+++ b/crates/crocusdale_core/src/configuration/stage_plan.rs
@@ -123,7 +123,7 @@
     /// Duration of the critical path through all steps. `time` returns the duration of a step,
     /// given the step and its position.
     #[must_use]
-    pub fn longest_way(&self, time: impl Fn(&PlanStep, usize) -> Duration) -> Duration {
+    pub fn critical_path_time(&self, time: impl Fn(&PlanStep, usize) -> Duration) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for (position, step) in self.steps.iter().enumerate() {
             let start = step.after.iter().map(|earlier| ends[*earlier]).max().unwrap_or_default();
@@ -135,7 +135,7 @@
     /// Duration of the critical path from the end of the step at `position` to the end of the plan.
     /// `time` returns the duration of a step, given the step and its position.
     #[must_use]
-    pub fn way_after(
+    pub fn critical_path_time_after(
         &self,
         position: usize,
         time: impl Fn(&PlanStep, usize) -> Duration,
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -85,7 +85,7 @@
     fn expected_duration(&self, plan: &RequestPlan, now: MonotonicTime) -> Duration {
         let delays = self.expected_delays(plan, now);
         let steps = &plan.pipeline.plan;
-        steps.longest_way(|step, position| plan.step_time(position, step) + delays[position])
+        steps.critical_path_time(|step, position| plan.step_time(position, step) + delays[position])
     }
 
     /// Expected delay of each step over its duration on idle pools, from the latest reports of
@@ -166,7 +166,7 @@
         let waits = self.needed_pool_waits(plan, now);
         let late_wait = waits.iter().map(|wait| wait.late_for(plan.level)).max();
         let unqueued =
-            plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
+            plan.pipeline.plan.critical_path_time(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
         let expected = if plan.is_flood {
             expected.max(unqueued + late_wait.unwrap_or_default())
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -211,7 +211,8 @@
     #[must_use]
     pub fn latest_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let time_after = plan.way_after(position, |step, position| self.step_time(position, step));
+        let time_after = plan
+            .critical_path_time_after(position, |step, position| self.step_time(position, step));
         MonotonicTime::from_start(self.deadline.since_start().saturating_sub(time_after))
     }
 
@@ -221,7 +222,7 @@
     #[must_use]
     pub fn target_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let time_after = plan.way_after(position, |step, position| {
+        let time_after = plan.critical_path_time_after(position, |step, position| {
             let delay = self.delays.get(position).copied().unwrap_or_default();
             self.step_time(position, step) + delay
         });
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -213,7 +213,7 @@
         if self.policy == RoutingPolicy::Baseline {
             return Duration::ZERO;
         }
-        plan.longest_way(|step, _| {
+        plan.critical_path_time(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
             routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_duration(level))
         })
