--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -171,7 +171,7 @@
         if self.view.own().place.is_none() {
             return false;
         }
-        self.view.forget_lost(now);
+        self.view.remove_unreachable(now);
         let vms = self.view.places();
         let current = self.history.current();
         if current.vms == vms {
@@ -210,7 +210,7 @@
     /// service while its peers have a newer one in force. It would serve callers under the outdated
     /// revision until its fetch from a peer ends.
     pub fn update_readiness(&mut self, now: MonotonicTime) -> bool {
-        let has_asked_peers = self.view.has_asked(SUFFICIENT_STARTUP_PEERS)
+        let has_asked_peers = self.view.has_contacted_peers(SUFFICIENT_STARTUP_PEERS)
             || now.since(self.started_at) >= MAX_STARTUP_WAIT;
         let (revision, digest) = self.newest_peer_position;
         let has_asked_peers = has_asked_peers
@@ -318,7 +318,7 @@
     ) {
         out.push(Command::Count(CounterName::ExchangesFailed));
         let previous_status = self.view.status(vm);
-        self.view.exchange_failed(vm, now);
+        self.view.handle_failed_exchange(vm, now);
         self.log_peer_status(vm, previous_status, out);
     }
 
--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -27,7 +27,7 @@
             let leaving_upstream =
                 LeavingUpstream { upstream: upstream.to_owned(), life: upstream.to_owned() };
             let mut fleet = lock(&self.fleet);
-            if fleet.view.take_leaving_upstream(&leaving_upstream, now) {
+            if fleet.view.add_leaving_upstream(&leaving_upstream, now) {
                 fleet.send_early_heartbeats(now, out);
             }
             drop(fleet);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -340,7 +340,7 @@
             }
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
                 let news = LeavingUpstream { upstream, life };
-                lock(&self.fleet).view.take_leaving_upstream(&news, now);
+                lock(&self.fleet).view.add_leaving_upstream(&news, now);
                 self.take_leaving(&[news], now, out);
             }
         }
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -249,11 +249,11 @@
             self.add_leaving_member(instance);
         }
         let notices = message.leaving_upstreams.iter();
-        notices.filter(|upstream| self.take_leaving_upstream(upstream, now)).cloned().collect()
+        notices.filter(|upstream| self.add_leaving_upstream(upstream, now)).cloned().collect()
     }
 
     /// Handles a failed exchange with `vm`: the member becomes suspected, unless it already was.
-    pub fn exchange_failed(&mut self, vm: &str, now: MonotonicTime) {
+    pub fn handle_failed_exchange(&mut self, vm: &str, now: MonotonicTime) {
         let sends = self.initial_sends();
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.is_contacted = true;
@@ -269,7 +269,7 @@
     }
 
     /// Records that an upstream is leaving. Returns whether this was not known before.
-    pub fn take_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
+    pub fn add_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
         let known = self.leaving_upstreams.get(&leaving.upstream);
         if known.is_some_and(|notice| notice.process == leaving.life) {
             return false;
@@ -344,7 +344,7 @@
 
     /// Removes members that have been unreachable for more than 30 s. Does nothing in a deployment
     /// with a VM list.
-    pub fn forget_lost(&mut self, now: MonotonicTime) {
+    pub fn remove_unreachable(&mut self, now: MonotonicTime) {
         if self.own.place.is_none() {
             return;
         }
@@ -374,7 +374,7 @@
     /// Whether messages from at least `enough` peers have arrived, or every peer has sent a message
     /// or failed to reply at least once.
     #[must_use]
-    pub fn has_asked(&self, enough: usize) -> bool {
+    pub fn has_contacted_peers(&self, enough: usize) -> bool {
         let heard_count = self.peers.values().filter(|peer| peer.last_heard.is_some()).count();
         heard_count >= enough || self.peers.values().all(|peer| peer.is_contacted)
     }
