--- a/crates/crocusdale_core/src/configuration/label_set.rs
+++ b/crates/crocusdale_core/src/configuration/label_set.rs
@@ -10,14 +10,14 @@
 
 impl LabelSet {
     /// Maximum number of labels in one request or configuration section.
-    pub const MOST: usize = 32;
+    pub const MAX_LABELS: usize = 32;
 
     /// Parses `key=value` pairs that are separated by commas.
     ///
     /// # Errors
     ///
     /// Returns the part of `text` that is not a valid pair or repeats a key, or the number of
-    /// labels if it exceeds [`LabelSet::MOST`].
+    /// labels if it exceeds [`LabelSet::MAX_LABELS`].
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut labels = Self::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
@@ -28,7 +28,7 @@
             }
             labels.insert(key, value);
         }
-        if labels.0.len() > Self::MOST {
+        if labels.0.len() > Self::MAX_LABELS {
             Err(format!("{} labels", labels.0.len()))
         } else {
             Ok(labels)
@@ -57,9 +57,9 @@
     /// Description of the first error: too many labels, or a label whose key or value has an
     /// invalid character or length. `None` if the set is valid.
     #[must_use]
-    pub fn first_fault(&self) -> Option<String> {
-        if self.0.len() > Self::MOST {
-            return Some(format!("{} labels, at most {}", self.0.len(), Self::MOST));
+    pub fn describe_first_error(&self) -> Option<String> {
+        if self.0.len() > Self::MAX_LABELS {
+            return Some(format!("{} labels, at most {}", self.0.len(), Self::MAX_LABELS));
         }
         let mut invalid_labels =
             self.0.iter().filter(|(key, value)| !is_word(key) || !is_word(value));
--- a/crates/crocusdale_core/src/configuration/section_reader.rs
+++ b/crates/crocusdale_core/src/configuration/section_reader.rs
@@ -247,7 +247,7 @@
         KeyForm::Flag => "`yes` or `no`".into(),
         KeyForm::Choice(choices) => format!("one of {}", choices.join(", ")),
         KeyForm::Labels => {
-            format!("up to {} pairs `key=value`, separated by commas", LabelSet::MOST)
+            format!("up to {} pairs `key=value`, separated by commas", LabelSet::MAX_LABELS)
         }
         KeyForm::Selector => LabelSelector::ACCEPTED.into(),
         KeyForm::Stages => StagePlan::ACCEPTED.into(),
--- a/crates/crocusdale_core/src/configuration/stage_plan.rs
+++ b/crates/crocusdale_core/src/configuration/stage_plan.rs
@@ -37,7 +37,7 @@
 
 impl StagePlan {
     /// Maximum number of stages in a pipeline that [`StagePlan::parse`] accepts.
-    pub const MOST: usize = 16;
+    pub const MAX_STAGES: usize = 16;
 
     /// Description of the syntax that [`StagePlan::parse`] accepts, for error messages.
     pub const ACCEPTED: &'static str =
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first stage name that is invalid, repeated, or beyond [`StagePlan::MOST`].
+    /// Returns the first stage name that is invalid, repeated, or beyond [`StagePlan::MAX_STAGES`].
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut steps: Vec<PlanStep> = Vec::new();
         let mut group = 0..0;
@@ -71,7 +71,7 @@
             let first = steps.len();
             for stage in part.split('|').map(str::trim) {
                 let repeated = steps.iter().any(|step| step.stage == stage);
-                if !is_word(stage) || repeated || steps.len() == Self::MOST {
+                if !is_word(stage) || repeated || steps.len() == Self::MAX_STAGES {
                     return Err(stage.to_owned());
                 }
                 let after = group.clone().collect();
--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -126,9 +126,9 @@
                 return refuse(RefusalReason::Malformed, detail);
             }
         }
-        if let Some(fault) = submitted.labels.first_fault() {
+        if let Some(fault) = submitted.labels.describe_first_error() {
             let detail =
-                format!("labels: {fault}; accepted: up to {} pairs of words", LabelSet::MOST);
+                format!("labels: {fault}; accepted: up to {} pairs of words", LabelSet::MAX_LABELS);
             return refuse(RefusalReason::BadLabels, detail);
         }
         Ok(Self {
