--- a/crates/crocusdale_core/src/configuration/declarations.rs
+++ b/crates/crocusdale_core/src/configuration/declarations.rs
@@ -277,7 +277,7 @@
 
     /// Name of the workspace that the access key `key` belongs to, or `None` if the key is unknown.
     #[must_use]
-    pub fn workspace_of_access(&self, key: &str) -> Option<&str> {
+    pub fn workspace_for_access_key(&self, key: &str) -> Option<&str> {
         self.access.get(key).map(String::as_str)
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -131,7 +131,7 @@
             None
         } else {
             let access_workspace =
-                head.access.as_deref().and_then(|key| declarations.workspace_of_access(key));
+                head.access.as_deref().and_then(|key| declarations.workspace_for_access_key(key));
             let Some(workspace) = access_workspace else {
                 let detail = "the access key is missing or unknown";
                 return refuse(&request.key, RefusalReason::NoAccess, detail);
