--- a/crates/crocusdale_core/src/configuration/configuration_ledger.rs
+++ b/crates/crocusdale_core/src/configuration/configuration_ledger.rs
@@ -100,7 +100,7 @@
     /// `digest` in force: it would replace the configuration in force, and it isn't the latest
     /// rejected one.
     #[must_use]
-    pub fn wants(&self, revision: u64, digest: u64) -> bool {
+    pub fn should_fetch(&self, revision: u64, digest: u64) -> bool {
         let last_rejected =
             self.rejected.as_ref().map(|rejected| (rejected.revision, rejected.digest));
         (revision, digest) > self.position() && last_rejected != Some((revision, digest))
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -219,7 +219,7 @@
             && (!self.needs_directory || !self.directory.is_none())
             && self.history.current().revision > 0
             && has_asked_peers
-            && !self.ledger.wants(revision, digest);
+            && !self.ledger.should_fetch(revision, digest);
         if self.is_ready || !is_ready {
             return false;
         }
@@ -301,7 +301,7 @@
         let is_fetching = self
             .fetch_started_at
             .is_some_and(|fetch_started_at| now.since(fetch_started_at) < FETCH_TIMEOUT);
-        if !is_fetching && self.ledger.wants(message.revision, message.digest) {
+        if !is_fetching && self.ledger.should_fetch(message.revision, message.digest) {
             self.fetch_started_at = Some(now);
             let known = self.ledger.position().0;
             out.push(Command::FetchConfiguration { vm: vm.clone(), known });
