--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -119,7 +119,7 @@
         let own_witnesses = WitnessSet::choose(key, basis.history.current());
         if basis.declarations.is_none()
             || !own_witnesses.contains(&self.own_instance.vm)
-            || !own_witnesses.agrees_with(witnesses)
+            || !own_witnesses.shares_quorum_with(witnesses)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
--- a/crates/crocusdale_core/src/membership/witness_set.rs
+++ b/crates/crocusdale_core/src/membership/witness_set.rs
@@ -71,7 +71,7 @@
     /// witness share the other two, and two quorums that contain the same shared witness can't both
     /// grant a claim.
     #[must_use]
-    pub fn agrees_with(&self, other: &Self) -> bool {
+    pub fn shares_quorum_with(&self, other: &Self) -> bool {
         self.vms.iter().filter(|vm| other.contains(vm)).count() >= WITNESS_QUORUM
     }
 }
