--- a/crates/crocusdale_core/src/configuration/forward_rules.rs
+++ b/crates/crocusdale_core/src/configuration/forward_rules.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRules {
     /// Duration of the cold start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Number of requests per second that an upstream accepts during its cold start, from all
     /// daemons together.
     pub requests_per_s: f64,
--- a/crates/crocusdale_core/src/routing/cold_limit.rs
+++ b/crates/crocusdale_core/src/routing/cold_limit.rs
@@ -53,7 +53,7 @@
     ) -> bool {
         let Some(cold) = routed.cold else { return true };
         let state = lock(&self.upstreams[position].state);
-        if !state.may_be_cold(cold.lasts, now) {
+        if !state.may_be_cold(cold.duration, now) {
             return true;
         }
         let limit = self.cold_limits.requests(cold.requests_per_s);
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -22,7 +22,7 @@
 use support::virtual_fleet::VirtualFleet;
 
 /// What an engine takes while it is cold.
-const COLD: ColdRules = ColdRules { lasts: Duration::from_secs(3), requests_per_s: 22.0 };
+const COLD: ColdRules = ColdRules { duration: Duration::from_secs(3), requests_per_s: 22.0 };
 const LIMITS: ColdLimits = ColdLimits { overshoot: 1.5, slack: 5.0 };
 /// Requests in one second that follow from these.
 const BOUND: u32 = 38;
@@ -141,7 +141,7 @@
             for number in 0..50 {
                 now = now + REQUEST_PACE;
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
-                if grant.upstream.starts_with("new") && now.since(start) < COLD.lasts {
+                if grant.upstream.starts_with("new") && now.since(start) < COLD.duration {
                     let late = random.random_bool(0.5);
                     writes.push(if late { now + CONNECT_TIMEOUT } else { now });
                 }
@@ -194,7 +194,7 @@
         router.acquire(request(*number, now), now).is_ok_and(|grant| grant.is_some())
     });
     assert!(granted.count() < BOUND as usize / 6, "of its share, one is used up");
-    let later = now + COLD.lasts;
+    let later = now + COLD.duration;
     assert!(router.acquire(request(90, later), later).is_ok_and(|grant| grant.is_some()));
 }
 
