--- a/crates/crocusdale_core/examples/directory_slopes.rs
+++ b/crates/crocusdale_core/examples/directory_slopes.rs
@@ -81,7 +81,7 @@
         tried: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: Default::default(),
+        allowed_regions: Default::default(),
     }
 }
 
--- a/crates/crocusdale_core/src/configuration/home_regions.rs
+++ b/crates/crocusdale_core/src/configuration/allowed_regions.rs
@@ -4,22 +4,22 @@
 
 /// Regions in which requests may be processed. The default allows all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HomeRegions(Option<Arc<Vec<String>>>);
+pub struct AllowedRegions(Option<Arc<Vec<String>>>);
 
-impl HomeRegions {
+impl AllowedRegions {
     /// Allows only `regions`. An empty list allows all regions.
     ///
     /// # Examples
     ///
     /// ```
-    /// use crocusdale_core::configuration::HomeRegions;
+    /// use crocusdale_core::configuration::AllowedRegions;
     ///
-    /// let route = HomeRegions::new(["lakes".to_owned(), "coast".to_owned()]);
-    /// let workspace = HomeRegions::new(["coast".to_owned()]);
+    /// let route = AllowedRegions::new(["lakes".to_owned(), "coast".to_owned()]);
+    /// let workspace = AllowedRegions::new(["coast".to_owned()]);
     /// let both = route.and(&workspace);
-    /// assert!(both.allow(Some("coast")));
-    /// assert!(!both.allow(Some("lakes")));
-    /// assert!(HomeRegions::default().allow(None));
+    /// assert!(both.allows(Some("coast")));
+    /// assert!(!both.allows(Some("lakes")));
+    /// assert!(AllowedRegions::default().allows(None));
     /// ```
     #[must_use]
     pub fn new(regions: impl IntoIterator<Item = String>) -> Self {
@@ -43,7 +43,7 @@
     /// Whether requests may be processed in `region`. An unknown region, `None`, is only allowed if
     /// all regions are.
     #[must_use]
-    pub fn allow(&self, region: Option<&str>) -> bool {
+    pub fn allows(&self, region: Option<&str>) -> bool {
         self.0.as_ref().is_none_or(|allowed| {
             region
                 .is_some_and(|region| allowed.iter().any(|allowed_region| allowed_region == region))
--- a/crates/crocusdale_core/src/configuration/declarations.rs
+++ b/crates/crocusdale_core/src/configuration/declarations.rs
@@ -8,8 +8,8 @@
 use crate::orders::EngineOrder;
 
 use super::{
-    CallerLimits, ColdRules, ConfigurationError, ConfigurationErrorKind, ForwardRules, HomeRegions,
-    LabelSelector, LabelSet, PoolKind, RouteTable, StagePlan,
+    AllowedRegions, CallerLimits, ColdRules, ConfigurationError, ConfigurationErrorKind,
+    ForwardRules, LabelSelector, LabelSet, PoolKind, RouteTable, StagePlan,
 };
 
 /// Priority level of requests that match no `[priority]` section.
@@ -109,7 +109,7 @@
     /// the level of the pipeline applies.
     pub level: Option<u8>,
     /// Regions in which forwarded requests may be processed.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Configuration of one pipeline.
@@ -464,7 +464,7 @@
         labels: section.labels("labels"),
         concurrency: section.get("concurrency").unwrap_or(1),
         level: None,
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     (section.name.clone(), rules)
 }
--- a/crates/crocusdale_core/src/configuration/forward_rules.rs
+++ b/crates/crocusdale_core/src/configuration/forward_rules.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::HomeRegions;
+use super::AllowedRegions;
 
 /// Configuration of a pipeline whose last step forwards the request of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// Whether callers need no access key.
     pub public: bool,
     /// Regions in which the requests may be processed.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Conditions under which a failed forwarded request may be sent to another upstream.
--- a/crates/crocusdale_core/src/configuration/mod.rs
+++ b/crates/crocusdale_core/src/configuration/mod.rs
@@ -1,13 +1,13 @@
 //! Process settings and operator declarations, which are validated completely before use, and the
 //! configuration revision in force.
 
+mod allowed_regions;
 mod caller_limits;
 mod configuration_error;
 mod configuration_ledger;
 mod declarations;
 mod declarations_builder;
 mod forward_rules;
-mod home_regions;
 mod label_selector;
 mod label_set;
 mod process_settings;
@@ -15,6 +15,7 @@
 mod section_reader;
 mod stage_plan;
 
+pub use allowed_regions::{AllowedRegions, RegionMap};
 pub use caller_limits::CallerLimits;
 pub use configuration_error::{ConfigurationError, ConfigurationErrorKind};
 pub use configuration_ledger::{
@@ -28,7 +29,6 @@
 pub use forward_rules::{
     BatchRules, ColdRules, EngineRules, ForwardRules, PoolKind, RepeatRule, WeightedPool,
 };
-pub use home_regions::{HomeRegions, RegionMap};
 pub use label_selector::LabelSelector;
 pub use label_set::LabelSet;
 pub use process_settings::{
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -151,7 +151,7 @@
     fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
-        self.router().refused_for(&forwarded.stage, &plan.homes, plan.deadline, now)
+        self.router().refused_for(&forwarded.stage, &plan.allowed_regions, plan.deadline, now)
     }
 
     /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -66,7 +66,7 @@
             tried: Vec::new(),
             demand,
             digest: self.plan.digest,
-            homes: self.plan.homes.clone(),
+            allowed_regions: self.plan.allowed_regions.clone(),
         })
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -4,7 +4,7 @@
 use super::{CallerRequest, FinalOutcome, ForwardHead, OutcomeKind, RefusalReason, RequestContent};
 use crate::admission::AdmissionPermit;
 use crate::configuration::{
-    Declarations, ForwardRules, HomeRegions, LabelSet, PipelineRules, PlanStep, PoolKind,
+    AllowedRegions, Declarations, ForwardRules, LabelSet, PipelineRules, PlanStep, PoolKind,
     StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
 use crate::identity::{MonotonicTime, RequestDigest, RequestKey};
@@ -49,7 +49,7 @@
     /// released.
     pub permit: AdmissionPermit,
     /// Regions in which upstreams may process the request.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
     /// Expected queueing delay of each step on top of [`Self::step_time`], by position, from the
     /// load of the pools when the request started. Missing entries count as zero.
     pub delays: Vec<Duration>,
@@ -107,7 +107,7 @@
             claimed: !repeatable,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            homes: HomeRegions::default(),
+            allowed_regions: AllowedRegions::default(),
             delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
@@ -142,8 +142,8 @@
         let timeout = request.deadline.min(forward.timeout).min(MAX_DEADLINE);
         let level = rules.and_then(|rules| rules.level).unwrap_or(forward.level);
         let labels = rules.map(|rules: &WorkspaceRules| rules.labels.clone()).unwrap_or_default();
-        let homes = rules.map(|rules| rules.homes.clone()).unwrap_or_default();
-        let homes = forward.homes.and(&homes);
+        let allowed_regions = rules.map(|rules| rules.allowed_regions.clone()).unwrap_or_default();
+        let allowed_regions = forward.allowed_regions.and(&allowed_regions);
         let objective = now + forward.objective;
         let repeatable = pipeline.repeatable;
         let mut pipeline = pipeline.clone();
@@ -161,7 +161,7 @@
             claimed: false,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            homes,
+            allowed_regions,
             delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -345,7 +345,7 @@
             tried: step_run.tried.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            homes: self.plan.homes.clone(),
+            allowed_regions: self.plan.allowed_regions.clone(),
         }
     }
 
--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::PrefixCounter;
-use crate::configuration::HomeRegions;
+use crate::configuration::AllowedRegions;
 use crate::identity::{CallId, MonotonicTime, RequestDigest};
 use crate::pipeline::EngineDemand;
 use crate::retry::RetryBudget;
@@ -34,7 +34,7 @@
     /// Digest of the request, which is equal for its repetitions.
     pub digest: RequestDigest,
     /// Regions in which the request may be processed.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Queue of the attempts that wait for one pool, most urgent first, with the pool's latency
@@ -97,7 +97,8 @@
     pub fn pop_for(&mut self, upstream: &str, region: Option<&str>) -> Option<SlotRequest> {
         let mut candidates = self.waiting.iter();
         let key = candidates.find(|(_, request)| {
-            request.tried.iter().all(|tried| tried != upstream) && request.homes.allow(region)
+            request.tried.iter().all(|tried| tried != upstream)
+                && request.allowed_regions.allows(region)
         });
         let key = *key?.0;
         self.waiting.remove(&key)
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -6,7 +6,7 @@
 
 use super::upstream_router::RoutedPool;
 use super::{SlotRequest, UpstreamRouter};
-use crate::configuration::HomeRegions;
+use crate::configuration::AllowedRegions;
 use crate::identity::MonotonicTime;
 use crate::rate_limiting::{RateUse, TokenWait};
 use crate::sync::lock;
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn away_for(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
-        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        let availability = self.availability(routed, &request.allowed_regions, &request.tried, now);
         availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
     }
 
@@ -104,7 +104,7 @@
         request: &SlotRequest,
         now: MonotonicTime,
     ) -> bool {
-        let availability = self.availability(routed, &request.homes, &request.tried, now);
+        let availability = self.availability(routed, &request.allowed_regions, &request.tried, now);
         match availability {
             PoolAvailability::Available => true,
             PoolAvailability::NoShare(_) | PoolAvailability::NoUpstream => false,
@@ -121,7 +121,7 @@
     pub fn refused_for(
         &self,
         stage: &str,
-        homes: &HomeRegions,
+        allowed_regions: &AllowedRegions,
         deadline: MonotonicTime,
         now: MonotonicTime,
     ) -> Option<Duration> {
@@ -129,7 +129,7 @@
             return None;
         }
         let routed = self.pools.get(stage)?;
-        let availability = self.availability(routed, homes, &[], now);
+        let availability = self.availability(routed, allowed_regions, &[], now);
         let has_no_share = matches!(availability, PoolAvailability::NoShare(_));
         let wait = availability.wait_behind(lock(&routed.queue).waiting_count())?;
         (has_no_share || now + wait + DEADLINE_MARGIN >= deadline).then_some(wait)
@@ -145,7 +145,7 @@
             return taken;
         }
         for routed in self.pools.values().filter(|routed| lock(&routed.queue).waiting_count() > 0) {
-            let availability = self.availability(routed, &HomeRegions::default(), &[], now);
+            let availability = self.availability(routed, &AllowedRegions::default(), &[], now);
             let slots: Box<dyn Iterator<Item = Option<Duration>>> = match availability {
                 PoolAvailability::Available | PoolAvailability::NoUpstream => continue,
                 PoolAvailability::Scheduled(schedule) => Box::new(schedule.map(Some)),
@@ -164,7 +164,7 @@
     fn availability(
         &self,
         routed: &RoutedPool,
-        homes: &HomeRegions,
+        allowed_regions: &AllowedRegions,
         tried: &[String],
         now: MonotonicTime,
     ) -> PoolAvailability {
@@ -172,7 +172,7 @@
         for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
             let upstream = &self.upstreams[position];
             let name = &upstream.rules.name;
-            if tried.contains(name) || !homes.allow(self.region_of(position)) {
+            if tried.contains(name) || !allowed_regions.allows(self.region_of(position)) {
                 continue;
             }
             let backoff = {
--- a/crates/crocusdale_core/src/routing/upstream_choice.rs
+++ b/crates/crocusdale_core/src/routing/upstream_choice.rs
@@ -64,7 +64,7 @@
         let mut from_start = all.iter().cycle().skip(start % all.len().max(1)).take(all.len());
         let is_usable = |position: &&usize| {
             let state = lock(&self.upstreams[**position].state);
-            let is_region_allowed = request.homes.allow(self.region_of(**position));
+            let is_region_allowed = request.allowed_regions.allows(self.region_of(**position));
             let is_within_quota =
                 self.limiter.allows(&self.upstreams[**position].rules.name, RateUse::Shared, now);
             is_region_allowed
@@ -106,7 +106,7 @@
         if request.tried.contains(&upstream.rules.name) {
             return None;
         }
-        if !request.homes.allow(self.region_of(position)) {
+        if !request.allowed_regions.allows(self.region_of(position)) {
             return None;
         }
         if !self.is_within_cold_limit(routed, position, now)
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    ColdRules, Declarations, DeclarationsBuilder, EngineRules, HomeRegions, PoolKind, StageRules,
+    AllowedRegions, ColdRules, Declarations, DeclarationsBuilder, EngineRules, PoolKind, StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest};
 use crocusdale_core::membership::KnownDaemons;
@@ -78,7 +78,7 @@
         tried: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crocusdale_core::configuration::{DeclarationsBuilder, HomeRegions, PoolKind, StageRules};
+use crocusdale_core::configuration::{AllowedRegions, DeclarationsBuilder, PoolKind, StageRules};
 use crocusdale_core::identity::{CallId, MonotonicTime};
 use crocusdale_core::routing::{DirectoryEntry, SlotRequest, UpstreamDirectory, UpstreamRouter};
 
@@ -37,7 +37,7 @@
         tried: Vec::new(),
         demand: None,
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
     grant.expect("the pool is there").expect("a place is free").max_idle_connections
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    Declarations, DeclarationsBuilder, EngineRules, HomeRegions, PoolKind, StageRules,
+    AllowedRegions, Declarations, DeclarationsBuilder, EngineRules, PoolKind, StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime};
 use crocusdale_core::pipeline::{EngineDemand, PromptPart};
@@ -153,7 +153,7 @@
         tried: Vec::new(),
         demand: Some(Arc::new(demand)),
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    Declarations, DeclarationsBuilder, EngineRules, HomeRegions, LabelSet, PoolKind, RegionMap,
+    AllowedRegions, Declarations, DeclarationsBuilder, EngineRules, LabelSet, PoolKind, RegionMap,
     StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest};
@@ -52,7 +52,7 @@
         tried: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: HomeRegions::new(homes.iter().map(|home| (*home).to_owned())),
+        allowed_regions: AllowedRegions::new(homes.iter().map(|home| (*home).to_owned())),
     }
 }
 
@@ -102,10 +102,11 @@
 /// Guards against a route's homes that go before those of its workspace, or the other way round.
 #[test]
 fn homes_of_route_and_workspace_both_bind() {
-    let homes = |regions: &[&str]| HomeRegions::new(regions.iter().map(|each| (*each).to_owned()));
+    let homes =
+        |regions: &[&str]| AllowedRegions::new(regions.iter().map(|each| (*each).to_owned()));
     let both = homes(&["lakes", "coast"]).and(&homes(&["coast", "island"]));
-    let allowed = ["lakes", "coast", "island"].map(|region| both.allow(Some(region)));
+    let allowed = ["lakes", "coast", "island"].map(|region| both.allows(Some(region)));
     assert_eq!(allowed, [false, true, false]);
-    assert!(!homes(&["lakes"]).and(&homes(&["coast"])).allow(Some("lakes")), "none is left");
-    assert!(homes(&[]).and(&homes(&[])).allow(None));
+    assert!(!homes(&["lakes"]).and(&homes(&["coast"])).allows(Some("lakes")), "none is left");
+    assert!(homes(&[]).and(&homes(&[])).allows(None));
 }
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crocusdale_core::configuration::HomeRegions;
+use crocusdale_core::configuration::AllowedRegions;
 use crocusdale_core::daemon::{DaemonEvent, NewsBounds};
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest, stable_hash};
 use crocusdale_core::pipeline::{AttemptEvent, OutcomeKind, RefusalReason, RunProof};
@@ -346,7 +346,7 @@
         tried: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     assert_eq!(router.acquire(request(1), start).map(|grant| grant.is_some()), Ok(false));
     let place = start + Duration::from_millis(1_010);
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -7,9 +7,9 @@
 
 use crocusdale_core::batching::{BatchOrder, BatchOutcome, ItemOutcome};
 use crocusdale_core::configuration::{
-    BatchRules, ConfigurationError, Declarations, DeclarationsBuilder, EngineRules, ForwardRules,
-    HomeRegions, LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RegionMap, RepeatRule,
-    StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
+    AllowedRegions, BatchRules, ConfigurationError, Declarations, DeclarationsBuilder, EngineRules,
+    ForwardRules, LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RegionMap,
+    RepeatRule, StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
 use crocusdale_core::daemon::{Command, DaemonEvent, NewsBounds, TimerKey};
 use crocusdale_core::identity::{
@@ -58,7 +58,7 @@
         labels: LabelSet::default(),
         concurrency: u32::MAX,
         level: None,
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     Ok(DeclarationsBuilder::new("test", Duration::from_secs(1))
         .stage("notify", stage(PoolKind::Plain))
@@ -94,7 +94,7 @@
             attempts: 2,
             pools: vec![WeightedPool { pool, weight: 1 }],
             public: false,
-            homes: HomeRegions::default(),
+            allowed_regions: AllowedRegions::default(),
         }),
     }
 }
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -9,7 +9,7 @@
 
 use batch_bench::{Bench, declarations, entry, made};
 use crocusdale_core::batching::BatchOutcome;
-use crocusdale_core::configuration::{DeclarationsBuilder, HomeRegions, PoolKind, StageRules};
+use crocusdale_core::configuration::{AllowedRegions, DeclarationsBuilder, PoolKind, StageRules};
 use crocusdale_core::identity::{CallId, MonotonicTime};
 use crocusdale_core::pipeline::PieceFault;
 use crocusdale_core::routing::{
@@ -132,7 +132,7 @@
         tried: Vec::new(),
         demand: None,
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     for call in 1..=3 {
         let grant = router.acquire(request(call), now).expect("hope").expect("a place");
--- a/crates/stand_ins/src/fleet_model/model_load.rs
+++ b/crates/stand_ins/src/fleet_model/model_load.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    BatchRules, Declarations, DeclarationsBuilder, EngineRules, ForwardRules, HomeRegions,
+    AllowedRegions, BatchRules, Declarations, DeclarationsBuilder, EngineRules, ForwardRules,
     LabelSelector, LabelSet, PipelineRules, PlanStep, PoolKind, RepeatRule, RoutingPolicy,
     StagePlan, StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
@@ -228,7 +228,7 @@
                 labels: LabelSet::default(),
                 concurrency: u32::MAX,
                 level: None,
-                homes: HomeRegions::default(),
+                allowed_regions: AllowedRegions::default(),
             };
             let name = workspace_name(workspace);
             builder = builder.workspace(&name, rules, [name.clone()]);
@@ -271,7 +271,7 @@
                 attempts: 2,
                 pools: vec![WeightedPool { pool: engines.to_owned(), weight: 1 }],
                 public: false,
-                homes: HomeRegions::default(),
+                allowed_regions: AllowedRegions::default(),
             }),
         }
     }
