--- a/crates/crocusctl/src/commands/status_command.rs
+++ b/crates/crocusctl/src/commands/status_command.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 
 use anyhow::{Context as _, Result};
-use crocusdale_core::membership::VmRoster;
+use crocusdale_core::membership::VmList;
 use pico_args::Arguments;
 use serde_json::Value;
 
@@ -32,7 +32,7 @@
     let mut daemons: Vec<(String, SocketAddr)> =
         operators.into_iter().map(|address| (address.to_string(), address)).collect();
     if let Some(list) = list {
-        let roster: VmRoster = serde_json::from_str(&caller.get(list, "/vms?known=0").await?)
+        let roster: VmList = serde_json::from_str(&caller.get(list, "/vms?known=0").await?)
             .context("reading the VM list")?;
         let entries = roster.entries().filter_map(|vm| Some((vm.name.clone(), vm.operator?)));
         daemons.extend(entries);
--- a/crates/crocusdale_core/examples/decision_slopes.rs
+++ b/crates/crocusdale_core/examples/decision_slopes.rs
@@ -10,7 +10,7 @@
 use crocusdale_core::configuration::{Declarations, LabelSet};
 use crocusdale_core::daemon::{Command, DaemonEvent};
 use crocusdale_core::identity::{InstanceId, MonotonicTime, RequestKey};
-use crocusdale_core::membership::VmRoster;
+use crocusdale_core::membership::VmList;
 use crocusdale_core::pipeline::{
     AttemptEvent, CallerRequest, OutcomeKind, RequestContent, StreamAssembler, StreamLine,
 };
@@ -48,7 +48,7 @@
     let mut commands = Vec::new();
     let text = declarations(workers, workspaces);
     core.handle(DaemonEvent::ConfigurationWatched(Some((1, text))), now, &mut commands);
-    let roster = VmRoster { revision: 1, vms: Vec::new() };
+    let roster = VmList { revision: 1, vms: Vec::new() };
     core.handle(DaemonEvent::RosterRead(Some(roster)), now, &mut commands);
     assert!(core.is_ready());
     let requests: Vec<CallerRequest> =
--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::daemon::{Command, DaemonEvent};
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
-    ExchangeMessage, MemberStatus, VmEntry, VmRole, VmRoster, VmState,
+    ExchangeMessage, MemberStatus, VmEntry, VmList, VmRole, VmState,
 };
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder};
 use crocusdale_schema::peer;
@@ -52,7 +52,7 @@
     lost: Vec<bool>,
     queue: BTreeMap<(MonotonicTime, u64), (usize, Delivery)>,
     sequence: u64,
-    roster: VmRoster,
+    roster: VmList,
     published: (u64, String),
     outage: bool,
     tally: Tally,
@@ -127,7 +127,7 @@
             lost: vec![false; size],
             queue: BTreeMap::new(),
             sequence: 0,
-            roster: VmRoster { revision: 1, vms },
+            roster: VmList { revision: 1, vms },
             published: (1, declarations(1)),
             outage: false,
             tally: Tally::default(),
--- a/crates/crocusdale_core/src/batching/dispatcher_choice.rs
+++ b/crates/crocusdale_core/src/batching/dispatcher_choice.rs
@@ -1,17 +1,17 @@
 use crate::identity::stable_hash;
-use crate::membership::{MemberStatus, MemberView, VmRoster};
+use crate::membership::{MemberStatus, MemberView, VmList};
 
 /// Chooses the daemon that dispatches a pool section, by rendezvous hashing over the members.
 #[derive(Debug)]
 pub struct DispatcherChoice<'a> {
-    roster: &'a VmRoster,
+    roster: &'a VmList,
     view: &'a MemberView,
 }
 
 impl<'a> DispatcherChoice<'a> {
     /// Creates a choice among the entry VMs of `roster`, by their status and capacity in `view`.
     #[must_use]
-    pub fn new(roster: &'a VmRoster, view: &'a MemberView) -> Self {
+    pub fn new(roster: &'a VmList, view: &'a MemberView) -> Self {
         Self { roster, view }
     }
 
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -14,7 +14,7 @@
 use crate::claims::RegisterShard;
 use crate::configuration::{DeclarationReader, Declarations, MembershipSettings, RegionMap};
 use crate::identity::{InstanceId, MonotonicTime, RequestKey};
-use crate::membership::{MemberPlace, MemberViewBuilder, RosterHistory};
+use crate::membership::{MemberPlace, MemberViewBuilder, VmListHistory};
 use crate::pipeline::RequestShard;
 use crate::quarantine::CrashDetector;
 use crate::rate_limiting::RateLimiter;
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct RequestBasis {
     pub(super) declarations: Option<Arc<Declarations>>,
-    pub(super) history: RosterHistory,
+    pub(super) history: VmListHistory,
     pub(super) key_life: Duration,
 }
 
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -3,7 +3,7 @@
 use crate::batching::{BatchId, BatchOutcome, PoolWait};
 use crate::claims::RegisterReply;
 use crate::identity::{AttemptId, CallId, MonotonicTime, RequestKey, StorePosition};
-use crate::membership::{ExchangeMessage, VmRoster};
+use crate::membership::{ExchangeMessage, VmList};
 use crate::orders::EngineOrder;
 use crate::pipeline::{AttemptEvent, CallerRequest, HolderReply, PieceOrder, ResultHandle};
 use crate::routing::{ColdUpstream, DirectoryEntry, PeerDirectory, UpstreamNotice};
@@ -142,7 +142,7 @@
         outcome: BatchOutcome,
     },
     /// The VM list was read; `None` if it is unchanged.
-    RosterRead(Option<VmRoster>),
+    RosterRead(Option<VmList>),
     /// A read of the VM list failed.
     RosterReadFailed,
     /// A model engine was asked which engine order it holds.
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -6,7 +6,7 @@
 use super::directory_state::PlatformSnapshot;
 use super::{Command, CounterName, DaemonCore, DaemonEvent};
 use crate::identity::{MonotonicTime, StorePosition};
-use crate::membership::{ExchangeMessage, VmRoster};
+use crate::membership::{ExchangeMessage, VmList};
 use crate::sync::lock;
 
 impl DaemonCore {
@@ -181,7 +181,7 @@
 
     pub(super) fn apply_vm_list(
         &self,
-        vm_list: Option<VmRoster>,
+        vm_list: Option<VmList>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -9,7 +9,7 @@
 use crate::configuration::{ConfigurationLedger, DeclarationReader, LedgerVerdict};
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::{
-    DirectoryNews, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, RosterHistory, VmRoster,
+    DirectoryNews, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, VmList, VmListHistory,
 };
 use crate::orders::{EngineOrder, OrderReconciler, ReconcileAction};
 use crate::quarantine::CrashRecord;
@@ -58,7 +58,7 @@
     /// Configuration in force, and the last rejected one.
     pub ledger: ConfigurationLedger,
     /// VM lists that were in use recently, and the current one.
-    pub history: RosterHistory,
+    pub history: VmListHistory,
     pub(super) zone: String,
     started_at: MonotonicTime,
     vm_list_interval: Duration,
@@ -101,7 +101,7 @@
         Self {
             view,
             ledger: ConfigurationLedger::default(),
-            history: RosterHistory::new(started_at),
+            history: VmListHistory::new(started_at),
             zone: zone.to_owned(),
             started_at,
             vm_list_interval: DEFAULT_VM_LIST_INTERVAL,
@@ -177,7 +177,7 @@
         if current.vms == vms {
             return false;
         }
-        let vm_list = VmRoster { revision: current.revision + 1, vms };
+        let vm_list = VmList { revision: current.revision + 1, vms };
         self.apply_vm_list(vm_list, now, out)
     }
 
@@ -377,7 +377,7 @@
     /// Applies a VM list. Returns whether it replaced the one in use.
     pub fn apply_vm_list(
         &mut self,
-        vm_list: VmRoster,
+        vm_list: VmList,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
@@ -387,7 +387,7 @@
         }
         let current = self.history.current().clone();
         let is_first_list = self.view.peer_count() == 0;
-        self.view.take_roster(&current, now);
+        self.view.update_peers(&current, now);
         let (revision, vms) = (current.revision, current.vms.len());
         out.push(Command::LogStateChange(StateChange::RosterTaken { revision, vms }));
         if is_first_list {
--- a/crates/crocusdale_core/src/membership/address_order.rs
+++ b/crates/crocusdale_core/src/membership/address_order.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 
-use super::{MemberStatus, MemberView, VmRoster, VmState};
+use super::{MemberStatus, MemberView, VmList, VmState};
 use crate::configuration::RegionMap;
 use crate::identity::stable_hash;
 
@@ -19,18 +19,18 @@
 /// Ranks the daemons of the fleet for callers.
 #[derive(Debug)]
 pub struct AddressOrder<'a> {
-    roster: &'a VmRoster,
+    vm_list: &'a VmList,
     view: &'a MemberView,
     hold: Duration,
     regions: RegionMap,
 }
 
 impl<'a> AddressOrder<'a> {
-    /// Ranks the daemons in the VM list `roster` by their status in `view`. Callers may cache an
+    /// Ranks the daemons in the VM list `vm_list` by their status in `view`. Callers may cache an
     /// answer for `hold`.
     #[must_use]
-    pub fn new(roster: &'a VmRoster, view: &'a MemberView, hold: Duration) -> Self {
-        Self { roster, view, hold, regions: RegionMap::default() }
+    pub fn new(vm_list: &'a VmList, view: &'a MemberView, hold: Duration) -> Self {
+        Self { vm_list, view, hold, regions: RegionMap::default() }
     }
 
     /// Sets the regions of the availability zones. Without this call, all zones count as one
@@ -69,7 +69,7 @@
         is_usable: impl Fn(MemberStatus) -> bool,
     ) -> Vec<SocketAddr> {
         let candidates = self
-            .roster
+            .vm_list
             .entries()
             .filter(|vm| vm.state == VmState::Live && !self.view.is_leaving(&vm.name));
         let mut ranked: Vec<_> = candidates
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ExchangeMessage, LeavingUpstream, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
-    VmEntry, VmRole, VmRoster, VmState,
+    VmEntry, VmList, VmRole, VmState,
 };
 use crate::identity::{InstanceId, MonotonicTime};
 
@@ -160,15 +160,15 @@
         self.period
     }
 
-    /// Adds peers that are new in the VM list `roster`, and removes those that are no longer in it.
+    /// Adds peers that are new in the VM list `vm_list`, and removes those that are no longer in it.
     /// In a deployment with a VM list, gossip adds no peers.
-    pub fn take_roster(&mut self, roster: &VmRoster, now: MonotonicTime) {
+    pub fn update_peers(&mut self, vm_list: &VmList, now: MonotonicTime) {
         let own = &self.own.instance.vm;
-        self.peers.retain(|vm, _| roster.get(vm).is_some());
-        for vm in roster.entries().filter(|vm| vm.name != *own && vm.peer.is_some()) {
+        self.peers.retain(|vm, _| vm_list.get(vm).is_some());
+        for vm in vm_list.entries().filter(|vm| vm.name != *own && vm.peer.is_some()) {
             self.peers.entry(vm.name.clone()).or_insert_with(|| PeerState::without_record(now));
         }
-        self.leaving.retain(|instance, _| roster.get(&instance.vm).is_some());
+        self.leaving.retain(|instance, _| vm_list.get(&instance.vm).is_some());
         self.partner_order.clear();
     }
 
--- a/crates/crocusdale_core/src/membership/vm_roster.rs
+++ b/crates/crocusdale_core/src/membership/vm_list.rs
@@ -53,14 +53,14 @@
 
 /// The platform's list of VMs, as of the last read. It may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VmRoster {
+pub struct VmList {
     /// Revision of the list, which the platform increases with each change.
     pub revision: u64,
     /// All VMs of the deployment, with and without daemons.
     pub vms: Vec<VmEntry>,
 }
 
-impl VmRoster {
+impl VmList {
     /// Entries of the VMs that run daemons.
     pub fn entries(&self) -> impl Iterator<Item = &VmEntry> {
         self.vms.iter().filter(|vm| vm.role == VmRole::Entry)
--- a/crates/crocusdale_core/src/membership/witness_set.rs
+++ b/crates/crocusdale_core/src/membership/witness_set.rs
@@ -1,4 +1,4 @@
-use super::{VmRoster, VmState};
+use super::{VmList, VmState};
 use crate::identity::{RequestKey, stable_hash};
 
 /// Number of witnesses of each request key.
@@ -18,8 +18,8 @@
     ///
     /// Adding or removing one VM changes at most one witness of each key.
     #[must_use]
-    pub fn choose(key: &RequestKey, roster: &VmRoster) -> Self {
-        let mut ranked: Vec<(u64, &str, &str)> = roster
+    pub fn choose(key: &RequestKey, vm_list: &VmList) -> Self {
+        let mut ranked: Vec<(u64, &str, &str)> = vm_list
             .entries()
             .filter(|vm| vm.state == VmState::Live)
             .map(|vm| {
--- a/crates/crocusdale_core/src/orders/order_reconciler.rs
+++ b/crates/crocusdale_core/src/orders/order_reconciler.rs
@@ -3,7 +3,7 @@
 use super::EngineOrder;
 use crate::configuration::{Declarations, UpstreamRules};
 use crate::identity::stable_hash;
-use crate::membership::{MemberStatus, MemberView, VmRoster};
+use crate::membership::{MemberStatus, MemberView, VmList};
 
 /// Reconciles model engines with the declarations: chooses the engines that this daemon manages,
 /// and compares the order that each of them holds with the desired one.
@@ -47,7 +47,7 @@
     /// the daemons that are reachable and not leaving, as this daemon sees them.
     pub fn managed_engines<'b>(
         &'b self,
-        roster: &'b VmRoster,
+        roster: &'b VmList,
         view: &'b MemberView,
     ) -> impl Iterator<Item = &'a UpstreamRules> + 'b {
         let own = view.own().instance.vm.as_str();
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -12,7 +12,7 @@
     ColdRules, EngineRules, RegionMap, RoutingPolicy, StagePlan, UpstreamRules,
 };
 use crate::identity::{CallId, MonotonicTime};
-use crate::membership::{LeavingUpstream, VmRoster};
+use crate::membership::{LeavingUpstream, VmList};
 use crate::rate_limiting::{RateLimiter, RateUse};
 use crate::retry::RetryLimits;
 use crate::sync::lock;
@@ -168,7 +168,7 @@
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
-    pub fn take_roster(&self, roster: &VmRoster) {
+    pub fn take_roster(&self, roster: &VmList) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
--- a/crates/crocusdale_core/tests/address_order_test.rs
+++ b/crates/crocusdale_core/tests/address_order_test.rs
@@ -8,21 +8,21 @@
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
     AddressOrder, ExchangeMessage, MemberRecord, MemberStatus, MemberView, MemberViewBuilder,
-    VmRoster,
+    VmList,
 };
 use support::{entry, vm_name};
 
 const DAEMONS: usize = 6;
 
-fn roster() -> VmRoster {
-    VmRoster { revision: 1, vms: (0..DAEMONS).map(entry).collect() }
+fn roster() -> VmList {
+    VmList { revision: 1, vms: (0..DAEMONS).map(entry).collect() }
 }
 
 /// The view of daemon 0, which has heard that each other one has `status`.
 fn view(status: MemberStatus) -> MemberView {
     let now = MonotonicTime::from_millis(0);
     let mut view = MemberViewBuilder::new(InstanceId::new(vm_name(0), 1)).build();
-    view.take_roster(&roster(), now);
+    view.update_peers(&roster(), now);
     view.become_ready();
     for index in 1..DAEMONS {
         let instance = InstanceId::new(vm_name(index), 1);
@@ -86,7 +86,7 @@
 fn daemons_of_the_callers_region_alone_are_named_while_there_are_any() {
     let regions = LabelSet::parse("z0=lakes, z1=lakes, z2=coast").expect("labels");
     let regions = RegionMap::from(regions);
-    let answer = |view: &MemberView, roster: &VmRoster, zone: &str| {
+    let answer = |view: &MemberView, roster: &VmList, zone: &str| {
         let order = AddressOrder::new(roster, view, Duration::ZERO).regions(&regions);
         order.answer("caller", zone).addresses
     };
@@ -97,6 +97,6 @@
     assert_eq!(coast, [caller(2), caller(5)]);
     assert_eq!(answer(&view, &all, "z0").len(), 4);
     let lakes =
-        VmRoster { revision: 2, vms: all.vms.into_iter().filter(|vm| vm.zone != "z2").collect() };
+        VmList { revision: 2, vms: all.vms.into_iter().filter(|vm| vm.zone != "z2").collect() };
     assert_eq!(answer(&view, &lakes, "z2").len(), 4, "none of its own is left");
 }
--- a/crates/crocusdale_core/tests/member_places_test.rs
+++ b/crates/crocusdale_core/tests/member_places_test.rs
@@ -4,7 +4,7 @@
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
     DirectoryNews, ExchangeMessage, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
-    MemberView, MemberViewBuilder, VmRoster,
+    MemberView, MemberViewBuilder, VmList,
 };
 
 fn place(index: usize) -> MemberPlace {
@@ -76,7 +76,7 @@
                 record(index, status)
             });
             view.take_message(&told(others.collect()), now);
-            let roster = VmRoster { revision: 1, vms: view.places() };
+            let roster = VmList { revision: 1, vms: view.places() };
             DispatcherChoice::new(&roster, &view).dispatcher("rerank", &[]).to_owned()
         })
         .collect();
@@ -88,7 +88,7 @@
 fn single_starting_daemon_dispatches_nothing() {
     let mut view = view(0);
     view.become_ready();
-    let roster = |view: &MemberView| VmRoster { revision: 1, vms: view.places() };
+    let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     let others = (1..6).map(|index| record(index, MemberStatus::Alive)).collect();
     view.take_message(&told(others), MonotonicTime::from_millis(0));
     let first = DispatcherChoice::new(&roster(&view), &view).dispatcher("rerank", &[]).to_owned();
@@ -127,7 +127,7 @@
     let mut view = view(0);
     view.become_ready();
     view.take_message(&told(small.chain(large).collect()), now);
-    let roster = |view: &MemberView| VmRoster { revision: 1, vms: view.places() };
+    let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     for pool in ["scan", "retrieve", "rerank", "generate"] {
         let chosen = DispatcherChoice::new(&roster(&view), &view).dispatcher(pool, &[]).to_owned();
         let index: usize = chosen.trim_start_matches("entry-").parse().expect("a number");
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::configuration::LabelSet;
 use crocusdale_core::daemon::{Command, DaemonEvent, TimerKey};
 use crocusdale_core::identity::{AttemptId, CallId, InstanceId, MonotonicTime, RequestKey};
-use crocusdale_core::membership::{VmEntry, VmRole, VmRoster, VmState, WitnessSet};
+use crocusdale_core::membership::{VmEntry, VmList, VmRole, VmState, WitnessSet};
 use crocusdale_core::pipeline::{
     AttemptEvent, AttemptOrder, CallerRequest, FinalAnswer, HolderReply, OutcomeKind,
     RequestContent,
@@ -100,7 +100,7 @@
     calls: HashMap<(usize, u64, CallId), RequestKey>,
     /// Declarations that restarted daemons take.
     pub declarations: String,
-    pub roster: VmRoster,
+    pub roster: VmList,
     sequence: u64,
     lives: u64,
 }
@@ -118,7 +118,7 @@
             answers: Vec::new(),
             calls: HashMap::new(),
             declarations: DECLARATIONS.to_owned(),
-            roster: VmRoster { revision: 1, vms },
+            roster: VmList { revision: 1, vms },
             sequence: 0,
             lives: 0,
         };
@@ -152,7 +152,7 @@
     }
 
     /// Gives the VM list in use to one daemon.
-    pub fn give_roster(&mut self, index: usize, roster: VmRoster) {
+    pub fn give_roster(&mut self, index: usize, roster: VmList) {
         self.feed(index, DaemonEvent::RosterRead(Some(roster)));
     }
 
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -5,7 +5,7 @@
 
 use crocusdale_core::configuration::DECLARATIONS_LIMIT;
 use crocusdale_core::daemon::DaemonEvent;
-use crocusdale_core::membership::VmRoster;
+use crocusdale_core::membership::VmList;
 use serde::Deserialize;
 use volo_http::client::{Client, ClientBuilder};
 
@@ -79,7 +79,7 @@
             let read = get(&client, address, &path, ROSTER_LIMIT);
             let event = match tokio::time::timeout(ANSWER_PATIENCE, read).await {
                 Ok(Ok(None)) => DaemonEvent::RosterRead(None),
-                Ok(Ok(Some(body))) => match serde_json::from_slice::<VmRoster>(&body) {
+                Ok(Ok(Some(body))) => match serde_json::from_slice::<VmList>(&body) {
                     Ok(roster) => DaemonEvent::RosterRead(Some(roster)),
                     Err(_) => DaemonEvent::RosterReadFailed,
                 },
--- a/crates/stand_ins/examples/demo.rs
+++ b/crates/stand_ins/examples/demo.rs
@@ -14,7 +14,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use crocusdale_core::configuration::{Declarations, PlatformSettings, ProcessSettings};
-use crocusdale_core::membership::{VmEntry, VmRole, VmRoster, VmState};
+use crocusdale_core::membership::{VmEntry, VmList, VmRole, VmState};
 use crocusdale_core::pipeline::OutcomeKind;
 use serde_json::{Value, json};
 use stand_ins::{CallerAnswer, CallerClient, wait_for};
@@ -143,7 +143,7 @@
         caller: Some(daemon.caller),
         operator: Some(daemon.operator),
     });
-    let roster = VmRoster { revision: 1, vms: vms.collect() };
+    let roster = VmList { revision: 1, vms: vms.collect() };
     let path = work.join("vms.json");
     std::fs::write(&path, serde_json::to_vec(&roster)?)?;
     let PlatformSettings::Services { configuration, .. } = &settings[0].1.platform else {
--- a/crates/stand_ins/src/daemon_fleet.rs
+++ b/crates/stand_ins/src/daemon_fleet.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context as _, Result, ensure};
-use crocusdale_core::membership::{VmEntry, VmRole, VmRoster, VmState};
+use crocusdale_core::membership::{VmEntry, VmList, VmRole, VmState};
 
 use crate::child_process::without_starts;
 use crate::{CallerClient, ChildProcess, PlatformStandIn, RelayStandIn};
@@ -142,7 +142,7 @@
             fleet.link()?;
         }
         let vms = fleet.daemons.iter().map(DaemonProcess::entry).collect();
-        fleet.platform.set_roster(VmRoster { revision: 1, vms });
+        fleet.platform.set_roster(VmList { revision: 1, vms });
         fleet.platform.publish(1, self.configuration);
         for index in 0..self.size {
             fleet.launch(index)?;
@@ -240,7 +240,7 @@
                 self.links.push(FleetLink { from, to, relay });
             }
             let vm_list = PlatformStandIn::start(loopback(0))?;
-            vm_list.set_roster(VmRoster { revision: 1, vms });
+            vm_list.set_roster(VmList { revision: 1, vms });
             daemon.vm_list = Some(vm_list);
         }
         Ok(())
--- a/crates/stand_ins/src/platform_stand_in.rs
+++ b/crates/stand_ins/src/platform_stand_in.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use crocusdale_core::membership::VmRoster;
+use crocusdale_core::membership::VmList;
 use crocusdale_core::sync::lock;
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct PlatformState {
     configuration: watch::Sender<Published>,
-    roster: Mutex<VmRoster>,
+    roster: Mutex<VmList>,
     mode: Mutex<PlatformMode>,
     reads: AtomicU64,
 }
@@ -84,18 +84,18 @@
     }
 
     /// Publishes a VM list.
-    pub fn set_roster(&self, roster: VmRoster) {
+    pub fn set_roster(&self, roster: VmList) {
         *lock(&self.state.roster) = roster;
     }
 
     /// The VM list.
     #[must_use]
-    pub fn roster(&self) -> VmRoster {
+    pub fn roster(&self) -> VmList {
         lock(&self.state.roster).clone()
     }
 
     /// Changes the VM list, and raises its revision.
-    pub fn change_roster(&self, change: impl FnOnce(&mut VmRoster)) {
+    pub fn change_roster(&self, change: impl FnOnce(&mut VmList)) {
         let mut roster = lock(&self.state.roster);
         change(&mut roster);
         roster.revision += 1;
