--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -9,7 +9,8 @@
 use crate::configuration::{ConfigurationLedger, DeclarationReader, LedgerVerdict};
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::{
-    DirectoryNews, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, VmList, VmListHistory,
+    DirectoryVersion, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, VmList,
+    VmListHistory,
 };
 use crate::orders::{EngineOrder, OrderReconciler, ReconcileAction};
 use crate::quarantine::CrashRecord;
@@ -515,9 +516,9 @@
 
     /// Position and age of the local list of published upstreams, as reported in heartbeats.
     #[must_use]
-    pub fn directory_news(&self, now: MonotonicTime) -> DirectoryNews {
+    pub fn directory_news(&self, now: MonotonicTime) -> DirectoryVersion {
         let age = self.directory_verified_at.map(|verified_at| now.since(verified_at));
-        DirectoryNews { changed: self.directory, age }
+        DirectoryVersion { changed: self.directory, age }
     }
 
     fn log_peer_status(&self, vm: &str, previous: Option<MemberStatus>, out: &mut Vec<Command>) {
--- a/crates/crocusdale_core/src/membership/exchange_message.rs
+++ b/crates/crocusdale_core/src/membership/exchange_message.rs
@@ -16,7 +16,7 @@
 
 /// Version and age of a daemon's list of published upstreams, as it reports them to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DirectoryNews {
+pub struct DirectoryVersion {
     /// Store position of the last change in the list.
     pub changed: StorePosition,
     /// Age of the list, as in [`ExchangeMessage::directory_age`].
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom as _;
 
 use super::member_view::PeerState;
-use super::{DirectoryNews, ExchangeMessage, LeavingUpstream, MemberRecord, MemberView};
+use super::{DirectoryVersion, ExchangeMessage, LeavingUpstream, MemberRecord, MemberView};
 use crate::identity::{InstanceId, stable_hash};
 
 /// Maximum number of member records in an ordinary message, apart from recent failures.
@@ -31,7 +31,7 @@
         &mut self,
         partner: &str,
         position: (u64, u64),
-        directory: DirectoryNews,
+        directory: DirectoryVersion,
     ) -> ExchangeMessage {
         let mut records = Vec::new();
         records.extend(self.disputed_record(partner).cloned());
@@ -70,7 +70,7 @@
         partner: &str,
         known: u64,
         position: (u64, u64),
-        directory: DirectoryNews,
+        directory: DirectoryVersion,
     ) -> ExchangeMessage {
         let mut message = self.message(partner, position, directory);
         if self.own.place.is_some() && known != self.digest() {
--- a/crates/crocusdale_core/src/membership/mod.rs
+++ b/crates/crocusdale_core/src/membership/mod.rs
@@ -12,7 +12,7 @@
 mod witness_set;
 
 pub use address_order::{AddressAnswer, AddressOrder};
-pub use exchange_message::{DirectoryNews, ExchangeMessage, LeavingUpstream};
+pub use exchange_message::{DirectoryVersion, ExchangeMessage, LeavingUpstream};
 pub use known_daemons::KnownDaemons;
 pub use member_record::{MemberCapacity, MemberPlace, MemberRecord, MemberStatus};
 pub use member_view::{MemberView, MemberViewBuilder};
--- a/crates/crocusdale_core/tests/member_places_test.rs
+++ b/crates/crocusdale_core/tests/member_places_test.rs
@@ -3,7 +3,7 @@
 use crocusdale_core::batching::DispatcherChoice;
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
-    DirectoryNews, ExchangeMessage, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
+    DirectoryVersion, ExchangeMessage, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
     MemberView, MemberViewBuilder, VmList,
 };
 
@@ -53,7 +53,7 @@
     seed.take_message(&told(others), now);
     let mut fresh = view(200);
     fresh.take_message(
-        &seed.full_sync_message("entry-200", 0, (0, 0), DirectoryNews::default()),
+        &seed.full_sync_message("entry-200", 0, (0, 0), DirectoryVersion::default()),
         now,
     );
     assert_eq!(fresh.peer_count(), 100);
