--- a/crates/crocusdale_core/src/daemon/notice_flow.rs
+++ b/crates/crocusdale_core/src/daemon/notice_flow.rs
@@ -25,7 +25,7 @@
             // Each run of a published upstream process has a unique name, so the name also
             // identifies the run.
             let leaving_upstream =
-                LeavingUpstream { upstream: upstream.to_owned(), life: upstream.to_owned() };
+                LeavingUpstream { upstream: upstream.to_owned(), process: upstream.to_owned() };
             let mut fleet = lock(&self.fleet);
             if fleet.view.add_leaving_upstream(&leaving_upstream, now) {
                 fleet.send_early_heartbeats(now, out);
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -339,7 +339,7 @@
                 self.router().greet(&upstream, &life)
             }
             ShardAction::RecordProcess { upstream, life, leaving: true } => {
-                let news = LeavingUpstream { upstream, life };
+                let news = LeavingUpstream { upstream, process: life };
                 lock(&self.fleet).view.add_leaving_upstream(&news, now);
                 self.take_leaving(&[news], now, out);
             }
--- a/crates/crocusdale_core/src/membership/exchange_message.rs
+++ b/crates/crocusdale_core/src/membership/exchange_message.rs
@@ -11,7 +11,8 @@
     /// Name of the upstream.
     pub upstream: String,
     /// Identifier of the upstream's current process, as the upstream reported it.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub process: String,
 }
 
 /// Version and age of a daemon's list of published upstreams, as it reports them to its peers.
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -158,8 +158,8 @@
     fn take_leaving_upstreams(&mut self) -> Vec<LeavingUpstream> {
         let upstreams = self.leaving_upstreams.iter_mut();
         let entries = upstreams.filter_map(|(upstream, notice)| {
-            let (upstream, life) = (upstream.clone(), notice.process.clone());
-            notice.remaining_sends.use_send().then_some(LeavingUpstream { upstream, life })
+            let (upstream, process) = (upstream.clone(), notice.process.clone());
+            notice.remaining_sends.use_send().then_some(LeavingUpstream { upstream, process })
         });
         entries.take(MAX_LEAVING_ENTRIES).collect()
     }
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -271,12 +271,12 @@
     /// Records that an upstream is leaving. Returns whether this was not known before.
     pub fn add_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
         let known = self.leaving_upstreams.get(&leaving.upstream);
-        if known.is_some_and(|notice| notice.process == leaving.life) {
+        if known.is_some_and(|notice| notice.process == leaving.process) {
             return false;
         }
         // Each process of a published upstream has its own name, so the map would grow forever.
         self.leaving_upstreams.retain(|_, notice| now.since(notice.learned_at) < LEAVING_RETENTION);
-        let (process, remaining_sends) = (leaving.life.clone(), self.initial_sends());
+        let (process, remaining_sends) = (leaving.process.clone(), self.initial_sends());
         let notice = LeavingNotice { process, learned_at: now, remaining_sends };
         self.leaving_upstreams.insert(leaving.upstream.clone(), notice);
         true
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -177,7 +177,7 @@
     /// Records that an upstream is leaving. Returns whether that was unknown.
     pub fn take_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
-        upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.life))
+        upstream.is_some_and(|upstream| lock(&upstream.state).leave(&leaving.process))
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
--- a/crates/crocusdale_core/src/wire/exchange_messages.rs
+++ b/crates/crocusdale_core/src/wire/exchange_messages.rs
@@ -94,13 +94,13 @@
 
 impl From<LeavingUpstream> for peer::LeavingUpstream {
     fn from(leaving: LeavingUpstream) -> Self {
-        Self { upstream: leaving.upstream, life: leaving.life }
+        Self { upstream: leaving.upstream, life: leaving.process }
     }
 }
 
 impl From<peer::LeavingUpstream> for LeavingUpstream {
     fn from(message: peer::LeavingUpstream) -> Self {
-        Self { upstream: message.upstream, life: message.life }
+        Self { upstream: message.upstream, process: message.life }
     }
 }
 
