--- a/crates/crocusdale_core/src/configuration/caller_limits.rs
+++ b/crates/crocusdale_core/src/configuration/caller_limits.rs
@@ -9,7 +9,7 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Time within which a request head must arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time for which a caller may leave a connection idle before it reuses it.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
--- a/crates/crocusdale_core/src/configuration/process_settings.rs
+++ b/crates/crocusdale_core/src/configuration/process_settings.rs
@@ -87,9 +87,9 @@
     /// Maximum number of open connections from callers.
     pub connections: usize,
     /// Time within which a request head must arrive. Idle connections are closed after this time.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time within which a request body must arrive.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Maximum number of concurrent requests.
     pub requests: usize,
 }
@@ -176,8 +176,8 @@
                 body_bytes: number("limits", "body_bytes"),
                 head_bytes: number("limits", "head_bytes"),
                 connections: number("limits", "connections"),
-                head_time: duration("limits", "head_ms"),
-                body_time: duration("limits", "body_ms"),
+                head_timeout: duration("limits", "head_ms"),
+                body_timeout: duration("limits", "body_ms"),
                 requests: number("limits", "requests"),
             },
             membership: MembershipSettings {
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -51,7 +51,7 @@
     /// Serves callers of `engine` within `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
-        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
+        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_timeout }
     }
 
     /// Routes of callers: every path of every host.
--- a/crates/crocusdaled/src/http/http_listener.rs
+++ b/crates/crocusdaled/src/http/http_listener.rs
@@ -83,9 +83,9 @@
     /// Takes at least what `declared` allows callers, with a margin for what they don't count.
     #[must_use]
     fn at_least(mut self, declared: CallerLimits) -> Self {
-        let idle = declared.idle_time.mul_f64(IDLE_FACTOR);
+        let idle = declared.idle_timeout.mul_f64(IDLE_FACTOR);
         self.head_bytes = self.head_bytes.max(declared.head_bytes + HEAD_MARGIN);
-        self.head_time = self.head_time.max(declared.head_time).max(idle);
+        self.head_time = self.head_time.max(declared.head_timeout).max(idle);
         self
     }
 
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -104,7 +104,7 @@
     let callers = HttpListenerBuilder::default()
         .connections(limits.connections)
         .head_bytes(limits.head_bytes)
-        .head_time(limits.head_time);
+        .head_time(limits.head_timeout);
     let callers = match &settings.platform {
         PlatformSettings::Services { .. } => callers,
         PlatformSettings::Published(_) => callers.finish_time(PUBLISHED_FINISH_TIME),
