--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -170,7 +170,7 @@
     /// when pieces arrive from a failed dispatcher.
     fn note_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
         let idle_time = self.last_active_at.replace(now).map(|last| now.since(last));
-        let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_life);
+        let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_lifetime);
         if was_idle || (is_takeover && !self.has_recent_takeover(now)) {
             self.memory_unverified_since = Some(now);
             for worker in self.workers.values_mut() {
@@ -180,7 +180,8 @@
     }
 
     fn has_recent_takeover(&self, now: MonotonicTime) -> bool {
-        self.memory_unverified_since.is_some_and(|since| now.since(since) < self.rules.result_life)
+        self.memory_unverified_since
+            .is_some_and(|since| now.since(since) < self.rules.result_lifetime)
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
@@ -343,7 +344,7 @@
                     worker.result_memory.add_result(
                         handle.clone(),
                         bytes,
-                        now + self.rules.result_life,
+                        now + self.rules.result_lifetime,
                     );
                 }
                 let result = PlacedResult { handle, zone: zone.to_owned() };
--- a/crates/crocusdale_core/src/batching/result_memory.rs
+++ b/crates/crocusdale_core/src/batching/result_memory.rs
@@ -114,7 +114,7 @@
         let others_bytes =
             rules.result_bytes.saturating_sub(free_bytes).saturating_sub(accounted_bytes);
         self.others_memory = match self.others_memory {
-            None if is_first_answer => Some((others_bytes, now + rules.result_life)),
+            None if is_first_answer => Some((others_bytes, now + rules.result_lifetime)),
             known => known.map(|(bytes, expires)| (bytes.min(others_bytes), expires)),
         };
         self.others_memory = self.others_memory.filter(|(bytes, _)| *bytes > 0);
--- a/crates/crocusdale_core/src/configuration/forward_rules.rs
+++ b/crates/crocusdale_core/src/configuration/forward_rules.rs
@@ -82,7 +82,7 @@
     /// Memory for results in one upstream, in bytes.
     pub result_bytes: u64,
     /// Time after which an upstream drops a result that was not released.
-    pub result_life: Duration,
+    pub result_lifetime: Duration,
 }
 
 impl BatchRules {
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -27,7 +27,7 @@
         call_time: Duration::from_millis(CALL_MS),
         piece_time: Duration::from_millis(PIECE_MS),
         result_bytes: ROOM,
-        result_life: Duration::from_secs(4),
+        result_lifetime: Duration::from_secs(4),
     }
 }
 
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -38,7 +38,7 @@
         call_time: Duration::from_millis(200),
         piece_time: Duration::from_millis(5),
         result_bytes: 50_000_000,
-        result_life: Duration::from_secs(4),
+        result_lifetime: Duration::from_secs(4),
     };
     let engine = EngineRules { slots: 64, token_memory: 500_000 };
     let forward =
--- a/crates/stand_ins/src/fleet_model/batch_model.rs
+++ b/crates/stand_ins/src/fleet_model/batch_model.rs
@@ -93,7 +93,7 @@
             } else {
                 self.made += 1;
                 let handle = ResultHandle::new(&format!("{}/{}", self.name, self.made));
-                let lapses = now + time + self.rules.result_life;
+                let lapses = now + time + self.rules.result_lifetime;
                 self.results.insert(handle.clone(), (bytes, lapses));
                 ItemOutcome::Made(handle)
             });
--- a/crates/stand_ins/src/fleet_model/load_reader.rs
+++ b/crates/stand_ins/src/fleet_model/load_reader.rs
@@ -152,7 +152,7 @@
         call_time: section.millis("call_ms")?,
         piece_time: section.millis("piece_ms")?,
         result_bytes: (section.get::<f64>("memory_mb")? * 1e6) as u64,
-        result_life: Duration::from_secs_f64(life / 1e3),
+        result_lifetime: Duration::from_secs_f64(life / 1e3),
     };
     Ok(ModelPool { name: name.to_owned(), upstreams: section.get("upstreams")?, rules })
 }
