--- a/crates/crocusdale_core/src/configuration/declarations.rs
+++ b/crates/crocusdale_core/src/configuration/declarations.rs
@@ -42,7 +42,7 @@
     /// Time for which the idempotency key of a request that must run at most once is remembered.
     pub key_life: Duration,
     /// Time for which callers may cache a list of daemon addresses.
-    pub address_hold: Duration,
+    pub address_cache_time: Duration,
     /// Maximum deadline of a request, as a time from its arrival.
     pub longest_deadline: Duration,
     /// Weight of meeting the latency objective against the cost of the stages.
@@ -345,7 +345,7 @@
     let rules = DeploymentRules {
         name: section.owned("name"),
         key_life: section.duration("key_life_ms").unwrap_or_default(),
-        address_hold: section.duration("address_hold_ms").unwrap_or_default(),
+        address_cache_time: section.duration("address_hold_ms").unwrap_or_default(),
         longest_deadline: section.duration("longest_deadline_ms").unwrap_or_default(),
         attainment_weight: section.get("attainment_weight").unwrap_or_default(),
         policy: section.get("policy").unwrap_or_default(),
--- a/crates/crocusdale_core/src/configuration/declarations_builder.rs
+++ b/crates/crocusdale_core/src/configuration/declarations_builder.rs
@@ -24,13 +24,13 @@
 
 impl DeclarationsBuilder {
     /// Starts declarations for the deployment `name`, whose callers may cache a list of daemon
-    /// addresses for `address_hold`.
+    /// addresses for `address_cache_time`.
     #[must_use]
-    pub fn new(name: &str, address_hold: Duration) -> Self {
+    pub fn new(name: &str, address_cache_time: Duration) -> Self {
         let deployment = DeploymentRules {
             name: name.to_owned(),
             key_life: Duration::ZERO,
-            address_hold,
+            address_cache_time,
             longest_deadline: Duration::MAX,
             attainment_weight: 0.0,
             policy: RoutingPolicy::Adaptive,
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -266,9 +266,9 @@
     pub fn addresses(&self, caller: &str, zone: Option<&str>) -> AddressAnswer {
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force();
-        let address_hold =
-            in_force.map_or(Duration::ZERO, |entry| entry.declarations.deployment().address_hold);
-        let order = AddressOrder::new(fleet.history.current(), &fleet.view, address_hold);
+        let address_cache_time = in_force
+            .map_or(Duration::ZERO, |entry| entry.declarations.deployment().address_cache_time);
+        let order = AddressOrder::new(fleet.history.current(), &fleet.view, address_cache_time);
         let order = order.regions(&self.state.region_map);
         order.answer(caller, zone.unwrap_or(&self.state.zone))
     }
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -453,11 +453,14 @@
     /// names this daemon. Includes four heartbeat periods in which peers learn of the drain.
     #[must_use]
     pub fn drain_window(&self) -> Duration {
-        let address_hold = self.ledger.in_force();
-        let address_hold =
-            address_hold.map_or(Duration::ZERO, |each| each.declarations.deployment().address_hold);
-        let announced_time =
-            if self.needs_directory { address_hold * ADDRESS_HOLD_FACTOR } else { address_hold };
+        let address_cache_time = self.ledger.in_force();
+        let address_cache_time = address_cache_time
+            .map_or(Duration::ZERO, |each| each.declarations.deployment().address_cache_time);
+        let announced_time = if self.needs_directory {
+            address_cache_time * ADDRESS_HOLD_FACTOR
+        } else {
+            address_cache_time
+        };
         announced_time + self.view.period() * 4
     }
 
--- a/crates/crocusdale_core/src/membership/address_order.rs
+++ b/crates/crocusdale_core/src/membership/address_order.rs
@@ -21,16 +21,16 @@
 pub struct AddressOrder<'a> {
     vm_list: &'a VmList,
     view: &'a MemberView,
-    hold: Duration,
+    cache_time: Duration,
     regions: RegionMap,
 }
 
 impl<'a> AddressOrder<'a> {
     /// Ranks the daemons in the VM list `vm_list` by their status in `view`. Callers may cache an
-    /// answer for `hold`.
+    /// answer for `cache_time`.
     #[must_use]
-    pub fn new(vm_list: &'a VmList, view: &'a MemberView, hold: Duration) -> Self {
-        Self { vm_list, view, hold, regions: RegionMap::default() }
+    pub fn new(vm_list: &'a VmList, view: &'a MemberView, cache_time: Duration) -> Self {
+        Self { vm_list, view, cache_time, regions: RegionMap::default() }
     }
 
     /// Sets the regions of the availability zones. Without this call, all zones count as one
@@ -58,7 +58,7 @@
             addresses =
                 self.rank_addresses(caller, zone, |status| status == MemberStatus::Unreachable);
         }
-        let hold_ms = u64::try_from(self.hold.as_millis()).unwrap_or(u64::MAX);
+        let hold_ms = u64::try_from(self.cache_time.as_millis()).unwrap_or(u64::MAX);
         AddressAnswer { addresses, hold_ms }
     }
 
