--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -295,7 +295,7 @@
     ) -> Vec<crate::membership::LeavingUpstream> {
         let vm = &message.sender.instance.vm;
         let previous_status = self.view.status(vm);
-        let leaving_upstreams = self.view.take_message(message, now);
+        let leaving_upstreams = self.view.merge_message(message, now);
         self.log_peer_status(vm, previous_status, out);
         self.newest_peer_position =
             self.newest_peer_position.max((message.revision, message.digest));
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -226,7 +226,7 @@
 
     /// Merges a message of a peer into the view. Returns the leaving upstreams that were not known
     /// before.
-    pub fn take_message(
+    pub fn merge_message(
         &mut self,
         message: &ExchangeMessage,
         now: MonotonicTime,
--- a/crates/crocusdale_core/tests/address_order_test.rs
+++ b/crates/crocusdale_core/tests/address_order_test.rs
@@ -42,7 +42,7 @@
             limits: Vec::new(),
             crashes: Vec::new(),
         };
-        view.take_message(&message, now);
+        view.merge_message(&message, now);
     }
     view
 }
--- a/crates/crocusdale_core/tests/member_places_test.rs
+++ b/crates/crocusdale_core/tests/member_places_test.rs
@@ -50,9 +50,9 @@
     let now = MonotonicTime::from_millis(0);
     let mut seed = view(0);
     let others = (1..100).map(|index| record(index, MemberStatus::Alive)).collect();
-    seed.take_message(&told(others), now);
+    seed.merge_message(&told(others), now);
     let mut fresh = view(200);
-    fresh.take_message(
+    fresh.merge_message(
         &seed.full_sync_message("entry-200", 0, (0, 0), DirectoryVersion::default()),
         now,
     );
@@ -75,7 +75,7 @@
                     if alive(index) { MemberStatus::Alive } else { MemberStatus::Starting };
                 record(index, status)
             });
-            view.take_message(&told(others.collect()), now);
+            view.merge_message(&told(others.collect()), now);
             let roster = VmList { revision: 1, vms: view.places() };
             DispatcherChoice::new(&roster, &view).dispatcher("rerank", &[]).to_owned()
         })
@@ -90,13 +90,13 @@
     view.become_ready();
     let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     let others = (1..6).map(|index| record(index, MemberStatus::Alive)).collect();
-    view.take_message(&told(others), MonotonicTime::from_millis(0));
+    view.merge_message(&told(others), MonotonicTime::from_millis(0));
     let first = DispatcherChoice::new(&roster(&view), &view).dispatcher("rerank", &[]).to_owned();
     let index = first.trim_start_matches("entry-").parse().expect("a number");
     let mut restarted: MemberRecord = record(index, MemberStatus::Starting);
     restarted.instance.incarnation = 2;
     restarted.generation = 2;
-    view.take_message(&told(vec![restarted]), MonotonicTime::from_millis(10));
+    view.merge_message(&told(vec![restarted]), MonotonicTime::from_millis(10));
     let second = DispatcherChoice::new(&roster(&view), &view).dispatcher("rerank", &[]).to_owned();
     assert_ne!(second, first);
 }
@@ -107,7 +107,7 @@
 fn lost_member_is_no_newcomer() {
     let mut view = view(0);
     let lost = record(7, MemberStatus::Unreachable);
-    view.take_message(&told(vec![lost]), MonotonicTime::from_millis(0));
+    view.merge_message(&told(vec![lost]), MonotonicTime::from_millis(0));
     assert!(view.status("entry-7").is_none());
 }
 
@@ -126,7 +126,7 @@
     let large = (50..54).map(|index| sized(index, 0.5, 200.0));
     let mut view = view(0);
     view.become_ready();
-    view.take_message(&told(small.chain(large).collect()), now);
+    view.merge_message(&told(small.chain(large).collect()), now);
     let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     for pool in ["scan", "retrieve", "rerank", "generate"] {
         let chosen = DispatcherChoice::new(&roster(&view), &view).dispatcher(pool, &[]).to_owned();
@@ -137,7 +137,7 @@
         status: MemberStatus::Unreachable,
         ..sized(index, 0.5, 200.0)
     });
-    view.take_message(&told(lost.collect()), now);
+    view.merge_message(&told(lost.collect()), now);
     let chosen = DispatcherChoice::new(&roster(&view), &view).dispatcher("scan", &[]).to_owned();
     let index: usize = chosen.trim_start_matches("entry-").parse().expect("a number");
     assert!(index < 50, "{chosen}");
