--- a/crates/crocusdale_core/src/batching/dispatcher_choice.rs
+++ b/crates/crocusdale_core/src/batching/dispatcher_choice.rs
@@ -1,17 +1,17 @@
 use crate::identity::stable_hash;
-use crate::membership::{MemberStatus, MemberView, VmRoster};
+use crate::membership::{MemberStatus, MemberView, VmList};
 
 /// Chooses the daemon that dispatches a pool section, by rendezvous hashing over the members.
 #[derive(Debug)]
 pub struct DispatcherChoice<'a> {
-    roster: &'a VmRoster,
+    roster: &'a VmList,
     view: &'a MemberView,
 }
 
 impl<'a> DispatcherChoice<'a> {
     /// Creates a choice among the entry VMs of `roster`, by their status and capacity in `view`.
     #[must_use]
-    pub fn new(roster: &'a VmRoster, view: &'a MemberView) -> Self {
+    pub fn new(roster: &'a VmList, view: &'a MemberView) -> Self {
         Self { roster, view }
     }
 
@@ -42,7 +42,9 @@
         let capacity = |vm: &&str| self.view.capacity(vm);
         let largest = vms().filter(is_usable).filter_map(|vm| capacity(&vm)).max();
         let has_enough_capacity = |vm: &&str| {
-            capacity(vm).zip(largest).is_none_or(|(capacity, largest)| capacity.carries(largest))
+            capacity(vm)
+                .zip(largest)
+                .is_none_or(|(capacity, largest)| capacity.is_at_least_half_of(largest))
         };
         let candidates = vms().filter(is_usable).filter(has_enough_capacity);
         candidates.max_by_key(|vm| stable_hash(&[pool, vm])).unwrap_or(own_vm)
--- a/crates/crocusdale_core/src/configuration/stage_plan.rs
+++ b/crates/crocusdale_core/src/configuration/stage_plan.rs
@@ -37,7 +37,7 @@
 
 impl StagePlan {
     /// Maximum number of stages in a pipeline that [`StagePlan::parse`] accepts.
-    pub const MOST: usize = 16;
+    pub const MAX_STAGES: usize = 16;
 
     /// Description of the syntax that [`StagePlan::parse`] accepts, for error messages.
     pub const ACCEPTED: &'static str =
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first stage name that is invalid, repeated, or beyond [`StagePlan::MOST`].
+    /// Returns the first stage name that is invalid, repeated, or beyond [`StagePlan::MAX_STAGES`].
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut steps: Vec<PlanStep> = Vec::new();
         let mut group = 0..0;
@@ -71,7 +71,7 @@
             let first = steps.len();
             for stage in part.split('|').map(str::trim) {
                 let repeated = steps.iter().any(|step| step.stage == stage);
-                if !is_word(stage) || repeated || steps.len() == Self::MOST {
+                if !is_word(stage) || repeated || steps.len() == Self::MAX_STAGES {
                     return Err(stage.to_owned());
                 }
                 let after = group.clone().collect();
@@ -123,7 +123,7 @@
     /// Duration of the critical path through all steps. `time` returns the duration of a step,
     /// given the step and its position.
     #[must_use]
-    pub fn longest_way(&self, time: impl Fn(&PlanStep, usize) -> Duration) -> Duration {
+    pub fn critical_path_time(&self, time: impl Fn(&PlanStep, usize) -> Duration) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for (position, step) in self.steps.iter().enumerate() {
             let start = step.after.iter().map(|earlier| ends[*earlier]).max().unwrap_or_default();
@@ -135,7 +135,7 @@
     /// Duration of the critical path from the end of the step at `position` to the end of the plan.
     /// `time` returns the duration of a step, given the step and its position.
     #[must_use]
-    pub fn way_after(
+    pub fn critical_path_time_after(
         &self,
         position: usize,
         time: impl Fn(&PlanStep, usize) -> Duration,
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -90,7 +90,7 @@
     fn expected_duration(&self, plan: &RequestPlan, now: MonotonicTime) -> Duration {
         let delays = self.expected_delays(plan, now);
         let steps = &plan.pipeline.plan;
-        steps.longest_way(|step, position| plan.step_time(position, step) + delays[position])
+        steps.critical_path_time(|step, position| plan.step_time(position, step) + delays[position])
     }
 
     /// Expected delay of each step over its duration on idle pools, from the latest reports of
@@ -156,7 +156,7 @@
     fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
-        self.router().admission_delay(&forwarded.stage, &plan.home_regions, plan.deadline, now)
+        self.router().admission_delay(&forwarded.stage, &plan.allowed_regions, plan.deadline, now)
     }
 
     /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
@@ -171,7 +171,7 @@
         let waits = self.needed_pool_waits(plan, now);
         let late_wait = waits.iter().map(|wait| wait.late_wait(plan.level)).max();
         let unqueued_duration =
-            plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
+            plan.pipeline.plan.critical_path_time(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
         let expected = if plan.is_flood {
             expected.max(unqueued_duration + late_wait.unwrap_or_default())
--- a/crates/crocusdale_core/src/daemon/fleet_state.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_state.rs
@@ -9,7 +9,8 @@
 use crate::configuration::{ConfigurationLedger, DeclarationReader, LedgerVerdict};
 use crate::identity::{MonotonicTime, StorePosition};
 use crate::membership::{
-    DirectoryNews, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, RosterHistory, VmRoster,
+    DirectoryVersion, ExchangeMessage, KnownDaemons, MemberStatus, MemberView, VmList,
+    VmListHistory,
 };
 use crate::orders::{EngineOrder, OrderReconciler, ReconcileAction};
 use crate::quarantine::CrashRecord;
@@ -58,7 +59,7 @@
     /// Configuration in force, and the last rejected one.
     pub ledger: ConfigurationLedger,
     /// VM lists that were in use recently, and the current one.
-    pub history: RosterHistory,
+    pub history: VmListHistory,
     pub(super) zone: String,
     started_at: MonotonicTime,
     vm_list_interval: Duration,
@@ -101,7 +102,7 @@
         Self {
             view,
             ledger: ConfigurationLedger::default(),
-            history: RosterHistory::new(started_at),
+            history: VmListHistory::new(started_at),
             zone: zone.to_owned(),
             started_at,
             vm_list_interval: DEFAULT_VM_LIST_INTERVAL,
@@ -142,7 +143,7 @@
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>, now: MonotonicTime) {
         self.seeds = seeds;
         self.needs_directory = true;
-        self.view.ask_for_all(true);
+        self.view.set_full_sync(true);
         self.refresh_vm_list(now, &mut Vec::new());
     }
 
@@ -171,13 +172,13 @@
         if self.view.own().place.is_none() {
             return false;
         }
-        self.view.forget_lost(now);
+        self.view.remove_unreachable(now);
         let vms = self.view.places();
         let current = self.history.current();
         if current.vms == vms {
             return false;
         }
-        let vm_list = VmRoster { revision: current.revision + 1, vms };
+        let vm_list = VmList { revision: current.revision + 1, vms };
         self.apply_vm_list(vm_list, now, out)
     }
 
@@ -210,7 +211,7 @@
     /// service while its peers have a newer one in force. It would serve callers under the outdated
     /// revision until its fetch from a peer ends.
     pub fn update_readiness(&mut self, now: MonotonicTime) -> bool {
-        let has_asked_peers = self.view.has_asked(SUFFICIENT_STARTUP_PEERS)
+        let has_asked_peers = self.view.has_contacted_peers(SUFFICIENT_STARTUP_PEERS)
             || now.since(self.started_at) >= MAX_STARTUP_WAIT;
         let (revision, digest) = self.newest_peer_position;
         let has_asked_peers = has_asked_peers
@@ -219,7 +220,7 @@
             && (!self.needs_directory || !self.directory.is_none())
             && self.history.current().revision > 0
             && has_asked_peers
-            && !self.ledger.wants(revision, digest);
+            && !self.ledger.should_fetch(revision, digest);
         if self.is_ready || !is_ready {
             return false;
         }
@@ -249,7 +250,7 @@
     /// Sends the heartbeats of one period and schedules the next period.
     pub fn heartbeat(&mut self, now: MonotonicTime, out: &mut Vec<Command>) {
         let is_discovering = self.is_discovering_members(now);
-        self.view.ask_for_all(is_discovering);
+        self.view.set_full_sync(is_discovering);
         let partners = self.view.tick(now);
         self.send_heartbeats_to(partners, now, out);
         let delay = if is_discovering {
@@ -265,7 +266,7 @@
     /// together, or `None` if the share has not changed since the last call.
     pub(super) fn update_rate_share(&mut self, now: MonotonicTime) -> Option<RateShare> {
         let names = self.view.records().map(|record| record.instance.vm.as_str());
-        let has_changed = self.known_daemons.note(names, now);
+        let has_changed = self.known_daemons.update(names, now);
         let is_share_withheld = self.is_discovering_members(now);
         let is_new_share = has_changed || self.was_share_withheld != Some(is_share_withheld);
         self.was_share_withheld = Some(is_share_withheld);
@@ -294,14 +295,14 @@
     ) -> Vec<crate::membership::LeavingUpstream> {
         let vm = &message.sender.instance.vm;
         let previous_status = self.view.status(vm);
-        let leaving_upstreams = self.view.take_message(message, now);
+        let leaving_upstreams = self.view.merge_message(message, now);
         self.log_peer_status(vm, previous_status, out);
         self.newest_peer_position =
             self.newest_peer_position.max((message.revision, message.digest));
         let is_fetching = self
             .fetch_started_at
             .is_some_and(|fetch_started_at| now.since(fetch_started_at) < FETCH_TIMEOUT);
-        if !is_fetching && self.ledger.wants(message.revision, message.digest) {
+        if !is_fetching && self.ledger.should_fetch(message.revision, message.digest) {
             self.fetch_started_at = Some(now);
             let known = self.ledger.position().0;
             out.push(Command::FetchConfiguration { vm: vm.clone(), known });
@@ -318,7 +319,7 @@
     ) {
         out.push(Command::Count(CounterName::ExchangesFailed));
         let previous_status = self.view.status(vm);
-        self.view.exchange_failed(vm, now);
+        self.view.handle_failed_exchange(vm, now);
         self.log_peer_status(vm, previous_status, out);
     }
 
@@ -377,7 +378,7 @@
     /// Applies a VM list. Returns whether it replaced the one in use.
     pub fn apply_vm_list(
         &mut self,
-        vm_list: VmRoster,
+        vm_list: VmList,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) -> bool {
@@ -387,7 +388,7 @@
         }
         let current = self.history.current().clone();
         let is_first_list = self.view.peer_count() == 0;
-        self.view.take_roster(&current, now);
+        self.view.update_peers(&current, now);
         let (revision, vms) = (current.revision, current.vms.len());
         out.push(Command::LogStateChange(StateChange::RosterTaken { revision, vms }));
         if is_first_list {
@@ -453,10 +454,14 @@
     #[must_use]
     pub fn drain_window(&self) -> Duration {
         let in_force = self.ledger.in_force();
-        let address_hold = in_force
-            .map_or(Duration::ZERO, |in_force| in_force.declarations.deployment().address_hold);
-        let announced_time =
-            if self.needs_directory { address_hold * ADDRESS_HOLD_FACTOR } else { address_hold };
+        let address_cache_time = in_force.map_or(Duration::ZERO, |in_force| {
+            in_force.declarations.deployment().address_cache_time
+        });
+        let announced_time = if self.needs_directory {
+            address_cache_time * ADDRESS_HOLD_FACTOR
+        } else {
+            address_cache_time
+        };
         announced_time + self.view.period() * 4
     }
 
@@ -515,9 +520,9 @@
 
     /// Position and age of the local list of published upstreams, as reported in heartbeats.
     #[must_use]
-    pub fn directory_status(&self, now: MonotonicTime) -> DirectoryNews {
+    pub fn directory_status(&self, now: MonotonicTime) -> DirectoryVersion {
         let age = self.directory_verified_at.map(|verified_at| now.since(verified_at));
-        DirectoryNews { changed: self.directory, age }
+        DirectoryVersion { changed: self.directory, age }
     }
 
     fn log_peer_status(&self, vm: &str, previous: Option<MemberStatus>, out: &mut Vec<Command>) {
--- a/crates/crocusdale_core/src/pipeline/forward_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/forward_steps.rs
@@ -66,7 +66,7 @@
             failed_upstreams: Vec::new(),
             demand,
             digest: self.plan.digest,
-            home_regions: self.plan.home_regions.clone(),
+            allowed_regions: self.plan.allowed_regions.clone(),
         })
     }
 
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -350,7 +350,7 @@
             failed_upstreams: step_run.failed_targets.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            home_regions: self.plan.home_regions.clone(),
+            allowed_regions: self.plan.allowed_regions.clone(),
         }
     }
 
--- a/crates/crocusdale_core/src/routing/attempt_queue.rs
+++ b/crates/crocusdale_core/src/routing/attempt_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::PrefixCounter;
-use crate::configuration::HomeRegions;
+use crate::configuration::AllowedRegions;
 use crate::identity::{CallId, MonotonicTime, RequestDigest};
 use crate::pipeline::EngineDemand;
 use crate::retry::RetryBudget;
@@ -34,7 +34,7 @@
     /// Digest of the request, which is equal for its repetitions.
     pub digest: RequestDigest,
     /// Regions in which the request may be processed.
-    pub home_regions: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Queue of the attempts that wait for one pool, most urgent first, with the pool's latency
@@ -98,7 +98,7 @@
         let mut candidates = self.waiting.iter();
         let key = candidates.find(|(_, request)| {
             request.failed_upstreams.iter().all(|failed| failed != upstream)
-                && request.home_regions.allow(region)
+                && request.allowed_regions.allows(region)
         });
         let key = *key?.0;
         self.waiting.remove(&key)
--- a/crates/crocusdale_core/src/routing/pool_availability.rs
+++ b/crates/crocusdale_core/src/routing/pool_availability.rs
@@ -6,7 +6,7 @@
 
 use super::upstream_router::RoutedPool;
 use super::{SlotRequest, UpstreamRouter};
-use crate::configuration::HomeRegions;
+use crate::configuration::AllowedRegions;
 use crate::identity::MonotonicTime;
 use crate::rate_limiting::{RateUse, TokenWait};
 use crate::sync::lock;
@@ -94,7 +94,7 @@
     pub fn retry_delay(&self, request: &SlotRequest, now: MonotonicTime) -> Option<Duration> {
         let routed = self.pools.get(&request.stage)?;
         let availability =
-            self.availability(routed, &request.home_regions, &request.failed_upstreams, now);
+            self.availability(routed, &request.allowed_regions, &request.failed_upstreams, now);
         availability.wait_behind(lock(&routed.queue).waiting_count()).filter(|wait| !wait.is_zero())
     }
 
@@ -106,7 +106,7 @@
         now: MonotonicTime,
     ) -> bool {
         let availability =
-            self.availability(routed, &request.home_regions, &request.failed_upstreams, now);
+            self.availability(routed, &request.allowed_regions, &request.failed_upstreams, now);
         match availability {
             PoolAvailability::Available => true,
             PoolAvailability::NoShare(_) | PoolAvailability::NoUpstream => false,
@@ -123,7 +123,7 @@
     pub fn admission_delay(
         &self,
         stage: &str,
-        home_regions: &HomeRegions,
+        allowed_regions: &AllowedRegions,
         deadline: MonotonicTime,
         now: MonotonicTime,
     ) -> Option<Duration> {
@@ -131,7 +131,7 @@
             return None;
         }
         let routed = self.pools.get(stage)?;
-        let availability = self.availability(routed, home_regions, &[], now);
+        let availability = self.availability(routed, allowed_regions, &[], now);
         let has_no_share = matches!(availability, PoolAvailability::NoShare(_));
         let wait = availability.wait_behind(lock(&routed.queue).waiting_count())?;
         (has_no_share || now + wait + DEADLINE_MARGIN >= deadline).then_some(wait)
@@ -147,7 +147,7 @@
             return taken;
         }
         for routed in self.pools.values().filter(|routed| lock(&routed.queue).waiting_count() > 0) {
-            let availability = self.availability(routed, &HomeRegions::default(), &[], now);
+            let availability = self.availability(routed, &AllowedRegions::default(), &[], now);
             let slots: Box<dyn Iterator<Item = Option<Duration>>> = match availability {
                 PoolAvailability::Available | PoolAvailability::NoUpstream => continue,
                 PoolAvailability::Scheduled(schedule) => Box::new(schedule.map(Some)),
@@ -166,7 +166,7 @@
     fn availability(
         &self,
         routed: &RoutedPool,
-        home_regions: &HomeRegions,
+        allowed_regions: &AllowedRegions,
         failed_upstreams: &[String],
         now: MonotonicTime,
     ) -> PoolAvailability {
@@ -174,7 +174,8 @@
         for position in routed.same_zone.iter().chain(&routed.other_zones).copied() {
             let upstream = &self.upstreams[position];
             let name = &upstream.rules.name;
-            if failed_upstreams.contains(name) || !home_regions.allow(self.region_of(position)) {
+            if failed_upstreams.contains(name) || !allowed_regions.allows(self.region_of(position))
+            {
                 continue;
             }
             let backoff = {
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -12,7 +12,7 @@
     ColdRules, EngineRules, RegionMap, RoutingPolicy, StagePlan, UpstreamRules,
 };
 use crate::identity::{CallId, MonotonicTime};
-use crate::membership::{LeavingUpstream, VmRoster};
+use crate::membership::{LeavingUpstream, VmList};
 use crate::rate_limiting::{RateLimiter, RateUse};
 use crate::retry::RetryLimits;
 use crate::sync::lock;
@@ -170,7 +170,7 @@
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
-    pub fn apply_roster(&self, roster: &VmRoster) {
+    pub fn apply_roster(&self, roster: &VmList) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
@@ -180,7 +180,7 @@
     /// Returns `false` if this router had recorded it before, or doesn't know the upstream.
     pub fn record_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
-        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.life))
+        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.process))
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
@@ -216,7 +216,7 @@
         if self.policy == RoutingPolicy::Baseline {
             return Duration::ZERO;
         }
-        plan.longest_way(|step, _| {
+        plan.critical_path_time(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
             routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_duration(level))
         })
