--- a/crates/crocusdaled/src/engine/call_table.rs
+++ b/crates/crocusdaled/src/engine/call_table.rs
@@ -8,28 +8,28 @@
 
 use crate::forwarding::RelayedAnswer;
 
-/// Shards of the table.
-const SHARDS: usize = 16;
+/// Number of separately locked shards of the call table.
+const SHARD_COUNT: usize = 16;
 
-/// What a call gets.
+/// A message from the daemon to the task that serves an open call.
 #[derive(Debug)]
 pub enum CallReply {
-    /// A piece of the last stage's stream.
+    /// A piece of the output that the pipeline's last stage streams.
     Piece(String),
-    /// An upstream's answer that is passed through.
+    /// The answer of an upstream, forwarded to the caller unchanged.
     Relayed(RelayedAnswer),
-    /// The final answer; nothing comes after it.
+    /// The final answer of the call. No further reply follows it.
     Final(FinalAnswer),
 }
 
-/// Calls that wait for their answers.
+/// Open calls, each with the channel over which it gets its replies.
 #[derive(Debug, Default)]
 pub struct CallTable {
-    shards: [Mutex<HashMap<CallId, UnboundedSender<CallReply>>>; SHARDS],
+    shards: [Mutex<HashMap<CallId, UnboundedSender<CallReply>>>; SHARD_COUNT],
 }
 
 impl CallTable {
-    /// Opens `call`; its replies come out of the receiver.
+    /// Registers `call` as open and returns the receiver of its replies.
     #[must_use]
     pub fn open(&self, call: CallId) -> UnboundedReceiver<CallReply> {
         let (sender, receiver) = unbounded_channel();
@@ -37,33 +37,34 @@
         receiver
     }
 
-    /// Gives `call` a reply that is not its last one.
-    pub fn reply(&self, call: CallId, reply: CallReply) {
+    /// Sends `call` a reply that is not the final answer.
+    pub fn send_reply(&self, call: CallId, reply: CallReply) {
         if let Some(sender) = self.shard(call).get(&call) {
-            // A receiver that is gone belongs to a caller that is gone; the core hears of it.
+            // A closed receiver means that the caller disconnected. `OpenCall` reports this to
+            // the core when it is dropped.
             let _ = sender.send(reply);
         }
     }
 
-    /// Passes a piece on.
-    pub fn forward(&self, call: CallId, text: String) {
-        self.reply(call, CallReply::Piece(text));
+    /// Sends `call` a piece of streamed output.
+    pub fn send_piece(&self, call: CallId, text: String) {
+        self.send_reply(call, CallReply::Piece(text));
     }
 
-    /// Gives `call` its final answer and closes it.
+    /// Sends `call` its final answer and closes the call.
     pub fn finish(&self, call: CallId, answer: FinalAnswer) {
         if let Some(sender) = self.shard(call).remove(&call) {
             let _ = sender.send(CallReply::Final(answer));
         }
     }
 
-    /// Closes `call` without an answer.
+    /// Closes `call` without sending an answer.
     pub fn close(&self, call: CallId) {
         self.shard(call).remove(&call);
     }
 
     fn shard(&self, call: CallId) -> MutexGuard<'_, HashMap<CallId, UnboundedSender<CallReply>>> {
-        let index = (call.0 as usize / SHARDS) % SHARDS;
+        let index = (call.0 as usize / SHARD_COUNT) % SHARD_COUNT;
         lock(&self.shards[index])
     }
 }
--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -14,16 +14,16 @@
 use crate::telemetry::Telemetry;
 use crate::upstream::{BatchClient, ConnectionPool, UpstreamClient, probe_upstream};
 
-/// The core with everything that carries its commands out.
+/// The daemon core together with the clients, tables and timers that execute its commands.
 #[derive(Debug)]
 pub struct DaemonEngine {
-    /// The decisions.
+    /// The state machine that makes all decisions and returns commands.
     pub core: DaemonCore,
-    /// Time of this process.
+    /// Monotonic clock that started with this process.
     pub clock: MonotonicClock,
-    /// Logs and metrics.
+    /// Logs and metrics of this process.
     pub telemetry: Telemetry,
-    /// Set when the process has drained.
+    /// Notified once when the daemon has drained and may exit.
     pub drained: Notify,
     calls: CallTable,
     timers: TimerService,
@@ -37,7 +37,7 @@
 }
 
 impl DaemonEngine {
-    /// Starts the core and the task that feeds it with timers.
+    /// Starts the core and the task that passes due timers to it.
     #[must_use]
     pub fn start(
         core: DaemonCore,
@@ -61,77 +61,79 @@
             peers: PeerClient::default(),
             platform,
         });
-        tokio::spawn(feed_timers(Arc::clone(&engine), due));
+        tokio::spawn(forward_due_timers(Arc::clone(&engine), due));
         let mut commands = Vec::new();
         engine.core.start(engine.now(), &mut commands);
-        engine.carry_out(commands);
+        engine.execute_commands(commands);
         engine
     }
 
-    /// Time now.
+    /// Current time of the process clock.
     #[must_use]
     pub fn now(&self) -> MonotonicTime {
         self.clock.now()
     }
 
-    /// Calls of upstreams.
+    /// Client for JSON calls to upstreams.
     pub(crate) fn upstreams(&self) -> &UpstreamClient {
         &self.upstreams
     }
 
-    /// Connections to upstreams that requests and pieces are passed to.
+    /// Idle connections to upstreams that get forwarded requests and batches.
     pub(crate) fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 
-    /// Callers' requests that are passed through.
+    /// Client that forwards callers' requests to upstreams.
     pub(crate) fn relays(&self) -> &RelayClient {
         &self.relays
     }
 
-    /// Calls of batched upstreams.
+    /// Client for calls to upstreams that process batches.
     pub(crate) fn batches(&self) -> &BatchClient {
         &self.batches
     }
 
-    /// Pieces that are made for other daemons, and by them.
+    /// Pieces that this daemon processes for other daemons, and they for this one.
     pub(crate) fn pieces(&self) -> &PieceTable {
         &self.pieces
     }
 
-    /// Calls of other daemons.
+    /// Client for calls to other daemons.
     pub(crate) fn peers(&self) -> &PeerClient {
         &self.peers
     }
 
-    /// Opens a call; its replies come out of the receiver.
+    /// Registers `call` as open and returns the receiver of its replies.
     #[must_use]
     pub fn open_call(&self, call: CallId) -> UnboundedReceiver<CallReply> {
         self.calls.open(call)
     }
 
-    /// Gives `call` a reply that is not its last one.
-    pub(crate) fn reply(&self, call: CallId, reply: CallReply) {
-        self.calls.reply(call, reply);
+    /// Sends `call` a reply that is not the final answer.
+    pub(crate) fn send_reply(&self, call: CallId, reply: CallReply) {
+        self.calls.send_reply(call, reply);
     }
 
-    /// Tells the core that the caller of `call` is gone.
+    /// Closes `call` and tells the core that its caller disconnected.
     pub fn abandon_call(self: &Arc<Self>, call: CallId) {
         self.calls.close(call);
         self.relays.close(call);
-        self.feed(DaemonEvent::CallerDisconnected(call));
+        self.handle_event(DaemonEvent::CallerDisconnected(call));
     }
 
-    /// Gives an event to the core, and carries out what it answers.
-    pub fn feed(self: &Arc<Self>, event: DaemonEvent) {
+    /// Passes an event to the core and executes the commands that the core returns.
+    pub fn handle_event(self: &Arc<Self>, event: DaemonEvent) {
         let mut commands = Vec::new();
         self.core.handle(event, self.now(), &mut commands);
-        self.carry_out(commands);
+        self.execute_commands(commands);
     }
 
-    /// Tells the core what `upstream` said of itself in the answer to a request that was sent at `sent`, if
-    /// that may be news.
-    pub(crate) fn take_notice(
+    /// Passes to the core what `upstream` reported about itself in an answer, such as a rate limit
+    /// or its leaving. `sent` is the time at which the answered request was sent.
+    ///
+    /// An empty notice is only passed on while the upstream is limited, as it ends the limit.
+    pub(crate) fn report_notice(
         self: &Arc<Self>,
         upstream: &str,
         notice: UpstreamNotice,
@@ -139,25 +141,25 @@
     ) {
         if !notice.is_empty() || self.core.is_limited(upstream) {
             let upstream = upstream.to_owned();
-            self.feed(DaemonEvent::UpstreamNoticed { upstream, notice, sent });
+            self.handle_event(DaemonEvent::UpstreamNoticed { upstream, notice, sent });
         }
     }
 
-    /// Carries out commands of the core.
-    pub fn carry_out(self: &Arc<Self>, commands: Vec<Command>) {
+    /// Executes commands of the core, in their order.
+    pub fn execute_commands(self: &Arc<Self>, commands: Vec<Command>) {
         for command in commands {
-            self.carry_out_one(command);
+            self.execute_command(command);
         }
     }
 
-    fn carry_out_one(self: &Arc<Self>, command: Command) {
+    fn execute_command(self: &Arc<Self>, command: Command) {
         match command {
             Command::Reply { call, answer } => {
                 self.telemetry.request_ended(&answer, self.core.revision());
                 self.calls.finish(call, answer);
                 self.relays.close(call);
             }
-            Command::Forward { call, text } => self.calls.forward(call, text),
+            Command::Forward { call, text } => self.calls.send_piece(call, text),
             Command::Send(order) => self.upstreams.send(self, order),
             Command::Cancel(attempt) => {
                 self.upstreams.cancel(attempt);
@@ -203,16 +205,16 @@
             | Command::SendPieces { .. }
             | Command::ReleaseRemoteResults { .. }
             | Command::FetchDirectory { .. }
-            | Command::FetchConfiguration { .. }) => self.peers.carry_out(self, command),
+            | Command::FetchConfiguration { .. }) => self.peers.execute(self, command),
         }
     }
 }
 
-async fn feed_timers(
+async fn forward_due_timers(
     engine: Arc<DaemonEngine>,
     mut due: UnboundedReceiver<crocusdale_core::daemon::TimerKey>,
 ) {
     while let Some(timer) = due.recv().await {
-        engine.feed(DaemonEvent::Timer(timer));
+        engine.handle_event(DaemonEvent::Timer(timer));
     }
 }
--- a/crates/crocusdaled/src/engine/mod.rs
+++ b/crates/crocusdaled/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The core with its clock, timers and open calls.
+//! The daemon core with its clock, timers and table of open calls.
 
 mod call_table;
 mod daemon_engine;
--- a/crates/crocusdaled/src/engine/monotonic_clock.rs
+++ b/crates/crocusdaled/src/engine/monotonic_clock.rs
@@ -3,41 +3,42 @@
 use crocusdale_core::identity::MonotonicTime;
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the start of the process, the time for which its VM was suspended included.
+/// Clock of the time since the process started, including time for which the VM was suspended.
 ///
-/// Guards against a suspension that nobody notices: the steady clock stands still meanwhile, so a
-/// daemon that wakes up would take its lists, deadlines and peers for as fresh as before. By this
-/// clock the time jumps, and what is due fires with the next timer or order.
+/// Guards against an unnoticed suspension. `CLOCK_MONOTONIC` stops while a VM is suspended, so a
+/// resumed daemon would treat its VM list, deadlines and peers as fresh as before. This clock
+/// jumps ahead instead, and overdue timers fire with the next timer that is due or set.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
-    started: Duration,
+    started_after_boot: Duration,
 }
 
 impl MonotonicClock {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     ///
     /// # Panics
     ///
-    /// Panics if the kernel has no such clock; Linux has had one since version 2.6.39.
+    /// Panics if the kernel lacks `CLOCK_BOOTTIME`, which Linux has had since version 2.6.39.
     #[must_use]
     pub fn start() -> Self {
-        Self { started: since_boot() }
+        Self { started_after_boot: time_since_boot() }
     }
 
-    /// Time now.
+    /// Time since the clock was started.
     #[must_use]
     pub fn now(&self) -> MonotonicTime {
-        MonotonicTime::from_start(since_boot().saturating_sub(self.started))
+        MonotonicTime::from_start(time_since_boot().saturating_sub(self.started_after_boot))
     }
 
-    /// Time from now until `at`.
+    /// Time from now until `at`, or zero if `at` has passed.
     #[must_use]
-    pub fn until(&self, at: MonotonicTime) -> Duration {
+    pub fn time_until(&self, at: MonotonicTime) -> Duration {
         at.since(self.now())
     }
 }
 
-fn since_boot() -> Duration {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has a clock since the boot");
+fn time_since_boot() -> Duration {
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME)
+        .expect("CLOCK_BOOTTIME must be readable; accepted: Linux 2.6.39 or later");
     Duration::from(time)
 }
--- a/crates/crocusdaled/src/engine/timer_service.rs
+++ b/crates/crocusdaled/src/engine/timer_service.rs
@@ -9,60 +9,60 @@
 
 type TimerHeap = BinaryHeap<Reverse<(MonotonicTime, TimerKey)>>;
 
-/// Tells its subscriber when timers are due.
+/// Reports timers to one subscriber when they are due.
 ///
-/// The task behind it ends when the service is dropped.
+/// The background task that waits for the timers ends when the service is dropped.
 #[derive(Debug)]
 pub struct TimerService {
-    orders: UnboundedSender<(MonotonicTime, TimerKey)>,
+    schedule: UnboundedSender<(MonotonicTime, TimerKey)>,
 }
 
 impl TimerService {
-    /// Starts the service; timers that are due come out of the receiver.
+    /// Starts the service and returns it with the receiver of due timers.
     #[must_use]
     pub fn subscribe(clock: MonotonicClock) -> (Self, UnboundedReceiver<TimerKey>) {
-        let (orders, inbox) = unbounded_channel();
-        let (outbox, due) = unbounded_channel();
-        tokio::spawn(run(clock, inbox, outbox));
-        (Self { orders }, due)
+        let (schedule, scheduled) = unbounded_channel();
+        let (due_sender, due) = unbounded_channel();
+        tokio::spawn(run_timers(clock, scheduled, due_sender));
+        (Self { schedule }, due)
     }
 
-    /// Sets a timer.
+    /// Schedules `timer` to be reported at `at`.
     pub fn set(&self, timer: TimerKey, at: MonotonicTime) {
-        // The task outlives every holder of the service, except while the runtime shuts down.
-        let _ = self.orders.send((at, timer));
+        // The timer task lives as long as this sender, except while the runtime shuts down.
+        let _ = self.schedule.send((at, timer));
     }
 }
 
-async fn run(
+async fn run_timers(
     clock: MonotonicClock,
-    mut inbox: UnboundedReceiver<(MonotonicTime, TimerKey)>,
-    outbox: UnboundedSender<TimerKey>,
+    mut scheduled: UnboundedReceiver<(MonotonicTime, TimerKey)>,
+    due_sender: UnboundedSender<TimerKey>,
 ) {
     let mut heap = TimerHeap::new();
     loop {
-        let next = heap.peek().map(|Reverse((at, _))| *at);
-        let order = match next {
-            None => inbox.recv().await,
-            Some(at) => match tokio::time::timeout(clock.until(at), inbox.recv()).await {
-                Ok(order) => order,
+        let next_due = heap.peek().map(|Reverse((at, _))| *at);
+        let scheduled_timer = match next_due {
+            None => scheduled.recv().await,
+            Some(at) => match tokio::time::timeout(clock.time_until(at), scheduled.recv()).await {
+                Ok(scheduled_timer) => scheduled_timer,
                 Err(_) => {
-                    send_due(&mut heap, &clock, &outbox);
+                    send_due(&mut heap, &clock, &due_sender);
                     continue;
                 }
             },
         };
-        let Some((at, timer)) = order else { return };
+        let Some((at, timer)) = scheduled_timer else { return };
         heap.push(Reverse((at, timer)));
-        send_due(&mut heap, &clock, &outbox);
+        send_due(&mut heap, &clock, &due_sender);
     }
 }
 
-fn send_due(heap: &mut TimerHeap, clock: &MonotonicClock, outbox: &UnboundedSender<TimerKey>) {
+fn send_due(heap: &mut TimerHeap, clock: &MonotonicClock, due_sender: &UnboundedSender<TimerKey>) {
     let now = clock.now();
     while heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
         if let Some(Reverse((_, timer))) = heap.pop() {
-            let _ = outbox.send(timer);
+            let _ = due_sender.send(timer);
         }
     }
 }
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -81,7 +81,7 @@
         let relayed = RelayCall::new(target, headers, body, attempt, last_event);
         self.engine.relays().open(call.call, relayed);
         let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
-        self.engine.feed(event);
+        self.engine.handle_event(event);
         match call.next().await {
             Some(CallReply::Relayed(answer)) => self.answer(call, answer),
             Some(CallReply::Final(answer)) => self.refusal(&answer),
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -56,7 +56,7 @@
     pub fn send(&self, engine: &Arc<DaemonEngine>, order: ForwardOrder) {
         let attempt = order.attempt;
         let Some(call) = lock(&self.calls).get(&attempt.call).cloned() else {
-            engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
+            engine.handle_event(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
             return;
         };
         let (pass_on, wanted) = oneshot::channel();
@@ -67,7 +67,7 @@
             let end = relay(&task_engine, &call, &order, wanted).await;
             lock(&task_engine.relays().attempts).remove(&attempt);
             if let Some(event) = end {
-                task_engine.feed(DaemonEvent::Attempt { attempt, event });
+                task_engine.handle_event(DaemonEvent::Attempt { attempt, event });
             }
         });
         let task = task.abort_handle();
@@ -104,7 +104,7 @@
         Ok(connection) => connection,
         Err(fault) => return Some(send_failed(engine, call, order, &fault)),
     };
-    let left = engine.clock.until(order.expires);
+    let left = engine.clock.time_until(order.expires);
     // The process may have been paused since the core decided; after the deadline nothing is
     // written any more, nor to an upstream that may have left since it was chosen.
     if left.is_zero() || engine.now() > order.write_by {
@@ -121,13 +121,16 @@
     if head.foreign {
         return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
-    engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
+    engine.report_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let success = parts.status.is_success();
     if head.head.execution == ExecutionStatus::Ran && success && !head.signed {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if success && head.is_stream {
-        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
+        engine.handle_event(DaemonEvent::Attempt {
+            attempt,
+            event: AttemptEvent::HeadReceived(head.head),
+        });
         wanted.await.ok()?;
         let events = open_events(engine, call, attempt.call, parts.status, head);
         let mut pump = EventPump { engine, call, attempt, events, flowing: false };
@@ -147,11 +150,14 @@
         // call, and with it the way of another attempt's events to the caller, open for good.
         return Some(AttemptEvent::HeadReceived(head.head));
     }
-    engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::HeadReceived(head.head) });
+    engine.handle_event(DaemonEvent::Attempt {
+        attempt,
+        event: AttemptEvent::HeadReceived(head.head),
+    });
     wanted.await.ok()?;
     let (status, headers) = (parts.status, head.headers);
     let answer = RelayedAnswer { status, headers, body: RelayBody::Whole(body) };
-    engine.reply(attempt.call, CallReply::Relayed(answer));
+    engine.send_reply(attempt.call, CallReply::Relayed(answer));
     Some(AttemptEvent::ResponseForwarded)
 }
 
@@ -190,7 +196,7 @@
     if let Some(receiver) = receiver {
         let body = RelayBody::Events(receiver);
         let answer = RelayedAnswer { status, headers: head.headers, body };
-        engine.reply(id, CallReply::Relayed(answer));
+        engine.send_reply(id, CallReply::Relayed(answer));
     }
     events
 }
@@ -246,7 +252,7 @@
             if !self.flowing {
                 self.flowing = true;
                 let event = AttemptEvent::StreamStarted;
-                self.engine.feed(DaemonEvent::Attempt { attempt: self.attempt, event });
+                self.engine.handle_event(DaemonEvent::Attempt { attempt: self.attempt, event });
             }
         }
     }
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -222,6 +222,6 @@
                 continue;
             }
         }
-        engine.feed(DaemonEvent::DrainRequested);
+        engine.handle_event(DaemonEvent::DrainRequested);
     }
 }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -48,7 +48,7 @@
 
 impl PeerClient {
     /// Carries out a command that concerns a peer; the reply goes to the core.
-    pub fn carry_out(&self, engine: &Arc<DaemonEngine>, command: Command) {
+    pub fn execute(&self, engine: &Arc<DaemonEngine>, command: Command) {
         let command = match command {
             Command::SendPieces { vm, order } => {
                 send_pieces(engine, vm, *order);
@@ -108,7 +108,7 @@
     let reply =
         call(engine, &vm, PATIENCE, |mut client| async move { client.exchange(wire).await });
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
-    engine.feed(match message {
+    engine.handle_event(match message {
         // Another VM may have taken over the address since the list was read.
         Some(message) if message.sender.instance.vm == vm => {
             DaemonEvent::Exchanged { message: Box::new(message), sent }
@@ -124,7 +124,7 @@
     let reply =
         call_at(engine, address, PATIENCE, |mut client| async move { client.exchange(wire).await });
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
-    engine.feed(match message {
+    engine.handle_event(match message {
         Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
         None => DaemonEvent::SeedPingFailed,
     });
@@ -142,7 +142,7 @@
         };
         PeerDirectory::try_from(reply).inspect_err(unreadable).ok()
     });
-    engine.feed(DaemonEvent::DirectoryFetched(list));
+    engine.handle_event(DaemonEvent::DirectoryFetched(list));
 }
 
 async fn fetch(engine: &Arc<DaemonEngine>, vm: &str, known: u64) {
@@ -152,8 +152,9 @@
         client.accept_compressed(CompressionEncoding::Gzip).fetch_configuration(request).await
     });
     let fetched = reply.await.ok().filter(|reply| reply.revision > 0);
-    engine
-        .feed(DaemonEvent::ConfigurationFetched(fetched.map(|reply| (reply.revision, reply.text))));
+    engine.handle_event(DaemonEvent::ConfigurationFetched(
+        fetched.map(|reply| (reply.revision, reply.text)),
+    ));
 }
 
 async fn register(engine: &Arc<DaemonEngine>, command: Command) {
@@ -178,7 +179,7 @@
             .await
         };
     let reply = reply.ok().map(Into::into);
-    engine.feed(DaemonEvent::WitnessReplied { call: asker, witness, reply });
+    engine.handle_event(DaemonEvent::WitnessReplied { call: asker, witness, reply });
 }
 
 /// Leaves an outcome with a witness, which may have to be told more than once.
@@ -224,5 +225,5 @@
             |mut client| async move { client.ask_outcome(request).await },
         );
     let reply = reply.await.ok().map(Into::into);
-    engine.feed(DaemonEvent::HolderReplied { call: asker, reply });
+    engine.handle_event(DaemonEvent::HolderReplied { call: asker, reply });
 }
--- a/crates/crocusdaled/src/peer/peer_server.rs
+++ b/crates/crocusdaled/src/peer/peer_server.rs
@@ -77,7 +77,7 @@
         let now = self.engine.now();
         let reply: CoreReply =
             self.engine.core.witness(&key, claimant, &witnesses, now, &mut commands);
-        self.engine.carry_out(commands);
+        self.engine.execute_commands(commands);
         Ok(Response::new(reply.into()))
     }
 }
@@ -92,7 +92,7 @@
             .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
         let mut commands = Vec::new();
         let reply = self.engine.core.exchange(&message, self.engine.now(), &mut commands);
-        self.engine.carry_out(commands);
+        self.engine.execute_commands(commands);
         Ok(Response::new(reply.into()))
     }
 
@@ -133,7 +133,7 @@
     ) -> Result<Response<FreeResultsReply>, Status> {
         for PoolResults { pool, results } in request.into_inner().pools {
             let results = results.iter().map(|text| ResultHandle::new(text)).collect();
-            self.engine.feed(DaemonEvent::ResultsReleased { pool, results });
+            self.engine.handle_event(DaemonEvent::ResultsReleased { pool, results });
         }
         Ok(Response::new(FreeResultsReply {}))
     }
--- a/crates/crocusdaled/src/peer/piece_client.rs
+++ b/crates/crocusdaled/src/peer/piece_client.rs
@@ -26,14 +26,14 @@
 
 async fn make(engine: &Arc<DaemonEngine>, vm: &str, order: &PieceOrder) -> AttemptEvent {
     let request = order.to_wire(engine.now());
-    let patience = engine.clock.until(order.expires) + ANSWER_MARGIN;
+    let patience = engine.clock.time_until(order.expires) + ANSWER_MARGIN;
     let reply =
         call(engine, vm, patience, |mut client| async move { client.make_pieces(request).await });
     let reply = reply.await;
     let wait = reply.as_ref().map(read_pool_wait).unwrap_or_default();
     let retry_after = wait.retry_after();
     if reply.is_ok() {
-        engine.feed(DaemonEvent::PoolWaitReported { pool: order.pool.clone(), wait });
+        engine.handle_event(DaemonEvent::PoolWaitReported { pool: order.pool.clone(), wait });
     }
     match reply.map(read_pieces_reply) {
         Ok(Ok(results)) => AttemptEvent::PiecesCompleted(results),
@@ -45,7 +45,7 @@
 fn finish(engine: &Arc<DaemonEngine>, attempt: AttemptId, event: AttemptEvent, vm: String) {
     // A dispatcher that can't be reached is doubted at once, so that other pieces pass it by.
     if matches!(event, AttemptEvent::DispatcherLost(_)) {
-        engine.feed(DaemonEvent::ExchangeFailed(vm));
+        engine.handle_event(DaemonEvent::ExchangeFailed(vm));
     }
-    engine.feed(DaemonEvent::Attempt { attempt, event });
+    engine.handle_event(DaemonEvent::Attempt { attempt, event });
 }
--- a/crates/crocusdaled/src/peer/piece_table.rs
+++ b/crates/crocusdaled/src/peer/piece_table.rs
@@ -72,7 +72,7 @@
         let (sender, answer) = oneshot::channel();
         lock(&engine.pieces().taken).insert(attempt, sender);
         let taken = Self { engine: Arc::clone(engine), attempt, pool, answer, answered: false };
-        engine.feed(DaemonEvent::PiecesReceived(Box::new(order)));
+        engine.handle_event(DaemonEvent::PiecesReceived(Box::new(order)));
         taken
     }
 
@@ -90,7 +90,7 @@
         if !self.answered {
             lock(&self.engine.pieces().taken).remove(&self.attempt);
             let pool = std::mem::take(&mut self.pool);
-            self.engine.feed(DaemonEvent::PiecesCancelled { attempt: self.attempt, pool });
+            self.engine.handle_event(DaemonEvent::PiecesCancelled { attempt: self.attempt, pool });
         }
     }
 }
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -66,7 +66,7 @@
                 },
                 Ok(Err(_)) | Err(_) => DaemonEvent::ConfigurationWatchFailed,
             };
-            engine.feed(event);
+            engine.handle_event(event);
         });
     }
 
@@ -85,7 +85,7 @@
                 },
                 Ok(Err(_)) | Err(_) => DaemonEvent::VmListReadFailed,
             };
-            engine.feed(event);
+            engine.handle_event(event);
         });
     }
 }
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -111,7 +111,7 @@
                     DaemonEvent::ConfigurationWatchFailed
                 }
             };
-            engine.feed(event);
+            engine.handle_event(event);
         });
     }
 
@@ -126,7 +126,7 @@
                     DaemonEvent::DirectoryReadFailed
                 }
             };
-            engine.feed(event);
+            engine.handle_event(event);
         });
     }
 
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -98,7 +98,7 @@
         let stream = request.stream;
         let mut call = self.open_call(&request.key);
         let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
-        self.engine.feed(event);
+        self.engine.handle_event(event);
         match call.next().await {
             Some(CallReply::Final(answer)) if !stream => self.finish(&answer),
             Some(reply) if stream => stream_response(call, reply),
@@ -117,7 +117,7 @@
         let key = RequestKey::new(query.workspace, query.key);
         let mut call = self.open_call(&key);
         let age = query.age_ms.map(Duration::from_millis);
-        self.engine.feed(DaemonEvent::Inquired { call: call.call, key, age });
+        self.engine.handle_event(DaemonEvent::Inquired { call: call.call, key, age });
         match call.next().await {
             Some(CallReply::Final(answer)) => self.finish(&answer),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
--- a/crates/crocusdaled/src/service/operator_service.rs
+++ b/crates/crocusdaled/src/service/operator_service.rs
@@ -56,7 +56,7 @@
     }
 
     fn drain(&self) -> Response {
-        self.engine.feed(DaemonEvent::DrainRequested);
+        self.engine.handle_event(DaemonEvent::DrainRequested);
         (StatusCode::ACCEPTED, "draining\n").into_response()
     }
 }
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -48,7 +48,7 @@
         return AttemptEvent::Broken(BreakReason::OtherAttempt);
     }
     let greeting = AttemptEvent::ProcessIdentified { process: life, is_leaving: leaving };
-    engine.feed(DaemonEvent::Attempt { attempt, event: greeting });
+    engine.handle_event(DaemonEvent::Attempt { attempt, event: greeting });
     if order.stream {
         read_lines(engine, attempt, response).await
     } else {
@@ -94,7 +94,7 @@
         if line.end {
             return AttemptEvent::Line(line);
         }
-        engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::Line(line) });
+        engine.handle_event(DaemonEvent::Attempt { attempt, event: AttemptEvent::Line(line) });
     }
     // The body ended in good order, but the stream did not.
     AttemptEvent::Broken(BreakReason::Cut)
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -48,7 +48,7 @@
             lock(&task_engine.batches().open).remove(&batch);
             let time = task_engine.now().since(started);
             task_engine.telemetry.batch_ended(&order, &outcome, time);
-            task_engine.feed(DaemonEvent::BatchEnded { batch, outcome });
+            task_engine.handle_event(DaemonEvent::BatchEnded { batch, outcome });
         });
         open.insert(batch, task.abort_handle());
     }
@@ -65,7 +65,7 @@
         let engine = Arc::clone(engine);
         tokio::spawn(async move {
             let free = room_at(&engine, &upstream, address).await;
-            engine.feed(DaemonEvent::FreeMemoryReported { upstream, free });
+            engine.handle_event(DaemonEvent::FreeMemoryReported { upstream, free });
         });
     }
 
@@ -90,7 +90,7 @@
     let sent = engine.now();
     let free = match connections.call(address, request, ANSWER_LIMIT, REPORT_PATIENCE).await {
         Ok(answer) => {
-            engine.take_notice(upstream, read_notice(answer.status(), answer.headers()), sent);
+            engine.report_notice(upstream, read_notice(answer.status(), answer.headers()), sent);
             read_free_room(answer.status(), answer.body())
         }
         Err(fault) => Err(fault.cause),
@@ -113,7 +113,7 @@
     match answer {
         Ok(answer) => {
             let (parts, body) = answer.into_parts();
-            engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
+            engine.report_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
             read_work(parts.status, &parts.headers, &body)
         }
         Err(fault) => {
--- a/crates/crocusdaled/src/upstream/engine_orders.rs
+++ b/crates/crocusdaled/src/upstream/engine_orders.rs
@@ -31,7 +31,7 @@
         tokio::spawn(async move {
             let body = call(address, Method::GET, Body::empty()).await;
             let held = body.and_then(|body| serde_json::from_slice(&body).ok());
-            engine.feed(DaemonEvent::EngineOrderRead { upstream, held });
+            engine.handle_event(DaemonEvent::EngineOrderRead { upstream, held });
         });
     }
 
@@ -41,7 +41,7 @@
         tokio::spawn(async move {
             let body = serde_json::to_vec(&order).expect("an order has no maps with odd keys");
             let taken = call(address, Method::PUT, Body::from(body)).await.is_some();
-            engine.feed(DaemonEvent::OrderAnswered { is_accepted: taken });
+            engine.handle_event(DaemonEvent::OrderAnswered { is_accepted: taken });
         });
     }
 }
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -41,7 +41,7 @@
     pub fn send(&self, engine: &Arc<DaemonEngine>, order: JsonCallOrder) {
         let attempt = order.attempt;
         let Some(client) = self.client_for(&order) else {
-            engine.feed(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
+            engine.handle_event(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
             return;
         };
         let task_engine = Arc::clone(engine);
@@ -50,7 +50,7 @@
         let task = tokio::spawn(async move {
             let end = call(&task_engine, &client, order).await;
             lock(&task_engine.upstreams().open).remove(&attempt);
-            task_engine.feed(DaemonEvent::Attempt { attempt, event: end });
+            task_engine.handle_event(DaemonEvent::Attempt { attempt, event: end });
         });
         open.insert(attempt, task.abort_handle());
     }
@@ -91,7 +91,7 @@
 }
 
 async fn call(engine: &Arc<DaemonEngine>, client: &Client, order: JsonCallOrder) -> AttemptEvent {
-    let left = engine.clock.until(order.expires);
+    let left = engine.clock.time_until(order.expires);
     // The process may have been paused since the core decided; after the deadline nothing is
     // written any more.
     if left.is_zero() {
--- a/crates/crocusdaled/src/upstream/upstream_probe.rs
+++ b/crates/crocusdaled/src/upstream/upstream_probe.rs
@@ -24,6 +24,6 @@
         let has_ended = matches!(
             opened, Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused
         );
-        engine.feed(DaemonEvent::UpstreamProbed { upstream, has_ended });
+        engine.handle_event(DaemonEvent::UpstreamProbed { upstream, has_ended });
     });
 }
