--- a/crates/crocusdaled/src/peer/mod.rs
+++ b/crates/crocusdaled/src/peer/mod.rs
@@ -1,11 +1,11 @@
-//! Calls between daemons.
+//! gRPC calls between the daemons of a deployment.
 
 mod peer_call;
 mod peer_client;
 mod peer_server;
 mod piece_client;
 mod piece_table;
-mod unwanted_results;
+mod released_results;
 
 pub use peer_client::PeerClient;
 pub use peer_server::PeerServer;
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -18,36 +18,42 @@
 
 use super::peer_call::{call, call_at};
 use super::piece_client::send_pieces;
-use super::unwanted_results::UnwantedResults;
+use super::released_results::ReleasedResults;
 use crate::engine::DaemonEngine;
 
-/// Time that a peer has to answer a call.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// Time that a peer has to answer a question whose asker's request waits for it.
-const SHORT_PATIENCE: Duration = Duration::from_millis(300);
-/// Time that a peer has to send its configuration.
-const FETCH_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Pause after which a peer that owes an answer is asked for a sign of life, and the time that it
-/// has for it. Together the time after which a dispatcher that is frozen or cut off is given up: short
-/// against objectives of a second or two, and longer than a process may wait for its share of a core.
-const LIFE_SIGN_PACE: Duration = Duration::from_millis(150);
-/// See [`LIFE_SIGN_PACE`].
-const LIFE_SIGN_PATIENCE: Duration = Duration::from_millis(200);
-/// Times that a witness is told of an outcome before it is left without. With [`RECORD_PAUSE`] and
-/// [`PATIENCE`] that is some nine seconds, longer than a peer may be silent and still count as one.
+/// Timeout of heartbeat exchanges and outcome records.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of claims, tombstones and outcome queries, for whose replies a caller's request waits.
+/// Connecting to a peer has the same timeout.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a peer's reply with its configuration or upstream directory.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval of HTTP/2 keepalive pings on a connection with an open call.
+///
+/// Together with [`KEEPALIVE_TIMEOUT`] this is the time after which a frozen or disconnected
+/// dispatcher is given up. It is short compared to latency objectives of one or two seconds, and
+/// longer than a process may have to wait for CPU time.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(150);
+/// Time that a peer has to answer a keepalive ping before its connection is closed.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Number of attempts to record an outcome with a witness before giving up.
+///
+/// With [`RECORD_BACKOFF_STEP`] and [`CALL_TIMEOUT`] the attempts span some nine seconds. That is
+/// longer than a peer may be silent and still count as a member.
 const RECORD_ATTEMPTS: u32 = 5;
-/// Pause after the first attempt; it grows by as much after each further one.
-const RECORD_PAUSE: Duration = Duration::from_millis(300);
+/// Backoff after the first failed attempt to record an outcome. It grows by the same amount with
+/// each further attempt.
+const RECORD_BACKOFF_STEP: Duration = Duration::from_millis(300);
 
-/// Calls other daemons.
+/// gRPC client for calls to other daemons, with one channel for each address.
 #[derive(Debug, Default)]
 pub struct PeerClient {
     channels: Mutex<HashMap<SocketAddr, Channel>>,
-    unwanted: UnwantedResults,
+    released_results: ReleasedResults,
 }
 
 impl PeerClient {
-    /// Carries out a command that concerns a peer; the reply goes to the core.
+    /// Executes a command that calls a peer, and passes the peer's reply to the core.
     pub fn execute(&self, engine: &Arc<DaemonEngine>, command: Command) {
         let command = match command {
             Command::SendPieces { vm, order } => {
@@ -55,7 +61,7 @@
                 return;
             }
             Command::ReleaseRemoteResults { vm, pool, results } => {
-                self.unwanted.send(engine, vm, pool, results);
+                self.released_results.enqueue(engine, vm, pool, results);
                 return;
             }
             command => command,
@@ -64,40 +70,42 @@
         tokio::spawn(async move {
             match command {
                 Command::Exchange { vm, message } => exchange(&engine, vm, *message).await,
-                Command::PingSeed { address, message } => greet(&engine, address, *message).await,
+                Command::PingSeed { address, message } => ping(&engine, address, *message).await,
                 Command::FetchDirectory { vm, known } => fetch_directory(&engine, &vm, known).await,
-                Command::FetchConfiguration { vm, known } => fetch(&engine, &vm, known).await,
-                Command::RecordOutcome { .. } => record(&engine, command).await,
+                Command::FetchConfiguration { vm, known } => pull_config(&engine, &vm, known).await,
+                Command::RecordOutcome { .. } => record_outcome(&engine, command).await,
                 Command::AskHolder { .. } => ask_holder(&engine, command).await,
-                Command::AskWitness { .. } => register(&engine, command).await,
-                _ => debug_assert!(false, "not a command about a peer"),
+                Command::AskWitness { .. } => ask_witness(&engine, command).await,
+                _ => debug_assert!(false, "the peer client accepts only commands that call a peer"),
             }
         });
     }
 
-    /// Unwanted results whose dispatchers are still to be told.
-    pub(super) fn unwanted(&self) -> &UnwantedResults {
-        &self.unwanted
+    /// Released results that have not yet been reported to their dispatchers.
+    pub(super) fn released_results(&self) -> &ReleasedResults {
+        &self.released_results
     }
 
     pub(super) fn channel(&self, address: SocketAddr) -> Channel {
         let mut channels = lock(&self.channels);
         let connect = || {
             let endpoint = Endpoint::from_shared(format!("http://{address}"));
-            let endpoint = endpoint.expect("an address makes a valid URI");
+            let endpoint = endpoint.expect("a socket address always forms a valid URI");
             endpoint
-                .connect_timeout(SHORT_PATIENCE)
-                .http2_keep_alive_interval(LIFE_SIGN_PACE)
-                .keep_alive_timeout(LIFE_SIGN_PATIENCE)
+                .connect_timeout(CLAIM_TIMEOUT)
+                .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
+                .keep_alive_timeout(KEEPALIVE_TIMEOUT)
                 .tcp_nodelay(true)
                 .connect_lazy()
         };
         channels.entry(address).or_insert_with(connect).clone()
     }
 
-    /// Guards against a connection to a peer that went silent for good: after a call without an
-    /// answer the next one opens a new connection.
-    pub(super) fn forget(&self, address: SocketAddr) {
+    /// Drops the channel to `address`, so that the next call opens a new connection.
+    ///
+    /// Guards against a connection that stays silent for good: without this, every later call
+    /// to the peer would time out on it as well.
+    pub(super) fn drop_channel(&self, address: SocketAddr) {
         lock(&self.channels).remove(&address);
     }
 }
@@ -106,10 +114,10 @@
     let wire = crocusdale_schema::peer::ExchangeMessage::from(message);
     let sent = engine.now();
     let reply =
-        call(engine, &vm, PATIENCE, |mut client| async move { client.exchange(wire).await });
+        call(engine, &vm, CALL_TIMEOUT, |mut client| async move { client.exchange(wire).await });
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
     engine.handle_event(match message {
-        // Another VM may have taken over the address since the list was read.
+        // Another VM may have taken over the address since the VM list was read.
         Some(message) if message.sender.instance.vm == vm => {
             DaemonEvent::Exchanged { message: Box::new(message), sent }
         }
@@ -117,12 +125,17 @@
     });
 }
 
-/// Exchanges heartbeats with whoever listens at the address of a seed.
-async fn greet(engine: &Arc<DaemonEngine>, address: SocketAddr, message: ExchangeMessage) {
+/// Exchanges heartbeats with whichever daemon listens at the address of a seed.
+async fn ping(engine: &Arc<DaemonEngine>, address: SocketAddr, message: ExchangeMessage) {
     let wire = crocusdale_schema::peer::ExchangeMessage::from(message);
     let sent = engine.now();
     let reply =
-        call_at(engine, address, PATIENCE, |mut client| async move { client.exchange(wire).await });
+        call_at(
+            engine,
+            address,
+            CALL_TIMEOUT,
+            |mut client| async move { client.exchange(wire).await },
+        );
     let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
     engine.handle_event(match message {
         Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
@@ -132,23 +145,23 @@
 
 async fn fetch_directory(engine: &Arc<DaemonEngine>, vm: &str, known: StorePosition) {
     let request = FetchDirectoryRequest { revision: known.revision, era: known.era };
-    let reply = call(engine, vm, FETCH_PATIENCE, |mut client| async move {
+    let reply = call(engine, vm, FETCH_TIMEOUT, |mut client| async move {
         client.fetch_directory(request).await
     });
-    let list = reply.await.ok().filter(|reply| reply.revision > 0).and_then(|reply| {
-        let unreadable = |fault: &std::net::AddrParseError| {
+    let directory = reply.await.ok().filter(|reply| reply.revision > 0).and_then(|reply| {
+        let log_unreadable = |parse_error: &std::net::AddrParseError| {
             warn!(engine.telemetry.log, "directory_unreadable";
-                "peer" => vm, "cause" => fault.to_string());
+                "peer" => vm, "cause" => parse_error.to_string());
         };
-        PeerDirectory::try_from(reply).inspect_err(unreadable).ok()
+        PeerDirectory::try_from(reply).inspect_err(log_unreadable).ok()
     });
-    engine.handle_event(DaemonEvent::DirectoryFetched(list));
+    engine.handle_event(DaemonEvent::DirectoryFetched(directory));
 }
 
-async fn fetch(engine: &Arc<DaemonEngine>, vm: &str, known: u64) {
+async fn pull_config(engine: &Arc<DaemonEngine>, vm: &str, known: u64) {
     let request = FetchConfigurationRequest { known_revision: known };
-    // Declarations are repetitive: compressed, a change costs a tenth of its text.
-    let reply = call(engine, vm, FETCH_PATIENCE, |client| async move {
+    // Declarations are repetitive: gzip reduces the configuration text to a tenth of its size.
+    let reply = call(engine, vm, FETCH_TIMEOUT, |client| async move {
         client.accept_compressed(CompressionEncoding::Gzip).fetch_configuration(request).await
     });
     let fetched = reply.await.ok().filter(|reply| reply.revision > 0);
@@ -157,37 +170,41 @@
     ));
 }
 
-async fn register(engine: &Arc<DaemonEngine>, command: Command) {
-    let Command::AskWitness { call: asker, witness, key, witnesses, is_tombstone: bury } = command
+async fn ask_witness(engine: &Arc<DaemonEngine>, command: Command) {
+    let Command::AskWitness { call: call_id, witness, key, witnesses, is_tombstone: is_burial } =
+        command
     else {
         return;
     };
     let (key, vms) = (Some(key.into()), witnesses.vms().to_vec());
     let reply =
-        if bury {
+        if is_burial {
             let request = BuryRequest { key, witnesses: vms };
-            call(engine, &witness, SHORT_PATIENCE, |mut client| async move {
-                client.bury(request).await
-            })
+            call(
+                engine,
+                &witness,
+                CLAIM_TIMEOUT,
+                |mut client| async move { client.bury(request).await },
+            )
             .await
         } else {
             let claimant = Some(engine.core.instance().clone().into());
             let request = ClaimRequest { key, claimant, witnesses: vms };
-            call(engine, &witness, SHORT_PATIENCE, |mut client| async move {
+            call(engine, &witness, CLAIM_TIMEOUT, |mut client| async move {
                 client.claim(request).await
             })
             .await
         };
     let reply = reply.ok().map(Into::into);
-    engine.handle_event(DaemonEvent::WitnessReplied { call: asker, witness, reply });
+    engine.handle_event(DaemonEvent::WitnessReplied { call: call_id, witness, reply });
 }
 
-/// Leaves an outcome with a witness, which may have to be told more than once.
+/// Records an outcome with a witness, with retries.
 ///
-/// Guards against a witness that does not answer just then: it is busy, or its connection has just
-/// gone silent. One lost call would leave the key with a witness less until the key is forgotten,
-/// and the answer with it once the holder ends. Writing an outcome twice changes nothing.
-async fn record(engine: &Arc<DaemonEngine>, command: Command) {
+/// Guards against a witness that is busy or whose connection has just gone silent. Without retries
+/// one lost call would leave the key with one witness fewer until the key expires, and the answer
+/// could be lost once the daemon that holds it ends. Recording is idempotent.
+async fn record_outcome(engine: &Arc<DaemonEngine>, command: Command) {
     let Command::RecordOutcome { witness, key, body } = command else { return };
     let holder = engine.core.instance();
     if witness == holder.vm {
@@ -200,13 +217,13 @@
             holder: Some(holder.clone().into()),
             outcome: Some(RecordedOutcome { body: body.to_vec() }),
         };
-        let reply = call(engine, &witness, PATIENCE, |mut client| async move {
+        let reply = call(engine, &witness, CALL_TIMEOUT, |mut client| async move {
             client.record_outcome(request).await
         });
         if reply.await.is_ok() {
             return;
         }
-        tokio::time::sleep(RECORD_PAUSE * attempt).await;
+        tokio::time::sleep(RECORD_BACKOFF_STEP * attempt).await;
     }
     engine.telemetry.count(CounterName::OutcomesUnrecorded);
     warn!(engine.telemetry.log, "outcome_unrecorded"; "witness" => witness, "key" => key.to_string(),
@@ -214,16 +231,16 @@
 }
 
 async fn ask_holder(engine: &Arc<DaemonEngine>, command: Command) {
-    let Command::AskHolder { call: asker, key, holder } = command else { return };
+    let Command::AskHolder { call: call_id, key, holder } = command else { return };
     let vm = holder.vm.clone();
     let request = AskOutcomeRequest { key: Some(key.into()), holder: Some(holder.into()) };
     let reply =
         call(
             engine,
             &vm,
-            SHORT_PATIENCE,
+            CLAIM_TIMEOUT,
             |mut client| async move { client.ask_outcome(request).await },
         );
     let reply = reply.await.ok().map(Into::into);
-    engine.handle_event(DaemonEvent::HolderReplied { call: asker, reply });
+    engine.handle_event(DaemonEvent::HolderReplied { call: call_id, reply });
 }
--- a/crates/crocusdaled/src/peer/peer_server.rs
+++ b/crates/crocusdaled/src/peer/peer_server.rs
@@ -1,10 +1,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crocusdale_core::claims::RegisterReply as CoreReply;
+use crocusdale_core::claims::RegisterReply as CoreRegisterReply;
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::identity::{InstanceId, RequestKey, StorePosition};
-use crocusdale_core::membership::{ExchangeMessage as CoreMessage, WitnessSet};
+use crocusdale_core::membership::{ExchangeMessage as CoreExchangeMessage, WitnessSet};
 use crocusdale_core::pipeline::{PieceOrder, ResultHandle};
 use crocusdale_core::wire::pieces_reply;
 use crocusdale_schema::peer::peer_service_server::{PeerService, PeerServiceServer};
@@ -19,48 +19,50 @@
 use tonic::codec::CompressionEncoding;
 use tonic::{Request, Response, Status};
 
-use super::peer_call::MESSAGE_LIMIT;
-use super::piece_table::TakenPieces;
+use super::peer_call::MAX_MESSAGE_BYTES;
+use super::piece_table::ReceivedPieces;
 use crate::engine::DaemonEngine;
 
-/// Calls that one peer may have open at one time: one for each step of its requests.
-const CONCURRENT_CALLS: u32 = 16_384;
+/// Maximum number of calls that one peer may have open at a time. A peer needs one for each
+/// running step of its requests.
+const MAX_CONCURRENT_CALLS: u32 = 16_384;
 
-/// Answers other daemons.
+/// gRPC server that answers the calls of other daemons.
 #[derive(Debug)]
 pub struct PeerServer {
     engine: Arc<DaemonEngine>,
 }
 
 impl PeerServer {
-    /// Answers on behalf of `engine`.
+    /// Creates a server that answers calls from the state of `engine`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>) -> Self {
         Self { engine }
     }
 
-    /// Binds `address`.
+    /// Binds the listener for peers to `address`.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system if the address can't be had.
+    /// Returns the error of the operating system if the address can't be bound.
     pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
         TcpListener::bind(address).await
     }
 
-    /// Serves until the process ends: peers may need this daemon's registers to its last moment.
+    /// Serves calls until the process ends. There is no earlier stop, as peers may need the claim
+    /// registers that this daemon keeps as a witness until the last moment.
     ///
     /// # Errors
     ///
-    /// Returns an error if the transport fails.
+    /// Returns an error if the gRPC transport fails.
     pub async fn serve(self, listener: TcpListener) -> Result<(), tonic::transport::Error> {
         let service = PeerServiceServer::new(self)
-            .max_decoding_message_size(MESSAGE_LIMIT)
-            .max_encoding_message_size(MESSAGE_LIMIT)
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES)
             .send_compressed(CompressionEncoding::Gzip);
         let server = tonic::transport::Server::builder()
             .tcp_nodelay(true)
-            .max_concurrent_streams(CONCURRENT_CALLS)
+            .max_concurrent_streams(MAX_CONCURRENT_CALLS)
             .add_service(service);
         server.serve_with_incoming(TcpListenerStream::new(listener)).await
     }
@@ -71,11 +73,11 @@
         claimant: Option<&InstanceId>,
         witnesses: Vec<String>,
     ) -> Result<Response<RegisterReply>, Status> {
-        let key: RequestKey = key.ok_or_else(|| missing("key"))?.into();
+        let key: RequestKey = key.ok_or_else(|| missing_field("key"))?.into();
         let witnesses = WitnessSet::from_names(witnesses);
         let mut commands = Vec::new();
         let now = self.engine.now();
-        let reply: CoreReply =
+        let reply: CoreRegisterReply =
             self.engine.core.witness(&key, claimant, &witnesses, now, &mut commands);
         self.engine.execute_commands(commands);
         Ok(Response::new(reply.into()))
@@ -88,7 +90,7 @@
         &self,
         request: Request<ExchangeMessage>,
     ) -> Result<Response<ExchangeMessage>, Status> {
-        let message = CoreMessage::try_from(request.into_inner())
+        let message = CoreExchangeMessage::try_from(request.into_inner())
             .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
         let mut commands = Vec::new();
         let reply = self.engine.core.exchange(&message, self.engine.now(), &mut commands);
@@ -122,8 +124,8 @@
         request: Request<MakePiecesRequest>,
     ) -> Result<Response<MakePiecesReply>, Status> {
         let order = PieceOrder::from_wire(request.into_inner(), self.engine.now());
-        let order = order.ok_or_else(|| missing("attempt"))?;
-        let answer = TakenPieces::offer(&self.engine, order).outcome().await;
+        let order = order.ok_or_else(|| missing_field("attempt"))?;
+        let answer = ReceivedPieces::submit(&self.engine, order).outcome().await;
         Ok(Response::new(pieces_reply(answer.outcome, &answer.wait)))
     }
 
@@ -143,7 +145,8 @@
         request: Request<ClaimRequest>,
     ) -> Result<Response<RegisterReply>, Status> {
         let request = request.into_inner();
-        let claimant: InstanceId = request.claimant.ok_or_else(|| missing("claimant"))?.into();
+        let claimant: InstanceId =
+            request.claimant.ok_or_else(|| missing_field("claimant"))?.into();
         self.witness(request.key, Some(&claimant), request.witnesses)
     }
 
@@ -157,9 +160,9 @@
         request: Request<RecordOutcomeRequest>,
     ) -> Result<Response<RecordOutcomeReply>, Status> {
         let request = request.into_inner();
-        let key: RequestKey = request.key.ok_or_else(|| missing("key"))?.into();
-        let holder: InstanceId = request.holder.ok_or_else(|| missing("holder"))?.into();
-        let outcome = request.outcome.ok_or_else(|| missing("outcome"))?;
+        let key: RequestKey = request.key.ok_or_else(|| missing_field("key"))?.into();
+        let holder: InstanceId = request.holder.ok_or_else(|| missing_field("holder"))?.into();
+        let outcome = request.outcome.ok_or_else(|| missing_field("outcome"))?;
         self.engine.core.record_outcome(&key, &holder, &outcome.body, self.engine.now());
         Ok(Response::new(RecordOutcomeReply {}))
     }
@@ -169,12 +172,12 @@
         request: Request<AskOutcomeRequest>,
     ) -> Result<Response<AskOutcomeReply>, Status> {
         let request = request.into_inner();
-        let key: RequestKey = request.key.ok_or_else(|| missing("key"))?.into();
-        let holder: InstanceId = request.holder.ok_or_else(|| missing("holder"))?.into();
+        let key: RequestKey = request.key.ok_or_else(|| missing_field("key"))?.into();
+        let holder: InstanceId = request.holder.ok_or_else(|| missing_field("holder"))?.into();
         Ok(Response::new(self.engine.core.holder_reply(&key, &holder).into()))
     }
 }
 
-fn missing(part: &str) -> Status {
-    Status::invalid_argument(format!("the message lacks {part}"))
+fn missing_field(field: &str) -> Status {
+    Status::invalid_argument(format!("the message lacks {field}"))
 }
--- a/crates/crocusdaled/src/peer/piece_client.rs
+++ b/crates/crocusdaled/src/peer/piece_client.rs
@@ -9,26 +9,26 @@
 use super::peer_call::call;
 use crate::engine::DaemonEngine;
 
-/// Time beyond that of the pieces within which their dispatcher should have answered.
-const ANSWER_MARGIN: Duration = Duration::from_millis(200);
+/// Time beyond the expiry of an order within which its dispatcher should have replied.
+const REPLY_MARGIN: Duration = Duration::from_millis(200);
 
-/// Has the daemon on `vm` make pieces; what becomes of them goes to the core.
+/// Sends the pieces of `order` to the daemon on `vm`, and passes their outcome to the core.
 pub(super) fn send_pieces(engine: &Arc<DaemonEngine>, vm: String, order: PieceOrder) {
     let attempt = order.attempt;
     let task_engine = Arc::clone(engine);
     let task = tokio::spawn(async move {
-        let event = make(&task_engine, &vm, &order).await;
-        task_engine.pieces().settled(attempt);
-        finish(&task_engine, attempt, event, vm);
+        let event = request_pieces(&task_engine, &vm, &order).await;
+        task_engine.pieces().remove_sent(attempt);
+        report_end(&task_engine, attempt, event, vm);
     });
-    engine.pieces().sent(attempt, task.abort_handle());
+    engine.pieces().track_sent(attempt, task.abort_handle());
 }
 
-async fn make(engine: &Arc<DaemonEngine>, vm: &str, order: &PieceOrder) -> AttemptEvent {
+async fn request_pieces(engine: &Arc<DaemonEngine>, vm: &str, order: &PieceOrder) -> AttemptEvent {
     let request = order.to_wire(engine.now());
-    let patience = engine.clock.time_until(order.expires) + ANSWER_MARGIN;
+    let timeout = engine.clock.time_until(order.expires) + REPLY_MARGIN;
     let reply =
-        call(engine, vm, patience, |mut client| async move { client.make_pieces(request).await });
+        call(engine, vm, timeout, |mut client| async move { client.make_pieces(request).await });
     let reply = reply.await;
     let wait = reply.as_ref().map(read_pool_wait).unwrap_or_default();
     let retry_after = wait.retry_after();
@@ -42,8 +42,9 @@
     }
 }
 
-fn finish(engine: &Arc<DaemonEngine>, attempt: AttemptId, event: AttemptEvent, vm: String) {
-    // A dispatcher that can't be reached is doubted at once, so that other pieces pass it by.
+fn report_end(engine: &Arc<DaemonEngine>, attempt: AttemptId, event: AttemptEvent, vm: String) {
+    // An unreachable dispatcher is reported as a failed exchange at once, so that other pieces
+    // avoid it.
     if matches!(event, AttemptEvent::DispatcherLost(_)) {
         engine.handle_event(DaemonEvent::ExchangeFailed(vm));
     }
