--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -173,29 +173,29 @@
                 self.batches.free(self, &results, &excluded);
             }
             Command::QueryFreeMemory { upstream, address } => {
-                self.batches.ask_room(self, upstream, address);
+                self.batches.query_free_memory(self, upstream, address);
             }
             Command::CancelPieces(attempt) => self.pieces.cancel(attempt),
             Command::AnswerPieces { attempt, outcome, wait } => {
                 self.pieces.answer(attempt, outcome, wait);
             }
             Command::ReadDirectory => self.platform.read_directory(self),
-            Command::CloseIdleConnections(upstream) => self.upstreams.distrust(&upstream),
+            Command::CloseIdleConnections(upstream) => self.upstreams.close_idle(&upstream),
             Command::ProbeUpstream { upstream, address } => {
                 probe_upstream(self, upstream, address);
             }
-            Command::CloseStaleConnections(address) => self.connections.forget(address),
+            Command::CloseStaleConnections(address) => self.connections.close_idle(address),
             Command::SetTimer { timer, at } => self.timers.set(timer, at),
             Command::Count(counter) => self.telemetry.count(counter),
             Command::LogStateChange(change) => self.telemetry.note(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
-            Command::ReadVmList { known } => self.platform.read_roster(self, known),
+            Command::ReadVmList { known } => self.platform.read_vm_list(self, known),
             Command::ReadEngineOrder { upstream, address } => {
                 self.upstreams.read_placement(self, upstream, address);
             }
             Command::SendEngineOrder { upstream: _, address, order } => {
-                self.upstreams.give_order(self, address, order);
+                self.upstreams.send_order(self, address, order);
             }
             command @ (Command::AskWitness { .. }
             | Command::RecordOutcome { .. }
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -136,7 +136,7 @@
         let mut pump = EventPump { engine, call, attempt, events, flowing: false };
         let end = pump.run(body).await;
         if matches!(end, AttemptEvent::ResponseForwarded) {
-            pool.give_back(connection, &parts.headers, order.kept_connections);
+            pool.return_connection(connection, &parts.headers, order.kept_connections);
         }
         return Some(end);
     }
@@ -144,7 +144,7 @@
         return Some(AttemptEvent::Broken(BreakReason::Cut));
     };
     let body = body.to_bytes();
-    pool.give_back(connection, &parts.headers, order.kept_connections);
+    pool.return_connection(connection, &parts.headers, order.kept_connections);
     if head.head.execution != ExecutionStatus::Ran {
         // Nobody ever wants this answer passed on. An attempt that waited for it would keep its
         // call, and with it the way of another attempt's events to the caller, open for good.
--- a/crates/crocusdaled/src/platform/platform_reader.rs
+++ b/crates/crocusdaled/src/platform/platform_reader.rs
@@ -22,9 +22,9 @@
     }
 
     /// Reads the VM list, if it is newer than `known`.
-    pub fn read_roster(&self, engine: &Arc<DaemonEngine>, known: u64) {
+    pub fn read_vm_list(&self, engine: &Arc<DaemonEngine>, known: u64) {
         match self {
-            Self::Services(reader) => reader.read_roster(engine, known),
+            Self::Services(reader) => reader.read_vm_list(engine, known),
             Self::Store(_) => debug_assert!(false, "a store has no VM list"),
         }
     }
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -71,7 +71,7 @@
     }
 
     /// Reads the VM list, if it is newer than `known`.
-    pub fn read_roster(&self, engine: &Arc<DaemonEngine>, known: u64) {
+    pub fn read_vm_list(&self, engine: &Arc<DaemonEngine>, known: u64) {
         let (client, address) = (self.client.clone(), self.vm_list);
         let engine = Arc::clone(engine);
         tokio::spawn(async move {
--- a/crates/crocusdaled/src/upstream/answer_reader.rs
+++ b/crates/crocusdaled/src/upstream/answer_reader.rs
@@ -14,26 +14,26 @@
 use crate::engine::DaemonEngine;
 use crate::http::{BodyFault, read_body};
 
-/// Header with the attempt that a call belongs to.
+/// Header with the id of the attempt that a request or its answer belongs to.
 pub(super) const ATTEMPT_HEADER: &str = "x-crocusdale-attempt";
 
-/// Largest answer of a stage, in bytes.
-const ANSWER_LIMIT: usize = 8 << 20;
-/// Longest line of a stream, in bytes.
-const LINE_LIMIT: usize = 1 << 20;
-/// Header with the identity of the process behind an upstream.
-const LIFE_HEADER: &str = "x-upstream-life";
-/// Header by which an upstream says that it is leaving.
+/// Largest answer of a stage that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Longest line of a streamed answer that is read, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// Response header that identifies the process which runs as the upstream.
+const PROCESS_HEADER: &str = "x-upstream-life";
+/// Response header with which an upstream announces that it is shutting down.
 const LEAVING_HEADER: &str = "x-upstream-leaving";
 
-/// Answer of a stage that doesn't stream.
+/// JSON body of an answer that is not streamed.
 #[derive(Debug, Deserialize)]
 struct StageReply {
     attempt: String,
     answer: Box<RawValue>,
 }
 
-/// Reads an answer; its pieces go to the core, its end is returned.
+/// Reads an answer, passes its lines to the core and returns the event that ends the attempt.
 pub(super) async fn read_answer(
     engine: &Arc<DaemonEngine>,
     order: &JsonCallOrder,
@@ -41,14 +41,16 @@
 ) -> AttemptEvent {
     let attempt = order.attempt;
     let header = |name| response.headers().get(name).and_then(|value| value.to_str().ok());
-    let life = header(LIFE_HEADER).unwrap_or_default().to_owned();
-    let leaving = header(LEAVING_HEADER) == Some("1");
-    let echo: Option<AttemptId> = header(ATTEMPT_HEADER).and_then(|text| text.parse().ok());
-    if echo.is_some_and(|echo| echo != attempt) {
+    let process_id = header(PROCESS_HEADER).unwrap_or_default().to_owned();
+    let announces_leaving = header(LEAVING_HEADER) == Some("1");
+    let echoed_attempt: Option<AttemptId> =
+        header(ATTEMPT_HEADER).and_then(|text| text.parse().ok());
+    if echoed_attempt.is_some_and(|echoed_attempt| echoed_attempt != attempt) {
         return AttemptEvent::Broken(BreakReason::OtherAttempt);
     }
-    let greeting = AttemptEvent::ProcessIdentified { process: life, is_leaving: leaving };
-    engine.handle_event(DaemonEvent::Attempt { attempt, event: greeting });
+    let identity_event =
+        AttemptEvent::ProcessIdentified { process: process_id, is_leaving: announces_leaving };
+    engine.handle_event(DaemonEvent::Attempt { attempt, event: identity_event });
     if order.stream {
         read_lines(engine, attempt, response).await
     } else {
@@ -57,7 +59,7 @@
 }
 
 async fn read_whole(response: Response) -> AttemptEvent {
-    let body = match read_body(response.into_body(), ANSWER_LIMIT).await {
+    let body = match read_body(response.into_body(), MAX_ANSWER_BYTES).await {
         Ok(body) => body,
         Err(BodyFault::TooLarge) => return AttemptEvent::Broken(BreakReason::TooLarge),
         Err(BodyFault::Cut) => return AttemptEvent::Broken(BreakReason::Cut),
@@ -70,7 +72,8 @@
     }
 }
 
-/// Reads a stream to its end; the last line is returned, the ones before go to the core.
+/// Reads a streamed answer to its end. The last line is returned, and the lines before it are
+/// passed to the core.
 async fn read_lines(
     engine: &Arc<DaemonEngine>,
     attempt: AttemptId,
@@ -79,7 +82,7 @@
     let frames = BodyStream::new(response.into_body()).map_err(std::io::Error::other);
     let data = frames.try_filter_map(|frame| async move { Ok(frame.into_data().ok()) });
     let reader = StreamReader::new(Box::pin(data));
-    let mut lines = FramedRead::new(reader, LinesCodec::new_with_max_length(LINE_LIMIT));
+    let mut lines = FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
     while let Some(line) = lines.next().await {
         let line = match line {
             Ok(line) => line,
@@ -96,6 +99,6 @@
         }
         engine.handle_event(DaemonEvent::Attempt { attempt, event: AttemptEvent::Line(line) });
     }
-    // The body ended in good order, but the stream did not.
+    // The HTTP body ended without an error, but its last line was not the end of the stream.
     AttemptEvent::Broken(BreakReason::Cut)
 }
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -20,31 +20,33 @@
 
 use crate::engine::DaemonEngine;
 
-/// Largest answer to a call, in bytes: some hundred handles.
-const ANSWER_LIMIT: usize = 1 << 20;
-/// Time that an answer may take; the core gives calls up long before.
-const WORK_PATIENCE: Duration = Duration::from_secs(30);
-/// Time that an upstream has to say how much of its memory is free. Calls go out before that.
-const REPORT_PATIENCE: Duration = Duration::from_millis(250);
-/// Time that an upstream has to give up results.
-const FREE_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Largest answer that is read, in bytes. An answer holds up to some hundred result handles.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// Upper limit of the duration of a batch. The core cancels batches long before.
+const BATCH_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time that an upstream has to report its free memory. Batches are sent without waiting for the
+/// report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time that an upstream has to free results.
+const FREE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Calls batched upstreams.
+/// Client for upstreams that process batches of pieces.
 #[derive(Debug, Default)]
 pub struct BatchClient {
     open: Mutex<HashMap<BatchId, AbortHandle>>,
 }
 
 impl BatchClient {
-    /// Carries a call out; its end goes to the core.
+    /// Sends a batch to its upstream, and passes the outcome to the core.
     pub fn call(&self, engine: &Arc<DaemonEngine>, order: BatchOrder) {
         let batch = order.batch;
         let task_engine = Arc::clone(engine);
-        // The table is locked until the task stands in it, so that the task can't end first.
+        // The table stays locked until the task is registered, so that the task can't remove its
+        // entry before the entry is inserted.
         let mut open = lock(&self.open);
         let task = tokio::spawn(async move {
             let started = task_engine.now();
-            let outcome = work(&task_engine, &order).await;
+            let outcome = call_batch(&task_engine, &order).await;
             lock(&task_engine.batches().open).remove(&batch);
             let time = task_engine.now().since(started);
             task_engine.telemetry.batch_ended(&order, &outcome, time);
@@ -53,42 +55,54 @@
         open.insert(batch, task.abort_handle());
     }
 
-    /// Gives a call up, and closes its connection.
+    /// Aborts a batch and closes its connection.
     pub fn cancel(&self, batch: BatchId) {
         if let Some(task) = lock(&self.open).remove(&batch) {
             task.abort();
         }
     }
 
-    /// Asks an upstream how much of its memory for results is free; the answer goes to the core.
-    pub fn ask_room(&self, engine: &Arc<DaemonEngine>, upstream: String, address: SocketAddr) {
+    /// Asks an upstream how much of its memory for results is free, and passes the answer to the
+    /// core.
+    pub fn query_free_memory(
+        &self,
+        engine: &Arc<DaemonEngine>,
+        upstream: String,
+        address: SocketAddr,
+    ) {
         let engine = Arc::clone(engine);
         tokio::spawn(async move {
-            let free = room_at(&engine, &upstream, address).await;
+            let free = free_memory_at(&engine, &upstream, address).await;
             engine.handle_event(DaemonEvent::FreeMemoryReported { upstream, free });
         });
     }
 
-    /// Tells upstreams, but for those at the addresses `spared`, that `results` are not needed any more.
+    /// Tells upstreams to free `results`, except those at the addresses in `excluded`.
     pub fn free(
         &self,
         engine: &Arc<DaemonEngine>,
         results: &[ResultHandle],
-        spared: &[SocketAddr],
+        excluded: &[SocketAddr],
     ) {
-        let told = free_bodies(results).into_iter().filter(|(maker, _)| !spared.contains(maker));
-        for (maker, body) in told {
+        let release_bodies = free_bodies(results)
+            .into_iter()
+            .filter(|(upstream_address, _)| !excluded.contains(upstream_address));
+        for (upstream_address, body) in release_bodies {
             let engine = Arc::clone(engine);
-            tokio::spawn(async move { free_at(&engine, maker, body).await });
+            tokio::spawn(async move { free_results_at(&engine, upstream_address, body).await });
         }
     }
 }
 
-async fn room_at(engine: &Arc<DaemonEngine>, upstream: &str, address: SocketAddr) -> Option<u64> {
-    let request = bare(REPORT_PATH, address);
+async fn free_memory_at(
+    engine: &Arc<DaemonEngine>,
+    upstream: &str,
+    address: SocketAddr,
+) -> Option<u64> {
+    let request = empty_request(REPORT_PATH, address);
     let connections = engine.connections();
     let sent = engine.now();
-    let free = match connections.call(address, request, ANSWER_LIMIT, REPORT_PATIENCE).await {
+    let free = match connections.call(address, request, MAX_ANSWER_BYTES, REPORT_TIMEOUT).await {
         Ok(answer) => {
             engine.report_notice(upstream, read_notice(answer.status(), answer.headers()), sent);
             read_free_room(answer.status(), answer.body())
@@ -101,14 +115,14 @@
     .ok()
 }
 
-async fn work(engine: &Arc<DaemonEngine>, order: &BatchOrder) -> BatchOutcome {
+async fn call_batch(engine: &Arc<DaemonEngine>, order: &BatchOrder) -> BatchOutcome {
     let body = work_body(order, engine.now());
-    let request = post(WORK_PATH, order.address, work_headers(&order.process), body);
+    let request = post_request(WORK_PATH, order.address, work_headers(&order.process), body);
     let sent = engine.now();
     let may_write = || engine.now() <= order.write_by;
     let answer = engine
         .connections()
-        .call_while(order.address, request, ANSWER_LIMIT, WORK_PATIENCE, may_write)
+        .call_while(order.address, request, MAX_ANSWER_BYTES, BATCH_TIMEOUT, may_write)
         .await;
     match answer {
         Ok(answer) => {
@@ -125,23 +139,24 @@
     }
 }
 
-async fn free_at(engine: &Arc<DaemonEngine>, maker: SocketAddr, body: Vec<u8>) {
-    let request = post(FREE_PATH, maker, HeaderMap::new(), body);
-    // Results that could not be given up lapse by themselves; until then their room is taken.
-    if let Err(fault) = engine.connections().call(maker, request, ANSWER_LIMIT, FREE_PATIENCE).await
+async fn free_results_at(engine: &Arc<DaemonEngine>, upstream_address: SocketAddr, body: Vec<u8>) {
+    let request = post_request(FREE_PATH, upstream_address, HeaderMap::new(), body);
+    // Results that could not be freed expire by themselves. Until then they occupy memory.
+    if let Err(fault) =
+        engine.connections().call(upstream_address, request, MAX_ANSWER_BYTES, FREE_TIMEOUT).await
     {
         info!(engine.telemetry.log, "results_not_freed";
-            "address" => maker.to_string(), "cause" => fault.cause);
+            "address" => upstream_address.to_string(), "cause" => fault.cause);
     }
 }
 
-fn post(
+fn post_request(
     path: &'static str,
     address: SocketAddr,
     headers: HeaderMap,
     body: Vec<u8>,
 ) -> Request<Full<Bytes>> {
-    let mut request = bare(path, address);
+    let mut request = empty_request(path, address);
     *request.method_mut() = Method::POST;
     *request.body_mut() = Full::new(Bytes::from(body));
     request.headers_mut().extend(headers);
@@ -150,8 +165,8 @@
     request
 }
 
-/// A question without a body to `address`.
-fn bare(path: &'static str, address: SocketAddr) -> Request<Full<Bytes>> {
+/// Returns a GET request for `path` at `address`, without a body.
+fn empty_request(path: &'static str, address: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = http::Uri::from_static(path);
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -15,21 +15,22 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time for which an idle connection is kept if the other side doesn't say how long it keeps it.
-const IDLE_TIME: Duration = Duration::from_secs(4);
-/// What is taken off the time that the other side says, so that it never closes first.
+/// Time for which an idle connection is kept if the server doesn't state its own idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Margin that is subtracted from the idle timeout that the server states, so that the server never
+/// closes a connection first.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
-/// Idle connections kept to one address.
-const IDLE_CONNECTIONS: usize = 8;
-/// Time for which written bytes may stay unacknowledged before a connection counts as lost.
-const SEND_SILENCE: Duration = Duration::from_millis(2_000);
-/// Pause of a connection after which the other side is asked for a sign of life, and between two
-/// such questions.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
-/// Questions without an answer after which a connection counts as lost.
-const KEEPALIVE_RETRIES: u32 = 2;
-
-/// Connections to one kind of server, kept between requests.
+/// Maximum number of idle connections that are kept to one address.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Time for which sent bytes may stay unacknowledged before a connection counts as lost
+/// (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Idle time of a connection before the first TCP keepalive probe, and the time between two probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of unanswered TCP keepalive probes after which a connection counts as lost.
+const MAX_KEEPALIVE_PROBES: u32 = 2;
+
+/// Pool of HTTP/1.1 connections, which are kept open between requests.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
@@ -37,21 +38,21 @@
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until: Instant,
+    expires: Instant,
 }
 
-/// A connection that one request has to itself.
+/// A connection that is reserved for one request.
 pub struct OpenConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Why a request has no answer.
+/// Reason why a request got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendFault {
-    /// Whether a byte of it may have been written.
+    /// Whether any byte of the request may have been written to the connection.
     pub written: bool,
-    /// What went wrong, for the log.
+    /// Description of the error for the log.
     pub cause: String,
 }
 
@@ -66,48 +67,55 @@
 }
 
 impl ConnectionPool {
-    /// A connection to `address`; with `fresh`, none that was used before.
+    /// Returns an idle connection to `address`, or opens one. With `needs_new` it always opens one.
     ///
     /// # Errors
     ///
-    /// Returns why none can be made; nothing was written then.
+    /// Returns why no connection could be opened. Nothing has been written in this case.
     pub async fn connect(
         &self,
         address: SocketAddr,
-        fresh: bool,
+        needs_new: bool,
     ) -> Result<OpenConnection, SendFault> {
-        if !fresh && let Some(sender) = self.take_idle(address) {
+        if !needs_new && let Some(sender) = self.take_idle(address) {
             return Ok(OpenConnection { address, sender });
         }
         let sender = tokio::time::timeout(CONNECT_TIMEOUT, open(address)).await;
         match sender {
             Ok(Ok(sender)) => Ok(OpenConnection { address, sender }),
             Ok(Err(fault)) => Err(SendFault::unwritten(&fault)),
-            Err(_) => Err(SendFault::unwritten(&"no connection in time")),
+            Err(_) => Err(SendFault::unwritten(&"the connection did not open before the timeout")),
         }
     }
 
-    /// Keeps a connection whose last answer, with these `headers`, was read to its end, unless
-    /// `most` are kept to its address.
-    pub fn give_back(&self, connection: OpenConnection, headers: &HeaderMap, most: usize) {
-        let Some(kept) = idle_time(headers) else { return };
+    /// Returns a connection to the pool after its last answer, with these `headers`, was read to its
+    /// end. The connection is closed instead if `max_idle` idle ones are already kept to its
+    /// address, or if the headers forbid to keep it.
+    pub fn return_connection(
+        &self,
+        connection: OpenConnection,
+        headers: &HeaderMap,
+        max_idle: usize,
+    ) {
+        let Some(keep_time) = idle_timeout(headers) else { return };
         let mut idle = lock(&self.idle);
-        let kept_there = idle.entry(connection.address).or_default();
-        if kept_there.len() < most.min(IDLE_CONNECTIONS) {
-            let until = Instant::now() + kept;
-            kept_there.push(IdleConnection { sender: connection.sender, until });
+        let address_idle = idle.entry(connection.address).or_default();
+        if address_idle.len() < max_idle.min(MAX_IDLE_CONNECTIONS) {
+            let expires = Instant::now() + keep_time;
+            address_idle.push(IdleConnection { sender: connection.sender, expires });
         }
     }
 
     /// Closes all idle connections to `address`.
     ///
-    /// Guards against a path that has lost track of its connections: they stay silent for good
-    /// while new ones work, and each idle one would cost another request its time.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Guards against a network device that has lost its connection state. Established connections
+    /// then stay silent while new ones work, and each idle one would make another request time out.
+    pub fn close_idle(&self, address: SocketAddr) {
         lock(&self.idle).remove(&address);
     }
 
-    /// Sends a request and reads its whole answer, up to `limit` bytes, within `patience`.
+    /// Sends a request and reads the complete answer, which may have `max_bytes` bytes and take
+    /// `timeout`.
     ///
     /// # Errors
     ///
@@ -116,13 +124,14 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        limit: usize,
-        patience: Duration,
+        max_bytes: usize,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, SendFault> {
-        self.call_while(address, request, limit, patience, || true).await
+        self.call_while(address, request, max_bytes, timeout, || true).await
     }
 
-    /// Does what [`ConnectionPool::call`] does, if `may_write` holds once there is a connection.
+    /// Like [`ConnectionPool::call`], but sends the request only if `may_write` returns true once
+    /// the connection is open.
     ///
     /// # Errors
     ///
@@ -131,38 +140,40 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        limit: usize,
-        patience: Duration,
+        max_bytes: usize,
+        timeout: Duration,
         may_write: impl Fn() -> bool,
     ) -> Result<Response<Bytes>, SendFault> {
         let exchange = async {
             let mut connection = self.connect(address, false).await?;
             if !may_write() {
-                return Err(SendFault::unwritten(&"chosen too long ago"));
+                return Err(SendFault::unwritten(
+                    &"the upstream was chosen too long ago to send the request",
+                ));
             }
             let (parts, body) = connection.send(request).await?.into_parts();
-            let body = Limited::new(body, limit).collect().await;
+            let body = Limited::new(body, max_bytes).collect().await;
             let body = body.map_err(|fault| SendFault::broken(&fault))?.to_bytes();
-            self.give_back(connection, &parts.headers, IDLE_CONNECTIONS);
+            self.return_connection(connection, &parts.headers, MAX_IDLE_CONNECTIONS);
             Ok(Response::from_parts(parts, body))
         };
-        match tokio::time::timeout(patience, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
             Err(_) => {
-                self.forget(address);
-                Err(SendFault::broken(&"no answer in time"))
+                self.close_idle(address);
+                Err(SendFault::broken(&"the answer did not arrive before the timeout"))
             }
         }
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = lock(&self.idle);
-        let kept = idle.get_mut(&address)?;
+        let address_idle = idle.get_mut(&address)?;
         let now = Instant::now();
-        kept.retain(|each| each.until > now && !each.sender.is_closed());
-        // A connection whose last answer is not quite dealt with would make the request wait.
-        let ready = kept.iter().rposition(|each| each.sender.is_ready())?;
-        Some(kept.swap_remove(ready).sender)
+        address_idle.retain(|entry| entry.expires > now && !entry.sender.is_closed());
+        // A connection that has not yet finished its last exchange would delay the request.
+        let ready_index = address_idle.iter().rposition(|entry| entry.sender.is_ready())?;
+        Some(address_idle.swap_remove(ready_index).sender)
     }
 }
 
@@ -173,7 +184,7 @@
 }
 
 impl OpenConnection {
-    /// Sends a request; returns the answer once its head has come.
+    /// Sends a request and returns the answer once its head has arrived. The body is still unread.
     ///
     /// # Errors
     ///
@@ -184,7 +195,7 @@
     ) -> Result<Response<Incoming>, SendFault> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
-            // The library gives the request back only if it has written nothing of it.
+            // Hyper returns the request in its error only if no byte of it was written.
             Err(mut fault) => match fault.take_message() {
                 Some(_) => Err(SendFault::unwritten(&fault.error())),
                 None => Err(SendFault::broken(&fault.error())),
@@ -197,31 +208,33 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(SEND_SILENCE))?;
-    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
-    socket.set_tcp_keepalive(&keepalive.with_retries(KEEPALIVE_RETRIES))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let keepalive =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive.with_retries(MAX_KEEPALIVE_PROBES))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // The task ends with the connection, which ends once its sender and its answer are dropped.
+    // This task drives the connection. It ends once the sender and the answer are dropped.
     tokio::spawn(connection);
     Ok(sender)
 }
 
-/// Time for which a connection may be kept after an answer with `headers`; `None` if it may not.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
-    let closes = headers
+/// Time for which a connection may be kept idle after an answer with `headers`. `None` means that
+/// it must be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let is_closing = headers
         .get_all(header::CONNECTION)
         .iter()
         .any(|value| value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close")));
-    if closes {
+    if is_closing {
         return None;
     }
-    let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let stated = stated.and_then(|text| {
+    let server_timeout = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let server_timeout = server_timeout.and_then(|text| {
         let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
         timeout?.trim().parse().ok()
     });
-    match stated.map(Duration::from_secs) {
-        Some(stated) => stated.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero()),
-        None => Some(IDLE_TIME),
+    match server_timeout.map(Duration::from_secs) {
+        Some(timeout) => timeout.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero()),
+        None => Some(DEFAULT_IDLE_TIMEOUT),
     }
 }
--- a/crates/crocusdaled/src/upstream/mod.rs
+++ b/crates/crocusdaled/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Calls of upstreams.
+//! Clients that call upstreams, and the connections that they use.
 
 mod answer_reader;
 mod batch_client;
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -17,19 +17,20 @@
 use super::answer_reader::{ATTEMPT_HEADER, read_answer};
 use crate::engine::DaemonEngine;
 
-/// Time to open a connection to an upstream.
+/// Time within which a connection to an upstream must open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Idle connections kept to one upstream.
-const IDLE_CONNECTIONS: usize = 64;
-/// Time after which an idle connection is closed; upstreams keep theirs for longer.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+/// Maximum number of idle connections that are kept to one upstream.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Time after which an idle connection is closed. It is shorter than the idle timeout of the
+/// upstreams, so that they don't close a connection that is about to be reused.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Header with the time left, in milliseconds.
+/// Request header with the time left until the deadline, in milliseconds.
 const DEADLINE_HEADER: &str = "x-crocusdale-deadline-ms";
-/// Header with the priority level.
+/// Request header with the priority level of the request.
 const PRIORITY_HEADER: &str = "x-crocusdale-priority";
 
-/// Calls upstreams; dropping a call closes its connection.
+/// HTTP client for JSON calls to upstreams. Aborting a call closes its connection.
 #[derive(Default)]
 pub struct UpstreamClient {
     clients: Mutex<HashMap<String, Client>>,
@@ -37,7 +38,8 @@
 }
 
 impl UpstreamClient {
-    /// Carries `order` out; what the upstream does goes to the core.
+    /// Sends the request of `order` to its upstream, and passes the events of the attempt to the
+    /// core.
     pub fn send(&self, engine: &Arc<DaemonEngine>, order: JsonCallOrder) {
         let attempt = order.attempt;
         let Some(client) = self.client_for(&order) else {
@@ -45,7 +47,8 @@
             return;
         };
         let task_engine = Arc::clone(engine);
-        // The table is locked until the task stands in it, so that the task can't end first.
+        // The table stays locked until the task is registered, so that the task can't remove its
+        // entry before the entry is inserted.
         let mut open = lock(&self.open);
         let task = tokio::spawn(async move {
             let end = call(&task_engine, &client, order).await;
@@ -55,7 +58,7 @@
         open.insert(attempt, task.abort_handle());
     }
 
-    /// Gives up a call, and closes its connection.
+    /// Aborts the call of `attempt` and closes its connection.
     pub fn cancel(&self, attempt: AttemptId) {
         if let Some(task) = lock(&self.open).remove(&attempt) {
             task.abort();
@@ -64,9 +67,9 @@
 
     /// Closes all idle connections to `upstream`.
     ///
-    /// Guards against a path that has lost track of its connections: they stay silent for good
-    /// while new ones work, and each idle one would cost another attempt its time.
-    pub fn distrust(&self, upstream: &str) {
+    /// Guards against a network device that has lost its connection state. Established connections
+    /// then stay silent while new ones work, and each idle one would make another attempt time out.
+    pub fn close_idle(&self, upstream: &str) {
         lock(&self.clients).remove(upstream);
     }
 
@@ -78,7 +81,7 @@
         if let Some(client) = clients.get(&order.upstream) {
             return Some(client.clone());
         }
-        let client = build_client(IDLE_CONNECTIONS)?;
+        let client = build_client(MAX_IDLE_CONNECTIONS)?;
         clients.insert(order.upstream.clone(), client.clone());
         Some(client)
     }
@@ -91,10 +94,10 @@
 }
 
 async fn call(engine: &Arc<DaemonEngine>, client: &Client, order: JsonCallOrder) -> AttemptEvent {
-    let left = engine.clock.time_until(order.expires);
-    // The process may have been paused since the core decided; after the deadline nothing is
-    // written any more.
-    if left.is_zero() {
+    let time_left = engine.clock.time_until(order.expires);
+    // The process may have been paused since the core created the order. No request may be sent
+    // after its deadline.
+    if time_left.is_zero() {
         return AttemptEvent::NotSent;
     }
     let response = client
@@ -102,7 +105,7 @@
         .address(order.address)
         .header(http::header::CONTENT_TYPE, "application/json")
         .header(ATTEMPT_HEADER, order.attempt.to_string())
-        .header(DEADLINE_HEADER, left.as_millis().to_string())
+        .header(DEADLINE_HEADER, time_left.as_millis().to_string())
         .header(PRIORITY_HEADER, order.level.to_string())
         .body(Body::from(order.body.clone()))
         .send()
@@ -125,12 +128,12 @@
     read_answer(engine, order, response).await
 }
 
-/// Whether no byte of the request was written: the connection was never made, or closed before
-/// the request was taken up.
+/// Whether no byte of the request was written, because the connection could not be opened or was
+/// closed before the request was started.
 ///
-/// The client reports a connection that could not be made with the same kind as a request that
-/// broke off; only its source tells them apart. Making a connection fails with the error of the
-/// system itself, sending over one with an error of hyper.
+/// The client reports a failed connect and an interrupted request with the same error kind. Only
+/// the error source tells them apart: a failed connect has an `std::io::Error`, an interrupted
+/// request a `hyper::Error`.
 fn is_unsent(error: &ClientError) -> bool {
     if matches!(error.kind(), ErrorKind::Connect | ErrorKind::Builder) {
         return true;
@@ -140,9 +143,9 @@
         || source.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_canceled)
 }
 
-pub(super) fn build_client(idle: usize) -> Option<Client> {
+pub(super) fn build_client(max_idle: usize) -> Option<Client> {
     let mut builder = ClientBuilder::new();
     builder.set_connect_timeout(CONNECT_TIMEOUT);
-    builder.set_max_idle_per_host(idle).set_pool_idle_timeout(IDLE_TIME);
+    builder.set_max_idle_per_host(max_idle).set_pool_idle_timeout(IDLE_TIMEOUT);
     builder.build().ok()
 }
--- a/crates/crocusdaled/src/upstream/upstream_probe.rs
+++ b/crates/crocusdaled/src/upstream/upstream_probe.rs
@@ -9,20 +9,24 @@
 
 use crate::engine::DaemonEngine;
 
-/// Time in which a process that ends closes its sockets, one after the other.
-const CLOSING: Duration = Duration::from_millis(10);
+/// Delay before a probe. An ending process closes its sockets one after the other, so its listening
+/// socket may still accept connections for a moment.
+const SOCKET_CLOSE_DELAY: Duration = Duration::from_millis(10);
 
-/// Finds out whether `upstream` still takes connections at `address`, and tells the core.
+/// Tests whether `upstream` still accepts connections at `address`, and reports the result to the
+/// core.
 ///
-/// The connection is closed unused. Only a refusal proves an end: silence may be that of a path which
-/// this daemon alone has lost, and then all that it has sent anywhere seems to have broken off.
+/// The connection is closed unused. Only a refused connection proves that the process has ended. A
+/// timeout may come from a network fault of this daemon alone, in which case every request that it
+/// has sent seems to have failed.
 pub fn probe_upstream(engine: &Arc<DaemonEngine>, upstream: String, address: SocketAddr) {
     let engine = Arc::clone(engine);
     tokio::spawn(async move {
-        tokio::time::sleep(CLOSING).await;
-        let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        tokio::time::sleep(SOCKET_CLOSE_DELAY).await;
+        let connect_result =
+            tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let has_ended = matches!(
-            opened, Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused
+            connect_result, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused
         );
         engine.handle_event(DaemonEvent::UpstreamProbed { upstream, has_ended });
     });
