--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -166,7 +166,7 @@
                 self.relays.cancel(attempt);
             }
             Command::Relay(order) => self.relays.send(self, order),
-            Command::ReleaseAnswer { call: _, attempt } => self.relays.pass_on(attempt),
+            Command::ReleaseAnswer { call: _, attempt } => self.relays.release_answer(attempt),
             Command::CallBatch(order) => self.batches.call(self, order),
             Command::CancelBatch(batch) => self.batches.cancel(batch),
             Command::FreeResults { results, excluded } => {
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -27,7 +27,7 @@
 use crate::http::{BodyFault, read_caller_body};
 use crate::service::OpenCall;
 
-/// Passes callers' requests through to upstreams.
+/// HTTP service that forwards callers' requests to upstreams.
 #[derive(Clone, Debug)]
 pub struct ForwardService {
     engine: Arc<DaemonEngine>,
@@ -35,26 +35,26 @@
     body_time: Duration,
 }
 
-/// The answer that a caller gets broke off.
+/// Error that ends the body of a caller's answer early, so that the caller sees it as incomplete.
 #[derive(Clone, Copy, Debug)]
-struct AnswerBrokenOff;
+struct IncompleteAnswer;
 
-impl std::fmt::Display for AnswerBrokenOff {
+impl std::fmt::Display for IncompleteAnswer {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the answer broke off")
+        formatter.write_str("the answer ended before it was complete")
     }
 }
 
-impl std::error::Error for AnswerBrokenOff {}
+impl std::error::Error for IncompleteAnswer {}
 
 impl ForwardService {
-    /// Serves callers of `engine` within `limits`.
+    /// Creates a service for callers of `engine`, with the body size and time limits of `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
         Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
     }
 
-    /// Routes of callers: every path of every host.
+    /// Returns a router that forwards every path of every host.
     pub fn router(self) -> Router {
         Router::new().fallback(async move |request: Request| self.serve(request).await)
     }
@@ -90,8 +90,8 @@
     }
 
     async fn read(&self, body: Body) -> Result<Bytes, RefusalReason> {
-        let declared = self.engine.core.caller_limits().map_or(0, |limits| limits.body_bytes);
-        let limit = self.body_bytes.max(declared);
+        let declared_bytes = self.engine.core.caller_limits().map_or(0, |limits| limits.body_bytes);
+        let limit = self.body_bytes.max(declared_bytes);
         let read = tokio::time::timeout(self.body_time, read_caller_body(body, limit));
         match read.await {
             Ok(Ok(body)) => Ok(body),
@@ -105,7 +105,8 @@
         let RelayedAnswer { status, headers, body } = answer;
         let body = match body {
             RelayBody::Whole(bytes) => {
-                // The core hears of the end from the attempt; the call needs nothing more.
+                // The attempt reports its end to the core, so the call must not report a caller
+                // that disconnected.
                 call.finish();
                 Body::from(bytes)
             }
@@ -127,7 +128,7 @@
         response
     }
 
-    /// Callers of a daemon that drains are told to connect elsewhere.
+    /// Adds `connection: close` while the daemon drains, so that callers connect to another daemon.
     fn mark_leaving(&self, response: &mut Response) {
         if self.engine.core.is_leaving() {
             let close = HeaderValue::from_static("close");
@@ -136,62 +137,66 @@
     }
 }
 
-/// Digest of what a caller sends again when it repeats its request; fields of the head may differ.
+/// Returns the digest of the method, target and body, which a caller repeats when it retries a
+/// request. Headers are left out, as they may differ between tries.
 fn content_digest(parts: &Parts, body: &[u8]) -> RequestDigest {
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
     RequestDigest::of(&[parts.method.as_str().as_bytes(), target.as_bytes(), body])
 }
 
-/// Events of an answer on their way to the caller.
-struct EventFlow {
+/// The events of a streamed answer that are sent to the caller.
+struct EventStream {
     call: OpenCall,
     events: mpsc::Receiver<Bytes>,
-    /// Whether the core has said that the request was answered.
-    whole: bool,
+    /// Whether the core has confirmed that the request was answered completely.
+    is_complete: bool,
 }
 
-impl EventFlow {
-    /// The next event; `None` at the end of a whole answer.
-    async fn next(&mut self) -> Result<Option<Bytes>, AnswerBrokenOff> {
-        while !self.whole {
+impl EventStream {
+    /// Waits for the next event. Returns `None` at the end of a complete answer.
+    async fn next(&mut self) -> Result<Option<Bytes>, IncompleteAnswer> {
+        while !self.is_complete {
             tokio::select! {
                 biased;
                 event = self.events.recv() => match event {
                     Some(event) => return Ok(Some(event)),
                     None => {
                         let reply = self.call.next().await;
-                        self.take_end(reply)?;
+                        self.handle_end(reply)?;
                     }
                 },
-                reply = self.call.next() => self.take_end(reply)?,
+                reply = self.call.next() => self.handle_end(reply)?,
             }
         }
-        // What was sent before the end is still on its way.
+        // Events that were sent before the end may still be in the channel.
         Ok(self.events.recv().await)
     }
 
-    fn take_end(&mut self, reply: Option<CallReply>) -> Result<(), AnswerBrokenOff> {
+    fn handle_end(&mut self, reply: Option<CallReply>) -> Result<(), IncompleteAnswer> {
         match reply {
             Some(CallReply::Final(answer)) if answer.kind == OutcomeKind::Answered => {
-                // The last event was sent before the core heard of the end. Closed here, the answer
-                // ends with it, whoever else still holds the other end of the way.
-                self.whole = true;
+                // The last event was sent before the core learned of the end. The receiver is
+                // closed here, so that the answer ends after that event even if a sender still
+                // exists.
+                self.is_complete = true;
                 self.events.close();
                 Ok(())
             }
-            _ => Err(AnswerBrokenOff),
+            _ => Err(IncompleteAnswer),
         }
     }
 }
 
-/// A body of events as they come. It ends whole only after the core has said that the request was
-/// answered; otherwise it breaks off, so that a part never looks like the whole.
+/// Returns a body that streams events as they arrive.
+///
+/// The body ends without an error only after the core has confirmed that the request was answered.
+/// Otherwise it ends with an error, so that a partial answer never looks like a complete one.
 fn event_body(call: OpenCall, events: mpsc::Receiver<Bytes>) -> Body {
-    let flow = EventFlow { call, events, whole: false };
-    let frames = stream::unfold(Some(flow), |flow| async move {
-        let mut flow = flow?;
-        match flow.next().await {
-            Ok(Some(event)) => Some((Ok(Frame::data(event)), Some(flow))),
+    let event_stream = EventStream { call, events, is_complete: false };
+    let frames = stream::unfold(Some(event_stream), |event_stream| async move {
+        let mut event_stream = event_stream?;
+        match event_stream.next().await {
+            Ok(Some(event)) => Some((Ok(Frame::data(event)), Some(event_stream))),
             Ok(None) => None,
             Err(fault) => Some((Err::<_, BoxError>(fault.into()), None)),
         }
--- a/crates/crocusdaled/src/forwarding/mod.rs
+++ b/crates/crocusdaled/src/forwarding/mod.rs
@@ -1,6 +1,7 @@
-//! Callers' requests that are passed through to upstreams, and what comes back.
+//! Forwarding of callers' requests to upstreams, and of the answers back to the callers.
 //!
-//! The core decides by heads, the ids of events and ends; bodies stay here.
+//! The core decides by the heads of requests and answers, by event ids and by how attempts end. It
+//! never sees the bodies.
 
 mod event_reader;
 mod forward_service;
--- a/crates/crocusdaled/src/forwarding/relay_call.rs
+++ b/crates/crocusdaled/src/forwarding/relay_call.rs
@@ -6,42 +6,43 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use tokio::sync::mpsc;
 
-/// Events that wait for a slow caller before its upstream waits too.
-const EVENTS_AHEAD: usize = 16;
+/// Maximum number of events that are buffered for a slow caller. Beyond it the upstream is no
+/// longer read, which applies backpressure to it.
+const MAX_BUFFERED_EVENTS: usize = 16;
 
-/// A caller's request that is passed through, for as long as its call is open.
+/// A caller's request that is forwarded, kept for as long as its call is open.
 #[derive(Debug)]
 pub(super) struct RelayCall {
     pub(super) method: Method,
     pub(super) uri: Uri,
-    /// Fields that go on to upstreams.
+    /// Request headers that are forwarded to upstreams.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Identity that the caller gave the request.
+    /// Attempt id that the caller gave the request.
     pub(super) attempt: String,
-    /// Events that the caller has.
+    /// Ids of the events that the caller has already received.
     pub(super) sequence: Mutex<EventSequence>,
-    /// Where events go, from the first answer that is passed on.
+    /// Sender of events to the caller. `None` until the first answer is forwarded.
     events: Mutex<Option<mpsc::Sender<Bytes>>>,
 }
 
-/// An upstream's answer on its way to the caller.
+/// An upstream's answer that is forwarded to the caller.
 #[derive(Debug)]
 pub struct RelayedAnswer {
-    /// Its status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Its fields.
+    /// Response headers for the caller.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the answer, complete or as a stream of events.
     pub body: RelayBody,
 }
 
-/// Body of an upstream's answer.
+/// Body of an upstream's answer, complete or streamed.
 #[derive(Debug)]
 pub enum RelayBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Events as they come.
+    /// Server-sent events in the order in which they arrive from the upstream.
     Events(mpsc::Receiver<Bytes>),
 }
 
@@ -57,21 +58,21 @@
         Self { method, uri, headers, body, attempt, sequence, events: Mutex::new(None) }
     }
 
-    /// Opens the way for events to the caller: returns its other end at the first answer, and
-    /// none at one that takes the stream up again.
+    /// Returns the sender of events to the caller. The receiver comes with it for the first answer
+    /// only, and is `None` for an answer that resumes the stream.
     pub(super) fn open_events(&self) -> (mpsc::Sender<Bytes>, Option<mpsc::Receiver<Bytes>>) {
         let mut events = lock(&self.events);
         if let Some(sender) = &*events {
             return (sender.clone(), None);
         }
-        let (sender, receiver) = mpsc::channel(EVENTS_AHEAD);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
         *events = Some(sender.clone());
         (sender, Some(receiver))
     }
 
-    /// Last event that the caller has, if an upstream must go on behind it.
+    /// Id of the last event that the caller has received, if an answer has to resume after it.
     pub(super) fn resume_after(&self) -> Option<u64> {
-        let begun = lock(&self.events).is_some();
-        lock(&self.sequence).last().filter(|_| begun)
+        let has_started = lock(&self.events).is_some();
+        lock(&self.sequence).last().filter(|_| has_started)
     }
 }
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -23,67 +23,70 @@
 use crate::engine::{CallReply, DaemonEngine};
 use crate::upstream::SendFault;
 
-/// Largest answer that is no stream, in bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Largest answer without a stream that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Passes callers' requests to upstreams.
+/// Client that forwards callers' requests to upstreams.
 #[derive(Debug, Default)]
 pub struct RelayClient {
     calls: Mutex<HashMap<CallId, Arc<RelayCall>>>,
     attempts: Mutex<HashMap<AttemptId, OpenRelay>>,
 }
 
-/// An attempt that has not ended.
+/// A running attempt to forward a request.
 #[derive(Debug)]
 struct OpenRelay {
     task: AbortHandle,
-    /// Tells the attempt that its answer is wanted.
-    pass_on: Option<oneshot::Sender<()>>,
+    /// Tells the attempt to forward its answer. `None` once this was done.
+    release_sender: Option<oneshot::Sender<()>>,
 }
 
 impl RelayClient {
-    /// Keeps the request of `call` until its final answer.
+    /// Stores the request of `call` until the call is closed.
     pub(super) fn open(&self, call: CallId, request: RelayCall) {
         lock(&self.calls).insert(call, Arc::new(request));
     }
 
-    /// Forgets the request of `call`.
+    /// Removes the request of `call`.
     pub fn close(&self, call: CallId) {
         lock(&self.calls).remove(&call);
     }
 
-    /// Carries `order` out; what the upstream does goes to the core.
+    /// Starts the attempt that `order` describes, and passes its events to the core.
     pub fn send(&self, engine: &Arc<DaemonEngine>, order: ForwardOrder) {
         let attempt = order.attempt;
         let Some(call) = lock(&self.calls).get(&attempt.call).cloned() else {
             engine.handle_event(DaemonEvent::Attempt { attempt, event: AttemptEvent::NotSent });
             return;
         };
-        let (pass_on, wanted) = oneshot::channel();
+        let (release_sender, release_receiver) = oneshot::channel();
         let task_engine = Arc::clone(engine);
-        // The table is locked until the task stands in it, so that the task can't end first.
+        // The table stays locked until the task is registered, so that the task can't remove its
+        // entry before the entry is inserted.
         let mut attempts = lock(&self.attempts);
         let task = tokio::spawn(async move {
-            let end = relay(&task_engine, &call, &order, wanted).await;
+            let end_event = relay(&task_engine, &call, &order, release_receiver).await;
             lock(&task_engine.relays().attempts).remove(&attempt);
-            if let Some(event) = end {
+            if let Some(event) = end_event {
                 task_engine.handle_event(DaemonEvent::Attempt { attempt, event });
             }
         });
         let task = task.abort_handle();
-        attempts.insert(attempt, OpenRelay { task, pass_on: Some(pass_on) });
+        attempts.insert(attempt, OpenRelay { task, release_sender: Some(release_sender) });
     }
 
-    /// Passes the answer of an attempt on to its caller.
-    pub fn pass_on(&self, attempt: AttemptId) {
-        let waiting = lock(&self.attempts).get_mut(&attempt).and_then(|each| each.pass_on.take());
-        if let Some(waiting) = waiting {
-            // An attempt that is gone has said so to the core.
-            let _ = waiting.send(());
+    /// Lets an attempt forward its answer to the caller.
+    pub fn release_answer(&self, attempt: AttemptId) {
+        let release_sender = lock(&self.attempts)
+            .get_mut(&attempt)
+            .and_then(|open_relay| open_relay.release_sender.take());
+        if let Some(release_sender) = release_sender {
+            // If the attempt has ended, it has already reported its end to the core.
+            let _ = release_sender.send(());
         }
     }
 
-    /// Gives an attempt up, and closes its connection.
+    /// Aborts an attempt and closes its connection.
     pub fn cancel(&self, attempt: AttemptId) {
         if let Some(open) = lock(&self.attempts).remove(&attempt) {
             open.task.abort();
@@ -91,12 +94,13 @@
     }
 }
 
-/// Makes one attempt; returns how it ended, unless the core knows already.
+/// Runs one attempt. Returns the event that ends the attempt, or `None` if the core has dropped the
+/// attempt already.
 async fn relay(
     engine: &Arc<DaemonEngine>,
     call: &RelayCall,
     order: &ForwardOrder,
-    wanted: oneshot::Receiver<()>,
+    release_receiver: oneshot::Receiver<()>,
 ) -> Option<AttemptEvent> {
     let attempt = order.attempt;
     let pool = engine.connections();
@@ -104,13 +108,13 @@
         Ok(connection) => connection,
         Err(fault) => return Some(send_failed(engine, call, order, &fault)),
     };
-    let left = engine.clock.time_until(order.expires);
-    // The process may have been paused since the core decided; after the deadline nothing is
-    // written any more, nor to an upstream that may have left since it was chosen.
-    if left.is_zero() || engine.now() > order.write_by {
+    let time_left = engine.clock.time_until(order.expires);
+    // The process may have been paused since the core created the order. No request may be sent
+    // after its deadline, or to an upstream that may have shut down since it was chosen.
+    if time_left.is_zero() || engine.now() > order.write_by {
         return Some(AttemptEvent::NotSent);
     }
-    let headers = request_headers(&call.headers, order, left, call.resume_after());
+    let headers = request_headers(&call.headers, order, time_left, call.resume_after());
     let sent = engine.now();
     let response = match connection.send(request(call, headers)).await {
         Ok(response) => response,
@@ -122,46 +126,46 @@
         return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
     engine.report_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
-    let success = parts.status.is_success();
-    if head.head.execution == ExecutionStatus::Ran && success && !head.signed {
+    let is_success = parts.status.is_success();
+    if head.head.execution == ExecutionStatus::Ran && is_success && !head.signed {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
-    if success && head.is_stream {
+    if is_success && head.is_stream {
         engine.handle_event(DaemonEvent::Attempt {
             attempt,
             event: AttemptEvent::HeadReceived(head.head),
         });
-        wanted.await.ok()?;
+        release_receiver.await.ok()?;
         let events = open_events(engine, call, attempt.call, parts.status, head);
-        let mut pump = EventPump { engine, call, attempt, events, flowing: false };
-        let end = pump.run(body).await;
-        if matches!(end, AttemptEvent::ResponseForwarded) {
+        let mut forwarder = EventForwarder { engine, call, attempt, events, has_started: false };
+        let end_event = forwarder.run(body).await;
+        if matches!(end_event, AttemptEvent::ResponseForwarded) {
             pool.return_connection(connection, &parts.headers, order.kept_connections);
         }
-        return Some(end);
+        return Some(end_event);
     }
-    let Ok(body) = Limited::new(body, ANSWER_LIMIT).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_ANSWER_BYTES).collect().await else {
         return Some(AttemptEvent::Broken(BreakReason::Cut));
     };
     let body = body.to_bytes();
     pool.return_connection(connection, &parts.headers, order.kept_connections);
     if head.head.execution != ExecutionStatus::Ran {
-        // Nobody ever wants this answer passed on. An attempt that waited for it would keep its
-        // call, and with it the way of another attempt's events to the caller, open for good.
+        // The core never forwards an answer without execution. An attempt that waited for this
+        // would keep its call, and the event channel of another attempt, open forever.
         return Some(AttemptEvent::HeadReceived(head.head));
     }
     engine.handle_event(DaemonEvent::Attempt {
         attempt,
         event: AttemptEvent::HeadReceived(head.head),
     });
-    wanted.await.ok()?;
+    release_receiver.await.ok()?;
     let (status, headers) = (parts.status, head.headers);
     let answer = RelayedAnswer { status, headers, body: RelayBody::Whole(body) };
     engine.send_reply(attempt.call, CallReply::Relayed(answer));
     Some(AttemptEvent::ResponseForwarded)
 }
 
-/// What it means for an attempt that its request has no answer; the cause goes to the log.
+/// Logs the cause of a failed send, and returns the event with which the attempt ends.
 fn send_failed(
     engine: &DaemonEngine,
     call: &RelayCall,
@@ -178,13 +182,13 @@
     let path = call.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
-    // A path that a caller could send can be sent on.
+    // The path was parsed from the caller's request, so it is valid here as well.
     *request.uri_mut() = path.parse().unwrap_or_default();
     *request.headers_mut() = headers;
     request
 }
 
-/// Opens the way for events to the caller; at the first answer the caller gets its head.
+/// Opens the event channel to the caller. For the first answer the caller also gets the head.
 fn open_events(
     engine: &Arc<DaemonEngine>,
     call: &RelayCall,
@@ -201,36 +205,37 @@
     events
 }
 
-/// Passes the events of one answer on.
-struct EventPump<'a> {
+/// Forwards the events of one streamed answer to the caller.
+struct EventForwarder<'a> {
     engine: &'a Arc<DaemonEngine>,
     call: &'a RelayCall,
     attempt: AttemptId,
     events: mpsc::Sender<Bytes>,
-    flowing: bool,
+    has_started: bool,
 }
 
-impl EventPump<'_> {
+impl EventForwarder<'_> {
     async fn run(&mut self, mut body: Incoming) -> AttemptEvent {
         let mut reader = EventReader::default();
         loop {
             let frame = match body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return AttemptEvent::Broken(BreakReason::Cut),
-                None if reader.has_rest() => return AttemptEvent::Broken(BreakReason::Cut),
+                None if reader.has_partial() => return AttemptEvent::Broken(BreakReason::Cut),
                 None => return AttemptEvent::ResponseForwarded,
             };
             if let Some(bytes) = frame.data_ref() {
                 reader.push(bytes);
             }
-            if let Some(end) = self.pass_events(&mut reader).await {
-                return end;
+            if let Some(end_event) = self.forward_events(&mut reader).await {
+                return end_event;
             }
         }
     }
 
-    /// Passes on whole events that have come; returns the end of the attempt if one is wrong.
-    async fn pass_events(&mut self, reader: &mut EventReader) -> Option<AttemptEvent> {
+    /// Forwards the whole events that have arrived. Returns the event that ends the attempt if one
+    /// of them can't be forwarded.
+    async fn forward_events(&mut self, reader: &mut EventReader) -> Option<AttemptEvent> {
         loop {
             let event = match reader.next_event() {
                 Ok(Some(event)) => event,
@@ -246,11 +251,11 @@
                 }
             }
             if self.events.send(event.bytes).await.is_err() {
-                // The caller is gone; its call says so to the core.
+                // The caller has disconnected, which its call reports to the core.
                 return Some(AttemptEvent::Broken(BreakReason::CallerDisconnected));
             }
-            if !self.flowing {
-                self.flowing = true;
+            if !self.has_started {
+                self.has_started = true;
                 let event = AttemptEvent::StreamStarted;
                 self.engine.handle_event(DaemonEvent::Attempt { attempt: self.attempt, event });
             }
--- a/crates/crocusdaled/src/http/body_reader.rs
+++ b/crates/crocusdaled/src/http/body_reader.rs
@@ -40,8 +40,8 @@
     read_up_to(&mut body, limit).await
 }
 
-/// Reads the body of a caller's request, up to `limit` bytes. The rest of one that is larger is read
-/// and dropped behind the answer, for three seconds at most.
+/// Reads the body of a caller's request, up to `limit` bytes. The rest of one that is larger is
+/// read and dropped behind the answer, for three seconds at most.
 ///
 /// # Errors
 ///
@@ -65,8 +65,8 @@
 /// Reads the rest of a body and drops it.
 ///
 /// Guards against callers that never see why they were refused: a connection that is closed with
-/// bytes unread is reset, and the reset overtakes the answer. A caller that was still writing sees a
-/// broken pipe, and tries again with the same body.
+/// bytes unread is reset, and the reset overtakes the answer. A caller that was still writing sees
+/// a broken pipe, and tries again with the same body.
 async fn drop_rest(body: Body) {
     let rest = async {
         let (mut body, mut dropped) = (body, 0);
--- a/crates/crocusdaled/src/http/http_listener.rs
+++ b/crates/crocusdaled/src/http/http_listener.rs
@@ -24,8 +24,8 @@
 const SILENCE: Duration = Duration::from_secs(15);
 /// Bytes of a head beyond its declared limit: callers count fields, not the first line.
 const HEAD_MARGIN: usize = 8_192;
-/// Multiple of the declared idle time for which a connection is kept, so that this side never closes
-/// one that its caller still counts on.
+/// Multiple of the declared idle time for which a connection is kept, so that this side never
+/// closes one that its caller still counts on.
 const IDLE_FACTOR: f64 = 1.5;
 /// Time that connections have to finish once the listener stops, unless set.
 const FINISH_TIME: Duration = Duration::from_secs(5);
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -20,9 +20,9 @@
 use crate::engine::DaemonEngine;
 use crate::upstream::{ConnectionPool, SendFault};
 
-/// How long the store may hold a watch of the configuration. A watch only brings a change sooner than
-/// the next reading of everything, so that a silent connection, or a store that has forgotten its
-/// history, does no harm. Each watch is a call that is paid for.
+/// How long the store may hold a watch of the configuration. A watch only brings a change sooner
+/// than the next reading of everything, so that a silent connection, or a store that has forgotten
+/// its history, does no harm. Each watch is a call that is paid for.
 const CONFIGURATION_HOLD: Duration = Duration::from_millis(10_000);
 /// Time beyond the hold for which an answer may take. An answer takes a few milliseconds in calm,
 /// and up to some tenths of a second while the store is slow.
@@ -38,8 +38,8 @@
     connections: Arc<ConnectionPool>,
     /// Position of the store up to which the configuration is known.
     position: Arc<Mutex<StorePosition>>,
-    /// Position of the configuration's item that the last reading gave on. Under the same revision of
-    /// another era may stand another text.
+    /// Position of the configuration's item that the last reading gave on. Under the same revision
+    /// of another era may stand another text.
     given_on: Arc<Mutex<StorePosition>>,
     /// Published upstreams that can't be read.
     unreadable: Arc<UnreadableItems>,
@@ -205,8 +205,8 @@
         Ok(news)
     }
 
-    /// Reads everything. Pages are no snapshot: what changes meanwhile is seen by the next reading, and
-    /// by a watch from the revision of the first page.
+    /// Reads everything. Pages are no snapshot: what changes meanwhile is seen by the next reading,
+    /// and by a watch from the revision of the first page.
     async fn read_whole(&self) -> Result<WholeRead, ReadFault> {
         let (mut items, mut unreadable) = (Vec::new(), Vec::new());
         let mut first: Option<StorePosition> = None;
--- a/crates/crocusdaled/src/telemetry/mod.rs
+++ b/crates/crocusdaled/src/telemetry/mod.rs
@@ -35,8 +35,8 @@
     }
 
     /// Counts a final answer, and logs how its request came to it: by the stages that it went
-    /// through, with upstream, time and attempts each, the stage at which it ended, and the revision
-    /// in force at its end. What the caller sent or was sent stays out of the log.
+    /// through, with upstream, time and attempts each, the stage at which it ended, and the
+    /// revision in force at its end. What the caller sent or was sent stays out of the log.
     pub fn request_ended(&self, answer: &FinalAnswer, revision: u64) {
         self.metrics.count_outcome(answer);
         info!(self.log, "request_ended";
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Returns a connection to the pool after its last answer, with these `headers`, was read to its
-    /// end. The connection is closed instead if `max_idle` idle ones are already kept to its
+    /// Returns a connection to the pool after its last answer, with these `headers`, was read to
+    /// its end. The connection is closed instead if `max_idle` idle ones are already kept to its
     /// address, or if the headers forbid to keep it.
     pub fn return_connection(
         &self,
