--- a/crates/crocusdaled/src/platform/mod.rs
+++ b/crates/crocusdaled/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Reads of the configuration service and the VM list.
+//! Readers of what the platform publishes: configuration, VM list and upstream directory.
 
 mod platform_reader;
 mod service_reader;
--- a/crates/crocusdaled/src/platform/platform_reader.rs
+++ b/crates/crocusdaled/src/platform/platform_reader.rs
@@ -3,17 +3,17 @@
 use super::{ServiceReader, StoreReader};
 use crate::engine::DaemonEngine;
 
-/// Reads what the platform publishes, in whichever way it does.
+/// Reads what the platform publishes, from services or from a key-value store.
 #[derive(Debug)]
 pub enum PlatformReader {
-    /// From a configuration service and a VM list.
+    /// Reads from a configuration service and a VM list service.
     Services(ServiceReader),
-    /// From a store.
+    /// Reads from a key-value store.
     Store(StoreReader),
 }
 
 impl PlatformReader {
-    /// Waits for a configuration other than the one with the revision `known`.
+    /// Waits for a configuration with another revision than `known`, and passes it to the core.
     pub fn watch_configuration(&self, engine: &Arc<DaemonEngine>, known: u64) {
         match self {
             Self::Services(reader) => reader.watch_configuration(engine, known),
@@ -21,18 +21,18 @@
         }
     }
 
-    /// Reads the VM list, if it is newer than `known`.
+    /// Reads the VM list if its revision is newer than `known`, and passes it to the core.
     pub fn read_vm_list(&self, engine: &Arc<DaemonEngine>, known: u64) {
         match self {
             Self::Services(reader) => reader.read_vm_list(engine, known),
-            Self::Store(_) => debug_assert!(false, "a store has no VM list"),
+            Self::Store(_) => debug_assert!(false, "a VM list is only read from services"),
         }
     }
 
-    /// Reads the published upstreams.
+    /// Reads the directory of published upstreams, and passes it to the core.
     pub fn read_directory(&self, engine: &Arc<DaemonEngine>) {
         match self {
-            Self::Services(_) => debug_assert!(false, "upstreams are declared"),
+            Self::Services(_) => debug_assert!(false, "a directory is only read from a store"),
             Self::Store(reader) => reader.read_directory(engine),
         }
     }
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -20,94 +20,96 @@
 use crate::engine::DaemonEngine;
 use crate::upstream::{ConnectionPool, SendFault};
 
-/// How long the store may hold a watch of the configuration. A watch only brings a change sooner
-/// than the next reading of everything, so that a silent connection, or a store that has forgotten
-/// its history, does no harm. Each watch is a call that is paid for.
-const CONFIGURATION_HOLD: Duration = Duration::from_millis(10_000);
-/// Time beyond the hold for which an answer may take. An answer takes a few milliseconds in calm,
-/// and up to some tenths of a second while the store is slow.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(900);
-/// Largest answer of the store, in bytes: a page has about a megabyte, in base64.
-const ANSWER_LIMIT: usize = 8 << 20;
-/// Pages of one reading at most.
-const PAGES: usize = 64;
+/// Time for which the store may hold a watch of the configuration before it answers unchanged.
+///
+/// A watch only reports a change sooner than the next full read. A silent connection, or a store
+/// that has compacted its history, therefore does no harm. Each watch is a billed call.
+const WATCH_HOLD_TIME: Duration = Duration::from_millis(10_000);
+/// Time beyond the hold within which an answer has to arrive. Answers usually take a few
+/// milliseconds, and up to some tenths of a second while the store is slow.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Largest answer of the store that is read, in bytes. A page has about one megabyte, which base64
+/// enlarges.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum number of pages of one full read.
+const MAX_PAGES: usize = 64;
 
-/// Reads what a store publishes.
+/// Client that reads configuration and upstreams from a key-value store.
 pub struct StoreReader {
     store: SocketAddr,
     connections: Arc<ConnectionPool>,
-    /// Position of the store up to which the configuration is known.
+    /// Position of the store from which the next watch starts.
     position: Arc<Mutex<StorePosition>>,
-    /// Position of the configuration's item that the last reading gave on. Under the same revision
-    /// of another era may stand another text.
-    given_on: Arc<Mutex<StorePosition>>,
-    /// Published upstreams that can't be read.
+    /// Position of the configuration item that a full read passed to the core last. It includes the
+    /// era, as a restored store may hold another text under the same revision.
+    last_configuration: Arc<Mutex<StorePosition>>,
+    /// Items that could not be parsed in the last full read.
     unreadable: Arc<UnreadableItems>,
 }
 
-/// A call of the store.
+/// Kind of call to the store, as named in the log.
 #[derive(Clone, Copy, Debug, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 enum StoreCall {
-    /// Reads everything.
+    /// Reads all items.
     Reading,
-    /// Waits for another configuration.
+    /// Waits for a change of the configuration.
     Watch,
 }
 
-/// Why the store could not be read.
+/// Reason why a call to the store failed.
 #[derive(Debug)]
 enum ReadFault {
-    Silent(SendFault),
-    Refused(StatusCode),
-    /// The history that a watch asked for is gone.
-    HistoryGone,
-    /// The store came back from an older copy between two pages.
+    Unanswered(SendFault),
+    UnexpectedStatus(StatusCode),
+    /// The store has compacted the history from which a watch was to start.
+    HistoryCompacted,
+    /// The store was restored from an older copy between two pages.
     Restored,
-    Unreadable(StoreFault),
+    Unparsable(StoreFault),
 }
 
 impl fmt::Display for ReadFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Silent(fault) => formatter.write_str(&fault.cause),
-            Self::Refused(status) => write!(formatter, "status {status}"),
-            Self::HistoryGone => formatter.write_str("the history is gone"),
-            Self::Restored => formatter.write_str("the store came back from an older copy"),
-            Self::Unreadable(fault) => write!(formatter, "unreadable answer: {fault}"),
+            Self::Unanswered(fault) => formatter.write_str(&fault.cause),
+            Self::UnexpectedStatus(status) => write!(formatter, "status {status}, accepted: 200"),
+            Self::HistoryCompacted => formatter.write_str("the history to watch was compacted"),
+            Self::Restored => formatter.write_str("the store was restored between two pages"),
+            Self::Unparsable(fault) => write!(formatter, "the answer can't be parsed: {fault}"),
         }
     }
 }
 
-/// What one reading found.
-struct WholeRead {
-    /// Position of the store.
+/// The items that one full read returned.
+struct StoreContents {
+    /// Position of the store at the first page.
     position: StorePosition,
     items: Vec<StoreItem>,
     unreadable: Vec<StoreFault>,
 }
 
 impl StoreReader {
-    /// Reads from `store`.
+    /// Creates a reader of the store at the address `store`.
     #[must_use]
     pub fn new(store: SocketAddr) -> Self {
         Self {
             store,
             connections: Arc::default(),
             position: Arc::default(),
-            given_on: Arc::default(),
+            last_configuration: Arc::default(),
             unreadable: Arc::default(),
         }
     }
 
-    /// Waits for another configuration than the one that was read last.
+    /// Waits until the configuration changes, and passes the new one to the core.
     pub fn watch_configuration(&self, engine: &Arc<DaemonEngine>) {
-        let (reader, engine) = (self.handle(), Arc::clone(engine));
+        let (reader, engine) = (self.clone_shared(), Arc::clone(engine));
         tokio::spawn(async move {
             let event = match reader.next_configuration().await {
-                Ok(news) => DaemonEvent::ConfigurationWatched(news),
+                Ok(change) => DaemonEvent::ConfigurationWatched(change),
                 Err(fault) => {
-                    reader.report(&engine, StoreCall::Watch, &fault);
+                    reader.log_fault(&engine, StoreCall::Watch, &fault);
                     DaemonEvent::ConfigurationWatchFailed
                 }
             };
@@ -115,14 +117,14 @@
         });
     }
 
-    /// Reads all that is published.
+    /// Reads all published items, and passes them to the core.
     pub fn read_directory(&self, engine: &Arc<DaemonEngine>) {
-        let (reader, engine) = (self.handle(), Arc::clone(engine));
+        let (reader, engine) = (self.clone_shared(), Arc::clone(engine));
         tokio::spawn(async move {
-            let event = match reader.read_whole().await {
+            let event = match reader.read_all().await {
                 Ok(read) => reader.directory_event(read, &engine),
                 Err(fault) => {
-                    reader.report(&engine, StoreCall::Reading, &fault);
+                    reader.log_fault(&engine, StoreCall::Reading, &fault);
                     DaemonEvent::DirectoryReadFailed
                 }
             };
@@ -130,18 +132,18 @@
         });
     }
 
-    fn handle(&self) -> Self {
+    fn clone_shared(&self) -> Self {
         Self {
             store: self.store,
             connections: Arc::clone(&self.connections),
             position: Arc::clone(&self.position),
-            given_on: Arc::clone(&self.given_on),
+            last_configuration: Arc::clone(&self.last_configuration),
             unreadable: Arc::clone(&self.unreadable),
         }
     }
 
-    fn directory_event(&self, read: WholeRead, engine: &DaemonEngine) -> DaemonEvent {
-        let WholeRead { position, items, mut unreadable } = read;
+    fn directory_event(&self, read: StoreContents, engine: &DaemonEngine) -> DaemonEvent {
+        let StoreContents { position, items, mut unreadable } = read;
         let mut entries = Vec::with_capacity(items.len());
         let (mut evacuations, mut cold) = (Vec::new(), Vec::new());
         let mut configuration = None;
@@ -149,8 +151,8 @@
             if let Some(zone) = evacuated_zone(&item.key) {
                 evacuations.push((item.revision, zone.to_owned()));
             } else if is_configuration(&item.key) {
-                match self.news_of(item, position.era) {
-                    Ok(news) => configuration = news,
+                match self.changed_configuration(item, position.era) {
+                    Ok(change) => configuration = change,
                     Err(fault) => unreadable.push(fault),
                 }
             } else if is_upstream(&item.key) {
@@ -163,60 +165,65 @@
                 }
             }
         }
-        // Whatever it holds, the item stands for its zone.
-        let unread = unreadable.iter().filter_map(|fault| evacuated_zone(&fault.key));
-        evacuations.extend(unread.map(|zone| (position.revision, zone.to_owned())));
+        // An evacuation item evacuates its zone by its key, even if its value can't be read.
+        let unreadable_zones = unreadable.iter().filter_map(|fault| evacuated_zone(&fault.key));
+        evacuations.extend(unreadable_zones.map(|zone| (position.revision, zone.to_owned())));
         unreadable.retain(|fault| is_configuration(&fault.key) || is_upstream(&fault.key));
-        self.unreadable.note(&engine.telemetry, unreadable);
-        self.read_up_to(position);
+        self.unreadable.log_new_faults(&engine.telemetry, unreadable);
+        self.advance_position(position);
         DaemonEvent::DirectoryRead { position, entries, evacuations, cold, configuration }
     }
 
-    /// The configuration in `item`, if it is another one than the last reading gave on.
-    fn news_of(&self, item: &StoreItem, era: u64) -> Result<Option<(u64, String)>, StoreFault> {
-        let written = StorePosition { era, revision: item.revision };
-        if *lock(&self.given_on) == written {
+    /// Returns the configuration in `item`, or `None` if the core already got it from a full read.
+    fn changed_configuration(
+        &self,
+        item: &StoreItem,
+        era: u64,
+    ) -> Result<Option<(u64, String)>, StoreFault> {
+        let item_position = StorePosition { era, revision: item.revision };
+        if *lock(&self.last_configuration) == item_position {
             return Ok(None);
         }
-        let news = read_configuration(item)?;
-        *lock(&self.given_on) = written;
-        Ok(Some(news))
+        let change = read_configuration(item)?;
+        *lock(&self.last_configuration) = item_position;
+        Ok(Some(change))
     }
 
-    /// Watches go on from `position`, unless they are beyond it.
-    fn read_up_to(&self, position: StorePosition) {
+    /// Lets the next watch start from `position`, unless a later position is already known.
+    fn advance_position(&self, position: StorePosition) {
         let mut known = lock(&self.position);
         *known = position.max(*known);
     }
 
     async fn next_configuration(&self) -> Result<Option<(u64, String)>, ReadFault> {
         let from = lock(&self.position).revision;
-        let path = watch_path(from, CONFIGURATION_HOLD);
-        let (era, body) = self.get(&path, CONFIGURATION_HOLD + ANSWER_PATIENCE).await?;
-        let read = read_changes(&body).map_err(ReadFault::Unreadable)?;
+        let path = watch_path(from, WATCH_HOLD_TIME);
+        let (era, body) = self.get(&path, WATCH_HOLD_TIME + ANSWER_TIMEOUT).await?;
+        let read = read_changes(&body).map_err(ReadFault::Unparsable)?;
         let StoreChanges { changes, unreadable, revision } = read;
         if let Some(fault) = unreadable.into_iter().find(|fault| is_configuration(&fault.key)) {
-            return Err(ReadFault::Unreadable(fault));
+            return Err(ReadFault::Unparsable(fault));
         }
-        let items = written(changes);
+        let items = written_items(changes);
         let newest = items.iter().rfind(|item| is_configuration(&item.key));
-        let news = newest.map(read_configuration).transpose().map_err(ReadFault::Unreadable)?;
-        self.read_up_to(StorePosition { era, revision });
-        Ok(news)
+        let change = newest.map(read_configuration).transpose().map_err(ReadFault::Unparsable)?;
+        self.advance_position(StorePosition { era, revision });
+        Ok(change)
     }
 
-    /// Reads everything. Pages are no snapshot: what changes meanwhile is seen by the next reading,
-    /// and by a watch from the revision of the first page.
-    async fn read_whole(&self) -> Result<WholeRead, ReadFault> {
+    /// Reads all items, page by page. The pages are no snapshot: an item that changes meanwhile is
+    /// seen by the next full read, and by a watch from the revision of the first page.
+    async fn read_all(&self) -> Result<StoreContents, ReadFault> {
         let (mut items, mut unreadable) = (Vec::new(), Vec::new());
-        let mut first: Option<StorePosition> = None;
+        let mut start_position: Option<StorePosition> = None;
         let mut after: Option<String> = None;
-        for _ in 0..PAGES {
+        for _ in 0..MAX_PAGES {
             let path = range_path(after.as_deref());
-            let (era, body) = self.get(&path, ANSWER_PATIENCE).await?;
-            let page = read_page(&body).map_err(ReadFault::Unreadable)?;
-            let begun = first.get_or_insert(StorePosition { era, revision: page.revision });
-            if begun.era != era {
+            let (era, body) = self.get(&path, ANSWER_TIMEOUT).await?;
+            let page = read_page(&body).map_err(ReadFault::Unparsable)?;
+            let start =
+                start_position.get_or_insert(StorePosition { era, revision: page.revision });
+            if start.era != era {
                 return Err(ReadFault::Restored);
             }
             items.extend(page.items);
@@ -226,26 +233,26 @@
                 break;
             }
         }
-        Ok(WholeRead { position: first.unwrap_or_default(), items, unreadable })
+        Ok(StoreContents { position: start_position.unwrap_or_default(), items, unreadable })
     }
 
-    /// Asks the store; returns its era and the body of its answer.
-    async fn get(&self, path: &str, patience: Duration) -> Result<(u64, Bytes), ReadFault> {
+    /// Sends a request to the store. Returns the era of the store and the body of its answer.
+    async fn get(&self, path: &str, timeout: Duration) -> Result<(u64, Bytes), ReadFault> {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = path.parse().unwrap_or_default();
         if let Ok(host) = HeaderValue::from_str(&self.store.to_string()) {
             request.headers_mut().insert(header::HOST, host);
         }
-        let answer = self.connections.call(self.store, request, ANSWER_LIMIT, patience).await;
-        let answer = answer.map_err(ReadFault::Silent)?;
+        let answer = self.connections.call(self.store, request, MAX_ANSWER_BYTES, timeout).await;
+        let answer = answer.map_err(ReadFault::Unanswered)?;
         match answer.status() {
             StatusCode::OK => Ok((read_era(answer.headers()), answer.into_body())),
-            StatusCode::GONE => Err(ReadFault::HistoryGone),
-            status => Err(ReadFault::Refused(status)),
+            StatusCode::GONE => Err(ReadFault::HistoryCompacted),
+            status => Err(ReadFault::UnexpectedStatus(status)),
         }
     }
 
-    fn report(&self, engine: &DaemonEngine, call: StoreCall, fault: &ReadFault) {
+    fn log_fault(&self, engine: &DaemonEngine, call: StoreCall, fault: &ReadFault) {
         warn!(engine.telemetry.log, "store_unread";
             "call" => call.to_string(), "store" => self.store.to_string(),
             "cause" => fault.to_string());
@@ -258,10 +265,10 @@
     }
 }
 
-fn written(changes: Vec<StoreChange>) -> Vec<StoreItem> {
+fn written_items(changes: Vec<StoreChange>) -> Vec<StoreItem> {
     let item = |change| match change {
         StoreChange::Written(item) => Some(item),
-        // The configuration in force outlives its item.
+        // The configuration stays in force when its item is deleted.
         StoreChange::Deleted { .. } => None,
     };
     changes.into_iter().filter_map(item).collect()
--- a/crates/crocusdaled/src/platform/unreadable_items.rs
+++ b/crates/crocusdaled/src/platform/unreadable_items.rs
@@ -8,32 +8,34 @@
 
 use crate::telemetry::Telemetry;
 
-/// Items that are remembered, and logged, at one time: more than one wrong writer has.
-const REMEMBERED: usize = 64;
+/// Maximum number of unreadable items that are remembered and logged after one read. A single
+/// faulty writer has fewer items.
+const MAX_ITEMS: usize = 64;
 
-/// Items of the store that can't be read, as of the last reading.
+/// Items of the store that could not be parsed in its last full read.
 ///
 /// The store is read twice a second. Each fault is logged and counted once, and again only if it
-/// was gone meanwhile or has become another one.
+/// changes or comes back after a read without it. Without this the log would fill with repeats.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableItems {
+    /// Cause of each fault by the key of its item.
     known: Mutex<BTreeMap<String, String>>,
 }
 
 impl UnreadableItems {
-    /// Takes all faults of one reading.
-    pub(super) fn note(&self, telemetry: &Telemetry, faults: Vec<StoreFault>) {
+    /// Logs and counts the new faults among all `faults` of one full read.
+    pub(super) fn log_new_faults(&self, telemetry: &Telemetry, faults: Vec<StoreFault>) {
         let mut known = lock(&self.known);
-        let mut now = BTreeMap::new();
-        let beyond = faults.len().saturating_sub(REMEMBERED);
-        for StoreFault { key, cause } in faults.into_iter().take(REMEMBERED) {
+        let mut current = BTreeMap::new();
+        let unlogged_count = faults.len().saturating_sub(MAX_ITEMS);
+        for StoreFault { key, cause } in faults.into_iter().take(MAX_ITEMS) {
             if known.get(&key) != Some(&cause) {
                 telemetry.count(CounterName::StoreItemsUnreadable);
                 warn!(telemetry.log, "store_item_unreadable";
-                    "item" => &key, "cause" => &cause, "not_shown" => beyond);
+                    "item" => &key, "cause" => &cause, "not_shown" => unlogged_count);
             }
-            now.insert(key, cause);
+            current.insert(key, cause);
         }
-        *known = now;
+        *known = current;
     }
 }
--- a/crates/crocusdaled/src/service/answer_response.rs
+++ b/crates/crocusdaled/src/service/answer_response.rs
@@ -13,52 +13,52 @@
 use super::OpenCall;
 use crate::engine::CallReply;
 
-/// A piece of a streamed answer.
+/// One line of a streamed answer that carries a piece of the output.
 #[derive(Serialize)]
 struct StreamPiece<'a> {
     piece: &'a str,
 }
 
-/// HTTP status of an outcome.
-pub(super) fn status(kind: OutcomeKind, reason: Option<RefusalReason>) -> StatusCode {
+/// Returns the HTTP status for an outcome and, if it is a refusal, its reason.
+pub(super) fn outcome_status(kind: OutcomeKind, reason: Option<RefusalReason>) -> StatusCode {
     match (kind, reason) {
         (OutcomeKind::Answered, _) => StatusCode::OK,
         (OutcomeKind::Failed, _) => StatusCode::BAD_GATEWAY,
         (OutcomeKind::Unknown, _) => StatusCode::GATEWAY_TIMEOUT,
-        (OutcomeKind::Refused, Some(reason)) => refused_status(reason),
+        (OutcomeKind::Refused, Some(reason)) => refusal_status(reason),
         (OutcomeKind::Refused, None) => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-/// A response with the whole of `answer`.
-pub(super) fn answer_response(answer: &FinalAnswer, leaving: bool) -> Response {
+/// Returns a response with the complete body of `answer`. With `leaving` it closes the connection.
+pub(super) fn answer_response(answer: &FinalAnswer, is_leaving: bool) -> Response {
     let body = Body::from(Bytes::from_owner(Arc::clone(&answer.body)));
     let mut response = Response::new(body);
-    *response.status_mut() = status(answer.kind, answer.reason);
+    *response.status_mut() = outcome_status(answer.kind, answer.reason);
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = answer.retry_after {
         let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
-    if leaving {
-        // Callers of a daemon that drains are told to connect elsewhere.
+    if is_leaving {
+        // While the daemon drains, callers have to connect to another daemon.
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// A response that refuses a request which could not even be read.
-pub(super) fn refusal_response(outcome: FinalOutcome, leaving: bool) -> Response {
-    answer_response(&FinalAnswer::from(outcome), leaving)
+/// Returns a response that refuses a request before the request reaches the core.
+pub(super) fn refusal_response(outcome: FinalOutcome, is_leaving: bool) -> Response {
+    answer_response(&FinalAnswer::from(outcome), is_leaving)
 }
 
-/// A response whose pieces go out as they come; the last line is the final answer, and without it
-/// the answer is not whole.
+/// Returns a response that streams pieces as they arrive. Its last line is the final answer. A
+/// caller that gets no such line knows that the answer is incomplete.
 pub(super) fn stream_response(call: OpenCall, first: CallReply) -> Response {
     let state = (call, Some(first));
     let frames = stream::unfold(state, |(mut call, first)| async move {
-        if call.answered && first.is_none() {
+        if call.is_answered && first.is_none() {
             return None;
         }
         let reply = match first {
@@ -75,15 +75,15 @@
         Some((Ok::<_, BoxError>(Frame::data(Bytes::from(line))), (call, None)))
     });
     let mut response = Response::new(Body::from_stream(SyncStream::new(frames)));
-    let kind = HeaderValue::from_static("application/x-ndjson");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/x-ndjson");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-/// Lets a stream that is polled by one task be shared between threads.
+/// Wrapper that makes a stream `Sync`, which the response body requires. Only one task polls it.
 type SyncStream<S> = sync_wrapper::SyncStream<S>;
 
-fn refused_status(reason: RefusalReason) -> StatusCode {
+fn refusal_status(reason: RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Malformed
         | RefusalReason::BadLabels
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -22,10 +22,10 @@
 use crate::engine::{CallReply, DaemonEngine};
 use crate::http::{BodyFault, read_caller_body};
 
-/// When a caller is told to ask a daemon for addresses again that has just started.
-const READY_RETRY: Duration = Duration::from_millis(1_000);
+/// Delay after which a caller should ask for addresses again if the daemon has just started.
+const READY_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Serves callers.
+/// HTTP service for callers.
 #[derive(Clone, Debug)]
 pub struct CallerService {
     engine: Arc<DaemonEngine>,
@@ -33,7 +33,7 @@
     body_time: Duration,
 }
 
-/// Query of an address question.
+/// Query parameters of a request for daemon addresses.
 #[derive(Debug, Deserialize)]
 struct AddressQuery {
     #[serde(default)]
@@ -41,7 +41,7 @@
     zone: Option<String>,
 }
 
-/// Query of an outcome question.
+/// Query parameters of a request for the outcome of an earlier request.
 #[derive(Debug, Deserialize)]
 struct OutcomeQuery {
     workspace: String,
@@ -49,14 +49,14 @@
     age_ms: Option<u64>,
 }
 
-/// Question for a ticket.
+/// Query parameters of a request for a ticket.
 #[derive(Debug, Deserialize)]
 struct TicketQuery {
     workspace: String,
     key: String,
 }
 
-/// A ticket, and for how long it is good.
+/// JSON body of an answer with a ticket and its validity.
 #[derive(Debug, Serialize)]
 struct TicketAnswer {
     ticket: String,
@@ -64,13 +64,13 @@
 }
 
 impl CallerService {
-    /// Serves callers of `engine` within `limits`.
+    /// Creates a service for callers of `engine`, with the body size and time limits of `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
         Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
     }
 
-    /// Routes of callers.
+    /// Returns the router of all paths for callers.
     pub fn router(self) -> Router {
         let (submit, outcome, addresses, tickets) =
             (self.clone(), self.clone(), self.clone(), self);
@@ -100,7 +100,7 @@
         let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
         self.engine.handle_event(event);
         match call.next().await {
-            Some(CallReply::Final(answer)) if !stream => self.finish(&answer),
+            Some(CallReply::Final(answer)) if !stream => self.final_response(&answer),
             Some(reply) if stream => stream_response(call, reply),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         }
@@ -109,24 +109,24 @@
     async fn outcome(&self, query: Option<Query<OutcomeQuery>>) -> Response {
         let Some(Query(query)) = query else {
             let detail = "accepted: /v1/outcomes?workspace=NAME&key=KEY[&age_ms=N]";
-            return self.malformed(detail);
+            return self.malformed_response(detail);
         };
         if query.workspace.len() > MAX_KEY_BYTES || query.key.len() > MAX_KEY_BYTES {
-            return self.malformed("workspace and key: accepted: 1 to 128 bytes");
+            return self.malformed_response("workspace and key: accepted: 1 to 128 bytes");
         }
         let key = RequestKey::new(query.workspace, query.key);
         let mut call = self.open_call(&key);
         let age = query.age_ms.map(Duration::from_millis);
         self.engine.handle_event(DaemonEvent::Inquired { call: call.call, key, age });
         match call.next().await {
-            Some(CallReply::Final(answer)) => self.finish(&answer),
+            Some(CallReply::Final(answer)) => self.final_response(&answer),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         }
     }
 
     fn ticket(&self, query: Option<Query<TicketQuery>>) -> Response {
         let Some(Query(query)) = query else {
-            return self.malformed("accepted: /v1/tickets?workspace=NAME&key=KEY");
+            return self.malformed_response("accepted: /v1/tickets?workspace=NAME&key=KEY");
         };
         let key = RequestKey::new(query.workspace, query.key);
         let (ticket, valid) = self.engine.core.issue_ticket(&key, self.engine.now());
@@ -137,11 +137,11 @@
         let (caller, zone) =
             query.map(|Query(query)| (query.caller, query.zone)).unwrap_or_default();
         let answer = self.engine.core.addresses(&caller, zone.as_deref());
-        // A daemon that has just started knows of no peers yet; an empty answer would leave its
-        // caller with nowhere to go for as long as answers may be kept.
+        // A daemon that has just started knows no peers yet. An empty answer would leave the
+        // caller without any address for as long as it may cache the answer.
         if !self.engine.core.is_ready() || answer.addresses.is_empty() {
             let outcome = refusal(RefusalReason::NotReady, "this daemon knows of none to use");
-            return refusal_response(outcome.with_retry(READY_RETRY, true), false);
+            return refusal_response(outcome.with_retry(READY_RETRY_DELAY, true), false);
         }
         Json(answer).into_response()
     }
@@ -150,11 +150,11 @@
         OpenCall::open(&self.engine, key)
     }
 
-    fn finish(&self, answer: &FinalAnswer) -> Response {
+    fn final_response(&self, answer: &FinalAnswer) -> Response {
         answer_response(answer, self.engine.core.is_leaving())
     }
 
-    fn malformed(&self, detail: &str) -> Response {
+    fn malformed_response(&self, detail: &str) -> Response {
         refusal_response(refusal(RefusalReason::Malformed, detail), self.engine.core.is_leaving())
     }
 
@@ -174,13 +174,13 @@
                 return Err(Box::new(refusal(RefusalReason::TooSlow, &detail)));
             }
         };
-        let wire: SubmittedRequest = serde_json::from_slice(&body)
+        let submitted: SubmittedRequest = serde_json::from_slice(&body)
             .map_err(|fault| Box::new(refusal(RefusalReason::Malformed, &fault.to_string())))?;
-        CallerRequest::try_from(wire)
+        CallerRequest::try_from(submitted)
     }
 }
 
 fn refusal(reason: RefusalReason, detail: &str) -> FinalOutcome {
-    let nobody = RequestKey::new("", "");
-    FinalOutcome::new(OutcomeKind::Refused, &nobody).with_reason(reason).with_detail(detail)
+    let empty_key = RequestKey::new("", "");
+    FinalOutcome::new(OutcomeKind::Refused, &empty_key).with_reason(reason).with_detail(detail)
 }
--- a/crates/crocusdaled/src/service/mod.rs
+++ b/crates/crocusdaled/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and operators reach over HTTP.
+//! HTTP services for callers and operators.
 
 mod answer_response;
 mod caller_service;
--- a/crates/crocusdaled/src/service/open_call.rs
+++ b/crates/crocusdaled/src/service/open_call.rs
@@ -5,40 +5,42 @@
 
 use crate::engine::{CallReply, DaemonEngine};
 
-/// An open call; dropped before its answer, it tells the core that the caller is gone.
+/// A call of a caller that waits for its answer.
+///
+/// If it is dropped before the final answer, the core is told that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct OpenCall {
     pub(crate) engine: Arc<DaemonEngine>,
     pub(crate) call: CallId,
     replies: UnboundedReceiver<CallReply>,
-    /// Whether nothing comes any more.
-    pub(crate) answered: bool,
+    /// Whether the final answer has arrived, so that no further reply follows.
+    pub(crate) is_answered: bool,
 }
 
 impl OpenCall {
-    /// Opens a call about `key`.
+    /// Opens a call for the request with `key`.
     pub(crate) fn open(engine: &Arc<DaemonEngine>, key: &RequestKey) -> Self {
         let call = engine.core.open_call(key);
         let replies = engine.open_call(call);
-        Self { engine: Arc::clone(engine), call, replies, answered: false }
+        Self { engine: Arc::clone(engine), call, replies, is_answered: false }
     }
 
-    /// Waits for the next reply.
+    /// Waits for the next reply. Returns `None` if the call was closed without an answer.
     pub(crate) async fn next(&mut self) -> Option<CallReply> {
         let reply = self.replies.recv().await;
-        self.answered |= matches!(reply, Some(CallReply::Final(_)) | None);
+        self.is_answered |= matches!(reply, Some(CallReply::Final(_)) | None);
         reply
     }
 
-    /// The caller has all that it is to get.
+    /// Ends the call without reporting to the core that the caller disconnected.
     pub(crate) fn finish(mut self) {
-        self.answered = true;
+        self.is_answered = true;
     }
 }
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.is_answered {
             self.engine.abandon_call(self.call);
         }
     }
--- a/crates/crocusdaled/src/service/operator_service.rs
+++ b/crates/crocusdaled/src/service/operator_service.rs
@@ -10,20 +10,20 @@
 
 use crate::engine::DaemonEngine;
 
-/// Serves operators.
+/// HTTP service for operators: state, metrics, probes and draining.
 #[derive(Clone, Debug)]
 pub struct OperatorService {
     engine: Arc<DaemonEngine>,
 }
 
 impl OperatorService {
-    /// Serves operators of `engine`.
+    /// Creates a service for operators of `engine`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>) -> Self {
         Self { engine }
     }
 
-    /// Routes of operators.
+    /// Returns the router of all paths for operators.
     pub fn router(self) -> Router {
         let (state, metrics, ready, drain) = (self.clone(), self.clone(), self.clone(), self);
         Router::new()
@@ -41,8 +41,8 @@
     fn metrics(&self) -> Response {
         let dump = self.engine.core.dump(self.engine.now());
         let mut response = Response::new(Body::from(self.engine.telemetry.metrics.text(&dump)));
-        let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-        response.headers_mut().insert(header::CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
         response
     }
 
