--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -187,7 +187,7 @@
             Command::CloseStaleConnections(address) => self.connections.close_idle(address),
             Command::SetTimer { timer, at } => self.timers.set(timer, at),
             Command::Count(counter) => self.telemetry.count(counter),
-            Command::LogStateChange(change) => self.telemetry.note(&change),
+            Command::LogStateChange(change) => self.telemetry.log_state_change(&change),
             Command::Exit => self.drained.notify_one(),
             Command::WatchConfiguration { known } => self.platform.watch_configuration(self, known),
             Command::ReadVmList { known } => self.platform.read_vm_list(self, known),
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -96,7 +96,7 @@
         match read.await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(BodyFault::TooLarge)) => Err(RefusalReason::TooLarge),
-            Ok(Err(BodyFault::Cut)) => Err(RefusalReason::Malformed),
+            Ok(Err(BodyFault::Incomplete)) => Err(RefusalReason::Malformed),
             Err(_) => Err(RefusalReason::TooSlow),
         }
     }
--- a/crates/crocusdaled/src/http/body_reader.rs
+++ b/crates/crocusdaled/src/http/body_reader.rs
@@ -5,51 +5,52 @@
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
 use volo_http::body::Body;
 
-/// Time for which the rest of a body that is too large is read and dropped. A caller that sends as
-/// fast as it can is done in well under a second.
-const DROP_TIME: Duration = Duration::from_secs(3);
-/// Bytes of such a rest that are read at most: several times the usual limit.
-const DROP_LIMIT: usize = 32 << 20;
+/// Time for which the rest of a body that is too large is read and discarded. A caller that sends
+/// at full speed finishes in well under a second.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of bytes that are discarded of a body that is too large. This is several times
+/// the usual body limit.
+const MAX_DISCARDED_BYTES: usize = 32 << 20;
 
-/// Why a body could not be read.
+/// Reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// It is larger than the limit.
+    /// The body is larger than the limit of the reader.
     TooLarge,
-    /// It ended before it was whole.
-    Cut,
+    /// The connection failed before the body was complete.
+    Incomplete,
 }
 
 impl fmt::Display for BodyFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::TooLarge => "the body is larger than the limit",
-            Self::Cut => "the body was cut",
+            Self::Incomplete => "the body ended before it was complete",
         })
     }
 }
 
 impl std::error::Error for BodyFault {}
 
-/// Reads `body` whole, up to `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns whether the body was too large or cut.
+/// Returns whether the body was too large or incomplete.
 pub async fn read_body(mut body: Body, limit: usize) -> Result<Bytes, BodyFault> {
     read_up_to(&mut body, limit).await
 }
 
-/// Reads the body of a caller's request, up to `limit` bytes. The rest of one that is larger is
-/// read and dropped behind the answer, for three seconds at most.
+/// Reads the body of a caller's request, up to `limit` bytes. If the body is larger, the rest is
+/// read and discarded in the background for at most three seconds.
 ///
 /// # Errors
 ///
-/// Returns whether the body was too large or cut.
+/// Returns whether the body was too large or incomplete.
 pub async fn read_caller_body(mut body: Body, limit: usize) -> Result<Bytes, BodyFault> {
     let read = read_up_to(&mut body, limit).await;
     if read == Err(BodyFault::TooLarge) {
-        tokio::spawn(drop_rest(body));
+        tokio::spawn(discard_rest(body));
     }
     read
 }
@@ -58,25 +59,26 @@
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(fault) if fault.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Err(_) => Err(BodyFault::Cut),
+        Err(_) => Err(BodyFault::Incomplete),
     }
 }
 
-/// Reads the rest of a body and drops it.
+/// Reads the rest of a body and discards it.
 ///
-/// Guards against callers that never see why they were refused: a connection that is closed with
-/// bytes unread is reset, and the reset overtakes the answer. A caller that was still writing sees
-/// a broken pipe, and tries again with the same body.
-async fn drop_rest(body: Body) {
+/// Guards against callers that never see why their request was refused. A connection that is closed
+/// with unread bytes is reset, and the reset overtakes the answer. A caller that is still writing
+/// then sees a broken pipe, and sends the same body again.
+async fn discard_rest(body: Body) {
     let rest = async {
-        let (mut body, mut dropped) = (body, 0);
+        let (mut body, mut discarded_bytes) = (body, 0);
         while let Some(Ok(frame)) = body.frame().await {
-            dropped += frame.data_ref().map_or(0, Bytes::len);
-            if dropped > DROP_LIMIT {
+            discarded_bytes += frame.data_ref().map_or(0, Bytes::len);
+            if discarded_bytes > MAX_DISCARDED_BYTES {
                 break;
             }
         }
     };
-    // Past that time the connection is closed as it is: nobody may hold it for longer.
-    let _ = tokio::time::timeout(DROP_TIME, rest).await;
+    // After the timeout the connection is closed with bytes unread, so that no caller can hold it
+    // any longer.
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, rest).await;
 }
--- a/crates/crocusdaled/src/http/http_listener.rs
+++ b/crates/crocusdaled/src/http/http_listener.rs
@@ -18,114 +18,120 @@
 use volo_http::response::Response;
 use volo_http::server::route::Router;
 
-/// Pause after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time for which written data may stay unacknowledged before a connection counts as silent.
-const SILENCE: Duration = Duration::from_secs(15);
-/// Bytes of a head beyond its declared limit: callers count fields, not the first line.
-const HEAD_MARGIN: usize = 8_192;
-/// Multiple of the declared idle time for which a connection is kept, so that this side never
-/// closes one that its caller still counts on.
+/// Delay before the next accept after the operating system failed to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time for which sent bytes may stay unacknowledged before a connection counts as lost
+/// (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(15);
+/// Bytes that a request head may have beyond the configured limit of its header fields. The limit
+/// does not count the request line.
+const REQUEST_LINE_MARGIN: usize = 8_192;
+/// Factor by which a connection is kept longer than the idle time that callers are told, so that
+/// the daemon never closes a connection that its caller is about to reuse.
 const IDLE_FACTOR: f64 = 1.5;
-/// Time that connections have to finish once the listener stops, unless set.
-const FINISH_TIME: Duration = Duration::from_secs(5);
+/// Default of the time that open connections have to finish once the listener stops.
+const DEFAULT_FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves a router, within limits that the server of volo-http doesn't have: open connections,
-/// time and size of a request head, and a stop that the daemon decides on.
+/// HTTP/1.1 listener that serves a router.
+///
+/// Unlike the server of volo-http it limits the number of open connections, and the size and
+/// arrival time of a request head. It stops when the daemon decides so.
 #[derive(Debug)]
 pub struct HttpListener {
     listener: TcpListener,
     limits: HttpListenerBuilder,
 }
 
-/// Limits of an [`HttpListener`].
+/// Builder of an [`HttpListener`], which holds its limits.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpListenerBuilder {
-    connections: usize,
-    head_bytes: usize,
-    head_time: Duration,
-    finish_time: Duration,
+    max_connections: usize,
+    max_head_bytes: usize,
+    head_timeout: Duration,
+    finish_timeout: Duration,
 }
 
 impl Default for HttpListenerBuilder {
     fn default() -> Self {
         Self {
-            connections: 1_024,
-            head_bytes: 16_384,
-            head_time: Duration::from_secs(10),
-            finish_time: FINISH_TIME,
+            max_connections: 1_024,
+            max_head_bytes: 16_384,
+            head_timeout: Duration::from_secs(10),
+            finish_timeout: DEFAULT_FINISH_TIMEOUT,
         }
     }
 }
 
 impl HttpListenerBuilder {
-    /// Sets how many connections may be open.
+    /// Sets the maximum number of open connections. Further ones wait in the listen backlog.
     #[must_use]
-    pub fn connections(mut self, connections: usize) -> Self {
-        self.connections = connections;
+    pub fn max_connections(mut self, max_connections: usize) -> Self {
+        self.max_connections = max_connections;
         self
     }
 
-    /// Sets the largest request head, in bytes.
+    /// Sets the maximum size of a request head, in bytes.
     #[must_use]
-    pub fn head_bytes(mut self, head_bytes: usize) -> Self {
-        self.head_bytes = head_bytes;
+    pub fn max_head_bytes(mut self, max_head_bytes: usize) -> Self {
+        self.max_head_bytes = max_head_bytes;
         self
     }
 
-    /// Sets the time for a request head to arrive.
+    /// Sets the time within which a request head has to arrive.
     #[must_use]
-    pub fn head_time(mut self, head_time: Duration) -> Self {
-        self.head_time = head_time;
+    pub fn head_timeout(mut self, head_timeout: Duration) -> Self {
+        self.head_timeout = head_timeout;
         self
     }
 
-    /// Takes at least what `declared` allows callers, with a margin for what they don't count.
+    /// Raises the limits to what the configuration allows callers, with margins for the request
+    /// line and for idle time.
     #[must_use]
-    fn at_least(mut self, declared: CallerLimits) -> Self {
-        let idle = declared.idle_time.mul_f64(IDLE_FACTOR);
-        self.head_bytes = self.head_bytes.max(declared.head_bytes + HEAD_MARGIN);
-        self.head_time = self.head_time.max(declared.head_time).max(idle);
+    fn raise_to(mut self, declared: CallerLimits) -> Self {
+        let idle_timeout = declared.idle_time.mul_f64(IDLE_FACTOR);
+        self.max_head_bytes = self.max_head_bytes.max(declared.head_bytes + REQUEST_LINE_MARGIN);
+        self.head_timeout = self.head_timeout.max(declared.head_time).max(idle_timeout);
         self
     }
 
-    /// Sets the time that connections have to finish once the listener stops.
+    /// Sets the time that open connections have to finish once the listener stops.
     #[must_use]
-    pub fn finish_time(mut self, finish_time: Duration) -> Self {
-        self.finish_time = finish_time;
+    pub fn finish_timeout(mut self, finish_timeout: Duration) -> Self {
+        self.finish_timeout = finish_timeout;
         self
     }
 
-    /// Binds `address`.
+    /// Binds a listener with these limits to `address`.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system if the address can't be had.
+    /// Returns the error of the operating system if the address can't be bound.
     pub async fn bind(self, address: SocketAddr) -> std::io::Result<HttpListener> {
         Ok(HttpListener { listener: TcpListener::bind(address).await?, limits: self })
     }
 }
 
 impl HttpListener {
-    /// Serves `router` until `stop` changes; then no connection is accepted, and open ones finish
-    /// what they have begun.
+    /// Serves `router` until `stop` changes. After that no connection is accepted, and open ones
+    /// finish the requests that have begun.
     pub async fn serve(self, router: Router, stop: watch::Receiver<bool>) {
-        self.serve_within(router, stop, || None).await;
+        self.serve_with_limits(router, stop, || None).await;
     }
 
-    /// The same, with what is declared for callers at the time at which one connects.
-    pub async fn serve_within(
+    /// Like [`HttpListener::serve`], but raises the limits of each new connection to what
+    /// `declared` returns when it is accepted. `None` leaves them as they are.
+    pub async fn serve_with_limits(
         self,
         router: Router,
         mut stop: watch::Receiver<bool>,
         declared: impl Fn() -> Option<CallerLimits>,
     ) {
         let router = Arc::new(router);
-        let permits = Arc::new(Semaphore::new(self.limits.connections));
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
         let mut connections = JoinSet::new();
         loop {
-            // Waiting for a permit before accepting leaves excess connections in the backlog of
-            // the system, where they take no memory of the process.
+            // The permit is acquired before the accept. Excess connections then stay in the listen
+            // backlog of the kernel, where they take no memory of this process.
             let permit = tokio::select! {
                 permit = Arc::clone(&permits).acquire_owned() => permit,
                 _ = stop.changed() => break,
@@ -135,10 +141,10 @@
                 _ = stop.changed() => break,
             };
             let Ok((stream, peer)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let limits = declared().map_or(self.limits, |limits| self.limits.at_least(limits));
+            let limits = declared().map_or(self.limits, |limits| self.limits.raise_to(limits));
             let connection =
                 serve_connection(stream, peer, Arc::clone(&router), limits, stop.clone());
             connections.spawn(async move {
@@ -148,7 +154,7 @@
             while connections.try_join_next().is_some() {}
         }
         drop(self.listener);
-        let _ = tokio::time::timeout(self.limits.finish_time, async {
+        let _ = tokio::time::timeout(self.limits.finish_timeout, async {
             while connections.join_next().await.is_some() {}
         })
         .await;
@@ -163,8 +169,8 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let _ = stream.set_nodelay(true);
-    // A caller whose end has gone silent would hold its place for good.
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE));
+    // Without this timeout a caller whose host has gone silent would hold a connection forever.
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let service = service_fn(move |request: http::Request<Incoming>| {
         let router = Arc::clone(&router);
         async move {
@@ -178,8 +184,8 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(limits.head_time);
-    builder.max_buf_size(limits.head_bytes).keep_alive(true);
+    builder.timer(TokioTimer::new()).header_read_timeout(limits.head_timeout);
+    builder.max_buf_size(limits.max_head_bytes).keep_alive(true);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
--- a/crates/crocusdaled/src/http/mod.rs
+++ b/crates/crocusdaled/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The accept loop under the HTTP services, and the reading of bodies.
+//! HTTP listener that the services share, and readers of request and response bodies.
 
 mod body_reader;
 mod http_listener;
--- a/crates/crocusdaled/src/lib.rs
+++ b/crates/crocusdaled/src/lib.rs
@@ -1,15 +1,16 @@
-//! The daemon that runs on every entry VM.
+//! The daemon process that runs on every VM that accepts requests of callers.
 //!
-//! It carries the core's commands out and brings events in; it decides nothing itself.
+//! It passes events to the core and executes the commands that the core returns. All decisions are
+//! made in the core.
 //!
-//! * [`engine`]: the core with its clock, timers and open calls.
-//! * [`service`]: what callers and operators reach over HTTP.
-//! * [`forwarding`]: callers' requests that are passed through.
-//! * [`peer`]: calls between daemons.
-//! * [`upstream`]: calls of upstreams.
-//! * [`platform`]: reads of the configuration service and the VM list.
+//! * [`engine`]: the daemon core with its clock, timers and table of open calls.
+//! * [`service`]: HTTP services for callers and operators.
+//! * [`forwarding`]: forwarding of callers' requests to upstreams.
+//! * [`peer`]: gRPC calls between the daemons of a deployment.
+//! * [`upstream`]: clients that call upstreams, and the connections that they use.
+//! * [`platform`]: readers of the configuration, the VM list and the upstream directory.
 //! * [`telemetry`]: logs and metrics.
-//! * [`http`]: the accept loop under the HTTP services.
+//! * [`http`]: HTTP listener that the services share, and body readers.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -1,4 +1,4 @@
-//! `crocusdaled`: the daemon of crocusdale.
+//! `crocusdaled`: the daemon that accepts requests for model pipelines and routes their stages.
 
 #![forbid(unsafe_code)]
 
@@ -40,13 +40,13 @@
 Exit codes: 0 done, 1 failure while running, 2 bad arguments or settings
 ";
 
-/// Time that connections have to finish at the end of a process that is killed soon after: its
-/// answers have been given by then.
-const PUBLISHED_FINISH_TIME: Duration = Duration::from_millis(300);
-/// Exit code for bad arguments or settings.
-const BAD_INPUT: u8 = 2;
-/// Bits of an incarnation that are random, below the time of the start.
-const RANDOM_BITS: u32 = 16;
+/// Time that callers' connections have to finish when the daemon stops on a platform that kills the
+/// process soon after. All requests have been answered by then.
+const PUBLISHED_FINISH_TIMEOUT: Duration = Duration::from_millis(300);
+/// Exit code for invalid arguments or settings.
+const USAGE_EXIT_CODE: u8 = 2;
+/// Number of low bits of an incarnation that are random. The start time is above them.
+const INCARNATION_RANDOM_BITS: u32 = 16;
 
 fn main() -> ExitCode {
     let settings = match read_arguments() {
@@ -54,7 +54,7 @@
         Ok(None) => return ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("crocusdaled: {error:#}");
-            return ExitCode::from(BAD_INPUT);
+            return ExitCode::from(USAGE_EXIT_CODE);
         }
     };
     let runtime = match settings.threads {
@@ -64,7 +64,10 @@
             runtime.worker_threads(threads).enable_all().build()
         }
     };
-    match runtime.context("starting threads").and_then(|runtime| runtime.block_on(run(settings))) {
+    match runtime
+        .context("can't start the worker threads")
+        .and_then(|runtime| runtime.block_on(run(settings)))
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("crocusdaled: {error:#}");
@@ -73,7 +76,8 @@
     }
 }
 
-/// Reads arguments and settings; `None` if there is nothing left to do.
+/// Reads the arguments and the settings file. Returns `None` if the process has nothing to run, as
+/// with `--help`, `--version` or `--check`.
 fn read_arguments() -> Result<Option<ProcessSettings>> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains("--help") {
@@ -84,34 +88,39 @@
         println!("crocusdaled {}", env!("CARGO_PKG_VERSION"));
         return Ok(None);
     }
-    let check = arguments.contains("--check");
-    let path: PathBuf = arguments.value_from_str("--settings").context("see --help")?;
-    let rest = arguments.finish();
-    anyhow::ensure!(rest.is_empty(), "unknown arguments {rest:?}; see --help");
+    let check_only = arguments.contains("--check");
+    let path: PathBuf = arguments
+        .value_from_str("--settings")
+        .context("--settings FILE is required; see --help")?;
+    let unknown = arguments.finish();
+    anyhow::ensure!(unknown.is_empty(), "unknown arguments {unknown:?}; see --help");
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(&path).with_context(|| format!("reading {name}"))?;
+    let text = std::fs::read_to_string(&path)
+        .with_context(|| format!("can't read settings file {name}"))?;
     let settings = ProcessSettings::check(&name, &text).map_err(|errors| {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
-        anyhow::anyhow!("bad settings\n{}", lines.join("\n"))
+        anyhow::anyhow!("invalid settings\n{}", lines.join("\n"))
     })?;
-    Ok((!check).then_some(settings))
+    Ok((!check_only).then_some(settings))
 }
 
 async fn run(settings: ProcessSettings) -> Result<()> {
     let (log, _guard) = start_log(settings.log, &settings.vm);
-    let peers = PeerServer::bind(settings.peer).await.context("binding [listen] peer")?;
+    let peers =
+        PeerServer::bind(settings.peer).await.context("can't bind the address of [listen] peer")?;
     let limits = &settings.limits;
     let callers = HttpListenerBuilder::default()
-        .connections(limits.connections)
-        .head_bytes(limits.head_bytes)
-        .head_time(limits.head_time);
+        .max_connections(limits.connections)
+        .max_head_bytes(limits.head_bytes)
+        .head_timeout(limits.head_time);
     let callers = match &settings.platform {
         PlatformSettings::Services { .. } => callers,
-        PlatformSettings::Published(_) => callers.finish_time(PUBLISHED_FINISH_TIME),
+        PlatformSettings::Published(_) => callers.finish_timeout(PUBLISHED_FINISH_TIMEOUT),
     };
-    let callers = callers.bind(settings.caller).await.context("binding [listen] caller")?;
+    let callers =
+        callers.bind(settings.caller).await.context("can't bind the address of [listen] caller")?;
     let operators = HttpListenerBuilder::default().bind(settings.operator).await;
-    let operators = operators.context("binding [listen] operator")?;
+    let operators = operators.context("can't bind the address of [listen] operator")?;
 
     slog::info!(log, "started";
         "version" => env!("CARGO_PKG_VERSION"), "zone" => &settings.zone,
@@ -126,19 +135,19 @@
             CallerService::new(Arc::clone(&engine), limits).router()
         }
         PlatformSettings::Published(published) => {
-            serve_questions(&engine, published, &stopped).await?;
+            serve_address_listeners(&engine, published, &stopped).await?;
             ForwardService::new(Arc::clone(&engine), limits).router()
         }
     };
-    let declaring = Arc::clone(&engine);
-    let declared = move || declaring.core.caller_limits();
-    let callers = tokio::spawn(callers.serve_within(router, stopped, declared));
+    let limits_engine = Arc::clone(&engine);
+    let caller_limits = move || limits_engine.core.caller_limits();
+    let callers = tokio::spawn(callers.serve_with_limits(router, stopped, caller_limits));
 
     tokio::spawn(drain_on_signal(Arc::clone(&engine)));
     engine.drained.notified().await;
-    // The last answers are still on their way out of their connections.
-    stop.send(true).context("stopping the listeners")?;
-    let finished = callers.await.context("finishing the connections of callers");
+    // The last answers may still be in the send buffers of their connections.
+    stop.send(true).context("can't signal the listeners to stop")?;
+    let finished = callers.await.context("the task that serves callers failed");
     slog::info!(engine.telemetry.log, "stopped"; "whole" => finished.is_ok());
     finished
 }
@@ -157,14 +166,17 @@
         }
         PlatformSettings::Published(published) => {
             let reader = StoreReader::new(published.store);
-            (core.discovery(published_fleet(settings, published)), PlatformReader::Store(reader))
+            (core.discovery(discovery_settings(settings, published)), PlatformReader::Store(reader))
         }
     };
     let core = core.build(clock.now());
     Ok(DaemonEngine::start(core, clock, Telemetry::new(log), platform))
 }
 
-fn published_fleet(settings: &ProcessSettings, published: &PublishedSettings) -> DiscoverySettings {
+fn discovery_settings(
+    settings: &ProcessSettings,
+    published: &PublishedSettings,
+) -> DiscoverySettings {
     let place = MemberPlace {
         zone: settings.zone.clone(),
         caller: settings.caller,
@@ -183,28 +195,33 @@
     }
 }
 
-/// Serves the questions of callers for addresses, and of the platform for readiness.
-async fn serve_questions(
+/// Serves the listeners for callers that look up daemon addresses, and for readiness probes of the
+/// platform.
+async fn serve_address_listeners(
     engine: &Arc<DaemonEngine>,
     published: &PublishedSettings,
     stopped: &watch::Receiver<bool>,
 ) -> Result<()> {
-    let places = [(published.readiness, "readiness"), (published.addresses, "addresses")];
-    for (address, key) in places {
+    let listeners = [(published.readiness, "readiness"), (published.addresses, "addresses")];
+    for (address, key) in listeners {
         let listener = HttpListenerBuilder::default().bind(address).await;
-        let listener = listener.with_context(|| format!("binding [listen] {key}"))?;
+        let listener =
+            listener.with_context(|| format!("can't bind the address of [listen] {key}"))?;
         let router = ReadyService::new(Arc::clone(engine)).router();
         tokio::spawn(listener.serve(router, stopped.clone()));
     }
     Ok(())
 }
 
-/// Numbers this life of the process: later starts on a VM get higher numbers, and two starts in
-/// one millisecond different ones.
+/// Returns the incarnation number of this process. Later starts on a VM get higher numbers, and the
+/// random bits make two starts in one millisecond differ.
 fn incarnation() -> Result<u64> {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).context("the clock is unset")?;
-    let millis = u64::try_from(since_epoch.as_millis()).context("the clock is far off")?;
-    Ok((millis << RANDOM_BITS) | u64::from(rand::random::<u16>()))
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .context("the system clock is set before 1970")?;
+    let millis = u64::try_from(since_epoch.as_millis())
+        .context("the system clock exceeds 64 bits of milliseconds since 1970")?;
+    Ok((millis << INCARNATION_RANDOM_BITS) | u64::from(rand::random::<u16>()))
 }
 
 async fn drain_on_signal(engine: Arc<DaemonEngine>) -> Result<()> {
@@ -215,8 +232,8 @@
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
-            // Everything that may change while the process runs comes from the platform; the
-            // settings name addresses, which stay for the life of the process.
+            // SIGHUP reloads nothing. The settings hold addresses, which can't change while the
+            // process runs, and all that may change is read from the platform.
             _ = reload.recv() => {
                 slog::info!(engine.telemetry.log, "settings_kept"; "cause" => "SIGHUP");
                 continue;
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -166,7 +166,7 @@
                 let detail = format!("body: accepted: at most {} bytes", self.body_bytes);
                 return Err(Box::new(refusal(RefusalReason::TooLarge, &detail)));
             }
-            Ok(Err(BodyFault::Cut)) => {
+            Ok(Err(BodyFault::Incomplete)) => {
                 return Err(Box::new(refusal(RefusalReason::Malformed, "the body was cut")));
             }
             Err(_) => {
--- a/crates/crocusdaled/src/telemetry/metric_set.rs
+++ b/crates/crocusdaled/src/telemetry/metric_set.rs
@@ -6,12 +6,13 @@
 };
 use strum::{EnumCount as _, IntoEnumIterator as _, VariantArray as _};
 
-/// Upper bounds of the buckets of times, in seconds: from a plain answer to the longest deadlines.
-const BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 3.0, 6.0, 20.0];
-/// Prefix of every metric.
+/// Upper bounds of the histogram buckets, in seconds. They reach from a quick answer to the longest
+/// deadlines.
+const BUCKET_BOUNDS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 3.0, 6.0, 20.0];
+/// Prefix of every metric name.
 const NAMESPACE: &str = "crocusdale";
 
-/// Everything that one process counts.
+/// Prometheus metrics of one process.
 #[derive(Debug)]
 pub struct MetricSet {
     registry: Registry,
@@ -22,7 +23,7 @@
     gauges: StateGauges,
 }
 
-/// Gauges that are set from the state dump when they are read.
+/// Gauges that are updated from a state dump whenever the metrics are scraped.
 #[derive(Debug)]
 struct StateGauges {
     ready: IntGauge,
@@ -42,7 +43,7 @@
 }
 
 impl MetricSet {
-    /// Counts from zero.
+    /// Registers all metrics with the value zero.
     ///
     /// # Panics
     ///
@@ -50,21 +51,24 @@
     #[must_use]
     pub fn new() -> Self {
         let registry = Registry::new();
-        let counters = CounterName::VARIANTS.iter().map(|name| counter(&registry, *name)).collect();
+        let counters =
+            CounterName::VARIANTS.iter().map(|name| register_counter(&registry, *name)).collect();
         let options = Opts::new("outcomes_total", "Final answers by outcome and reason");
         let outcomes = IntCounterVec::new(options.namespace(NAMESPACE), &["outcome", "reason"])
-            .expect("the name is valid");
-        registry.register(Box::new(outcomes.clone())).expect("the name is not taken");
+            .expect("a metric name must match [a-zA-Z_:][a-zA-Z0-9_:]*");
+        registry
+            .register(Box::new(outcomes.clone()))
+            .expect("a metric name must be registered only once");
         for kind in OutcomeKind::iter() {
             let _ = outcomes.with_label_values(&[kind.to_string().as_str(), ""]);
         }
-        let requests = histogram(
+        let requests = register_histogram(
             &registry,
             "request_seconds",
             "Time from a request to its end, by outcome",
             "outcome",
         );
-        let stages = histogram(
+        let stages = register_histogram(
             &registry,
             "stage_seconds",
             "Time of a stage, its wait for an upstream included",
@@ -74,13 +78,13 @@
         Self { registry, counters, outcomes, requests, stages, gauges }
     }
 
-    /// Raises `name` by one.
+    /// Increments the counter `name` by one.
     pub fn count(&self, name: CounterName) {
         debug_assert!((name as usize) < CounterName::COUNT);
         self.counters[name as usize].inc();
     }
 
-    /// Counts a final answer, and the times of its request and stages.
+    /// Counts a final answer, and observes the times of its request and stages.
     pub fn count_outcome(&self, answer: &FinalAnswer) {
         let reason = answer.reason.as_ref().map(RefusalReason::to_string).unwrap_or_default();
         let kind = answer.kind.to_string();
@@ -94,12 +98,12 @@
         }
     }
 
-    /// Text for a scraper, with gauges as in `dump`.
+    /// Returns the metrics in the Prometheus text format, with the gauges updated from `dump`.
     #[must_use]
     pub fn text(&self, dump: &StateDump) -> Vec<u8> {
-        self.gauges.set(dump);
+        self.gauges.update(dump);
         let mut text = Vec::new();
-        // Writing to memory can't fail for metrics that could be registered.
+        // Encoding into memory can't fail, as the names of registered metrics are valid.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
@@ -114,88 +118,96 @@
 impl StateGauges {
     fn new(registry: &Registry) -> Self {
         Self {
-            ready: gauge(registry, "ready", "1 if the daemon may serve callers"),
-            leaving: gauge(registry, "leaving", "1 if the daemon drains"),
-            revision: gauge(registry, "configuration_revision", "Revision in force"),
-            rejected_revision: gauge(
+            ready: register_gauge(registry, "ready", "1 if the daemon may serve callers"),
+            leaving: register_gauge(registry, "leaving", "1 if the daemon drains"),
+            revision: register_gauge(registry, "configuration_revision", "Revision in force"),
+            rejected_revision: register_gauge(
                 registry,
                 "configuration_rejected_revision",
                 "Newest rejected revision, 0 for none",
             ),
-            roster_revision: gauge(registry, "roster_revision", "Revision of the VM list"),
-            directory_revision: gauge(
+            roster_revision: register_gauge(registry, "roster_revision", "Revision of the VM list"),
+            directory_revision: register_gauge(
                 registry,
                 "directory_revision",
                 "Revision of the last known change of the published upstreams",
             ),
-            directory_age: gauge(
+            directory_age: register_gauge(
                 registry,
                 "directory_age_milliseconds",
                 "Time since that was known to be the last change, -1 if it never was",
             ),
-            evacuated_zones: gauge(
+            evacuated_zones: register_gauge(
                 registry,
                 "evacuated_zones",
                 "Availability zones whose upstreams get no new work",
             ),
-            cold_upstreams: gauge(
+            cold_upstreams: register_gauge(
                 registry,
                 "cold_upstreams",
                 "Upstreams that have started of late and get few requests",
             ),
-            limited_upstreams: gauge(
+            limited_upstreams: register_gauge(
                 registry,
                 "limited_upstreams",
                 "Upstreams that have named how many requests a second they take",
             ),
-            peers: gauge(registry, "peers", "Daemons in the VM list, without this one"),
-            running: gauge(registry, "running", "Requests that run"),
-            registers: gauge(registry, "registers", "Registers kept as a witness"),
-            waiting: gauge(registry, "waiting", "Attempts that wait for an upstream"),
+            peers: register_gauge(registry, "peers", "Daemons in the VM list, without this one"),
+            running: register_gauge(registry, "running", "Requests that run"),
+            registers: register_gauge(registry, "registers", "Registers kept as a witness"),
+            waiting: register_gauge(registry, "waiting", "Attempts that wait for an upstream"),
         }
     }
 
-    fn set(&self, dump: &StateDump) {
+    fn update(&self, dump: &StateDump) {
         self.ready.set(i64::from(dump.ready));
         self.leaving.set(i64::from(dump.leaving));
-        self.revision.set(whole(dump.revision));
-        self.rejected_revision.set(whole(dump.rejected_revision.unwrap_or_default()));
-        self.roster_revision.set(whole(dump.roster_revision));
-        self.directory_revision.set(whole(dump.directory_revision));
-        self.directory_age.set(dump.directory_age_ms.map_or(-1, whole));
-        self.evacuated_zones.set(whole(dump.evacuated_zones.len() as u64));
+        self.revision.set(saturating_i64(dump.revision));
+        self.rejected_revision.set(saturating_i64(dump.rejected_revision.unwrap_or_default()));
+        self.roster_revision.set(saturating_i64(dump.roster_revision));
+        self.directory_revision.set(saturating_i64(dump.directory_revision));
+        self.directory_age.set(dump.directory_age_ms.map_or(-1, saturating_i64));
+        self.evacuated_zones.set(saturating_i64(dump.evacuated_zones.len() as u64));
         let cold = dump.upstreams.iter().filter(|upstream| upstream.cold).count();
-        self.cold_upstreams.set(whole(cold as u64));
-        self.limited_upstreams.set(whole(dump.limited_upstreams.len() as u64));
-        self.peers.set(whole(dump.peers as u64));
-        self.running.set(whole(dump.running as u64));
-        self.registers.set(whole(dump.registers as u64));
-        self.waiting.set(whole(dump.waiting.iter().map(|(_, count)| *count as u64).sum()));
+        self.cold_upstreams.set(saturating_i64(cold as u64));
+        self.limited_upstreams.set(saturating_i64(dump.limited_upstreams.len() as u64));
+        self.peers.set(saturating_i64(dump.peers as u64));
+        self.running.set(saturating_i64(dump.running as u64));
+        self.registers.set(saturating_i64(dump.registers as u64));
+        self.waiting.set(saturating_i64(dump.waiting.iter().map(|(_, count)| *count as u64).sum()));
     }
 }
 
-fn counter(registry: &Registry, name: CounterName) -> IntCounter {
+fn register_counter(registry: &Registry, name: CounterName) -> IntCounter {
     let label: &'static str = name.into();
     let options = Opts::new(format!("{label}_total"), label.replace('_', " ")).namespace(NAMESPACE);
-    let counter = IntCounter::with_opts(options).expect("the name is valid");
-    registry.register(Box::new(counter.clone())).expect("the name is not taken");
+    let counter =
+        IntCounter::with_opts(options).expect("a metric name must match [a-zA-Z_:][a-zA-Z0-9_:]*");
+    registry
+        .register(Box::new(counter.clone()))
+        .expect("a metric name must be registered only once");
     counter
 }
 
-fn histogram(registry: &Registry, name: &str, help: &str, label: &str) -> HistogramVec {
-    let options = HistogramOpts::new(name, help).namespace(NAMESPACE).buckets(BUCKETS.to_vec());
-    let histogram = HistogramVec::new(options, &[label]).expect("the name is valid");
-    registry.register(Box::new(histogram.clone())).expect("the name is not taken");
+fn register_histogram(registry: &Registry, name: &str, help: &str, label: &str) -> HistogramVec {
+    let options =
+        HistogramOpts::new(name, help).namespace(NAMESPACE).buckets(BUCKET_BOUNDS.to_vec());
+    let histogram = HistogramVec::new(options, &[label])
+        .expect("a metric name must match [a-zA-Z_:][a-zA-Z0-9_:]*");
+    registry
+        .register(Box::new(histogram.clone()))
+        .expect("a metric name must be registered only once");
     histogram
 }
 
-fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+fn register_gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let options = Opts::new(name, help).namespace(NAMESPACE);
-    let gauge = IntGauge::with_opts(options).expect("the name is valid");
-    registry.register(Box::new(gauge.clone())).expect("the name is not taken");
+    let gauge =
+        IntGauge::with_opts(options).expect("a metric name must match [a-zA-Z_:][a-zA-Z0-9_:]*");
+    registry.register(Box::new(gauge.clone())).expect("a metric name must be registered only once");
     gauge
 }
 
-fn whole(number: u64) -> i64 {
+fn saturating_i64(number: u64) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
--- a/crates/crocusdaled/src/telemetry/mod.rs
+++ b/crates/crocusdaled/src/telemetry/mod.rs
@@ -16,27 +16,29 @@
 /// Logs and metrics of one process.
 #[derive(Debug)]
 pub struct Telemetry {
-    /// Where lines go.
+    /// Logger that every part of the process writes to.
     pub log: Logger,
-    /// What is counted.
+    /// Metrics that operators scrape.
     pub metrics: MetricSet,
 }
 
 impl Telemetry {
-    /// Counts from zero and logs to `log`.
+    /// Creates metrics with the value zero, and logs to `log`.
     #[must_use]
     pub fn new(log: Logger) -> Self {
         Self { log, metrics: MetricSet::new() }
     }
 
-    /// Raises `counter` by one.
+    /// Increments `counter` by one.
     pub fn count(&self, counter: CounterName) {
         self.metrics.count(counter);
     }
 
-    /// Counts a final answer, and logs how its request came to it: by the stages that it went
-    /// through, with upstream, time and attempts each, the stage at which it ended, and the
-    /// revision in force at its end. What the caller sent or was sent stays out of the log.
+    /// Counts a final answer and logs how its request was processed.
+    ///
+    /// The line lists the stages with upstream, time and attempts of each, the stage at which the
+    /// request ended and the configuration revision at its end. Input and output of the caller are
+    /// never logged.
     pub fn request_ended(&self, answer: &FinalAnswer, revision: u64) {
         self.metrics.count_outcome(answer);
         info!(self.log, "request_ended";
@@ -49,28 +51,28 @@
             "stages" => slog::Serde(answer.stages.clone()));
     }
 
-    /// Logs what became of a call of a batched upstream.
+    /// Logs the outcome of a batch: how many pieces succeeded, and the first fault if any failed.
     pub fn batch_ended(&self, order: &BatchOrder, outcome: &BatchOutcome, time: Duration) {
-        let made = match outcome {
+        let made_count = match outcome {
             BatchOutcome::Answered(items) => {
                 items.iter().filter(|item| matches!(item, ItemOutcome::Made(_))).count()
             }
             _ => 0,
         };
-        let unmade = match outcome {
+        let first_fault = match outcome {
             BatchOutcome::Answered(items) => {
-                let first = items.iter().find(|item| !matches!(item, ItemOutcome::Made(_)));
-                first.map(ToString::to_string)
+                let failed_item = items.iter().find(|item| !matches!(item, ItemOutcome::Made(_)));
+                failed_item.map(ToString::to_string)
             }
             other => Some(other.to_string()),
         };
         info!(self.log, "batch_ended";
-            "upstream" => &order.upstream, "pieces" => order.items.len(), "made" => made,
-            "unmade" => unmade, "time_ms" => millis(time));
+            "upstream" => &order.upstream, "pieces" => order.items.len(), "made" => made_count,
+            "unmade" => first_fault, "time_ms" => millis(time));
     }
 
-    /// Logs a change of state.
-    pub fn note(&self, change: &StateChange) {
+    /// Logs a state change of the daemon under the name of its variant.
+    pub fn log_state_change(&self, change: &StateChange) {
         let (log, name) = (&self.log, <&'static str>::from(change));
         match change {
             StateChange::ConfigurationInForce { revision }
@@ -152,7 +154,7 @@
     }
 }
 
-/// Whole milliseconds of `time`.
+/// Returns `time` in whole milliseconds.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
