--- a/crates/crocusdaled/src/engine/daemon_engine.rs
+++ b/crates/crocusdaled/src/engine/daemon_engine.rs
@@ -170,7 +170,7 @@
             Command::CallBatch(order) => self.batches.call(self, order),
             Command::CancelBatch(batch) => self.batches.cancel(batch),
             Command::FreeResults { results, excluded } => {
-                self.batches.free(self, &results, &excluded);
+                self.batches.free_results(self, &results, &excluded);
             }
             Command::QueryFreeMemory { upstream, address } => {
                 self.batches.query_free_memory(self, upstream, address);
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug)]
 pub struct ForwardService {
     engine: Arc<DaemonEngine>,
-    body_bytes: usize,
-    body_time: Duration,
+    max_body_bytes: usize,
+    body_timeout: Duration,
 }
 
 /// Error that ends the body of a caller's answer early, so that the caller sees it as incomplete.
@@ -51,7 +51,7 @@
     /// Creates a service for callers of `engine`, with the body size and time limits of `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
-        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
+        Self { engine, max_body_bytes: limits.body_bytes, body_timeout: limits.body_time }
     }
 
     /// Returns a router that forwards every path of every host.
@@ -66,12 +66,12 @@
             warn!(self.engine.telemetry.log, "fields_unreadable";
                 "request" => &request.key.key, "taken_as_missing" => unreadable.join(","));
         }
-        let body = match self.read(body).await {
+        let body = match self.read_request_body(body).await {
             Ok(body) => body,
             Err(reason) => {
                 let outcome =
                     FinalOutcome::new(OutcomeKind::Refused, &request.key).with_reason(reason);
-                return self.refusal(&FinalAnswer::from(outcome));
+                return self.refusal_response(&FinalAnswer::from(outcome));
             }
         };
         request.set_content(content_digest(&parts, &body));
@@ -79,20 +79,20 @@
         let attempt = request.key.key.clone();
         let target = (parts.method, parts.uri);
         let relayed = RelayCall::new(target, headers, body, attempt, last_event);
-        self.engine.relays().open(call.call, relayed);
-        let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
+        self.engine.relays().open(call.id, relayed);
+        let event = DaemonEvent::Submitted { call: call.id, request: Box::new(request) };
         self.engine.handle_event(event);
         match call.next().await {
-            Some(CallReply::Relayed(answer)) => self.answer(call, answer),
-            Some(CallReply::Final(answer)) => self.refusal(&answer),
+            Some(CallReply::Relayed(answer)) => self.answer_response(call, answer),
+            Some(CallReply::Final(answer)) => self.refusal_response(&answer),
             Some(CallReply::Piece(_)) | None => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         }
     }
 
-    async fn read(&self, body: Body) -> Result<Bytes, RefusalReason> {
+    async fn read_request_body(&self, body: Body) -> Result<Bytes, RefusalReason> {
         let declared_bytes = self.engine.core.caller_limits().map_or(0, |limits| limits.body_bytes);
-        let limit = self.body_bytes.max(declared_bytes);
-        let read = tokio::time::timeout(self.body_time, read_caller_body(body, limit));
+        let limit = self.max_body_bytes.max(declared_bytes);
+        let read = tokio::time::timeout(self.body_timeout, read_caller_body(body, limit));
         match read.await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(BodyFault::TooLarge)) => Err(RefusalReason::TooLarge),
@@ -101,7 +101,7 @@
         }
     }
 
-    fn answer(&self, call: OpenCall, answer: RelayedAnswer) -> Response {
+    fn answer_response(&self, call: OpenCall, answer: RelayedAnswer) -> Response {
         let RelayedAnswer { status, headers, body } = answer;
         let body = match body {
             RelayBody::Whole(bytes) => {
@@ -119,7 +119,7 @@
         response
     }
 
-    fn refusal(&self, answer: &FinalAnswer) -> Response {
+    fn refusal_response(&self, answer: &FinalAnswer) -> Response {
         let (status, headers) = refusal_head(answer);
         let mut response = Response::new(Body::empty());
         *response.status_mut() = status;
--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -116,7 +116,7 @@
     }
     let headers = request_headers(&call.headers, order, time_left, call.resume_after());
     let sent = engine.now();
-    let response = match connection.send(request(call, headers)).await {
+    let response = match connection.send(upstream_request(call, headers)).await {
         Ok(response) => response,
         Err(fault) => return Some(send_failed(engine, call, order, &fault)),
     };
@@ -178,7 +178,7 @@
     if fault.written { AttemptEvent::Broken(BreakReason::Cut) } else { AttemptEvent::NotSent }
 }
 
-fn request(call: &RelayCall, headers: http::HeaderMap) -> Request<Full<Bytes>> {
+fn upstream_request(call: &RelayCall, headers: http::HeaderMap) -> Request<Full<Bytes>> {
     let path = call.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
--- a/crates/crocusdaled/src/http/http_listener.rs
+++ b/crates/crocusdaled/src/http/http_listener.rs
@@ -28,7 +28,7 @@
 const REQUEST_LINE_MARGIN: usize = 8_192;
 /// Factor by which a connection is kept longer than the idle time that callers are told, so that
 /// the daemon never closes a connection that its caller is about to reuse.
-const IDLE_FACTOR: f64 = 1.5;
+const IDLE_TIMEOUT_FACTOR: f64 = 1.5;
 /// Default of the time that open connections have to finish once the listener stops.
 const DEFAULT_FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -88,7 +88,7 @@
     /// line and for idle time.
     #[must_use]
     fn raise_to(mut self, declared: CallerLimits) -> Self {
-        let idle_timeout = declared.idle_time.mul_f64(IDLE_FACTOR);
+        let idle_timeout = declared.idle_time.mul_f64(IDLE_TIMEOUT_FACTOR);
         self.max_head_bytes = self.max_head_bytes.max(declared.head_bytes + REQUEST_LINE_MARGIN);
         self.head_timeout = self.head_timeout.max(declared.head_time).max(idle_timeout);
         self
--- a/crates/crocusdaled/src/main.rs
+++ b/crates/crocusdaled/src/main.rs
@@ -106,7 +106,7 @@
 
 async fn run(settings: ProcessSettings) -> Result<()> {
     let (log, _guard) = start_log(settings.log, &settings.vm);
-    let peers =
+    let peer_listener =
         PeerServer::bind(settings.peer).await.context("can't bind the address of [listen] peer")?;
     let limits = &settings.limits;
     let callers = HttpListenerBuilder::default()
@@ -119,34 +119,35 @@
     };
     let callers =
         callers.bind(settings.caller).await.context("can't bind the address of [listen] caller")?;
-    let operators = HttpListenerBuilder::default().bind(settings.operator).await;
-    let operators = operators.context("can't bind the address of [listen] operator")?;
+    let operator_listener = HttpListenerBuilder::default().bind(settings.operator).await;
+    let operator_listener =
+        operator_listener.context("can't bind the address of [listen] operator")?;
 
     slog::info!(log, "started";
         "version" => env!("CARGO_PKG_VERSION"), "zone" => &settings.zone,
         "caller" => settings.caller.to_string(), "peer" => settings.peer.to_string());
     let engine = start_engine(&settings, log)?;
-    let (stop, stopped) = watch::channel(false);
-    tokio::spawn(PeerServer::new(Arc::clone(&engine)).serve(peers));
+    let (stop_sender, stop_receiver) = watch::channel(false);
+    tokio::spawn(PeerServer::new(Arc::clone(&engine)).serve(peer_listener));
     let router = OperatorService::new(Arc::clone(&engine)).router();
-    tokio::spawn(operators.serve(router, stopped.clone()));
+    tokio::spawn(operator_listener.serve(router, stop_receiver.clone()));
     let router = match &settings.platform {
         PlatformSettings::Services { .. } => {
             CallerService::new(Arc::clone(&engine), limits).router()
         }
         PlatformSettings::Published(published) => {
-            serve_address_listeners(&engine, published, &stopped).await?;
+            serve_address_listeners(&engine, published, &stop_receiver).await?;
             ForwardService::new(Arc::clone(&engine), limits).router()
         }
     };
     let limits_engine = Arc::clone(&engine);
     let caller_limits = move || limits_engine.core.caller_limits();
-    let callers = tokio::spawn(callers.serve_with_limits(router, stopped, caller_limits));
+    let callers = tokio::spawn(callers.serve_with_limits(router, stop_receiver, caller_limits));
 
     tokio::spawn(drain_on_signal(Arc::clone(&engine)));
     engine.drained.notified().await;
     // The last answers may still be in the send buffers of their connections.
-    stop.send(true).context("can't signal the listeners to stop")?;
+    stop_sender.send(true).context("can't signal the listeners to stop")?;
     let finished = callers.await.context("the task that serves callers failed");
     slog::info!(engine.telemetry.log, "stopped"; "whole" => finished.is_ok());
     finished
@@ -200,7 +201,7 @@
 async fn serve_address_listeners(
     engine: &Arc<DaemonEngine>,
     published: &PublishedSettings,
-    stopped: &watch::Receiver<bool>,
+    stop_receiver: &watch::Receiver<bool>,
 ) -> Result<()> {
     let listeners = [(published.readiness, "readiness"), (published.addresses, "addresses")];
     for (address, key) in listeners {
@@ -208,7 +209,7 @@
         let listener =
             listener.with_context(|| format!("can't bind the address of [listen] {key}"))?;
         let router = ReadyService::new(Arc::clone(engine)).router();
-        tokio::spawn(listener.serve(router, stopped.clone()));
+        tokio::spawn(listener.serve(router, stop_receiver.clone()));
     }
     Ok(())
 }
--- a/crates/crocusdaled/src/peer/peer_client.rs
+++ b/crates/crocusdaled/src/peer/peer_client.rs
@@ -40,7 +40,7 @@
 ///
 /// With [`RECORD_BACKOFF_STEP`] and [`CALL_TIMEOUT`] the attempts span some nine seconds. That is
 /// longer than a peer may be silent and still count as a member.
-const RECORD_ATTEMPTS: u32 = 5;
+const MAX_RECORD_ATTEMPTS: u32 = 5;
 /// Backoff after the first failed attempt to record an outcome. It grows by the same amount with
 /// each further attempt.
 const RECORD_BACKOFF_STEP: Duration = Duration::from_millis(300);
@@ -111,11 +111,17 @@
 }
 
 async fn exchange(engine: &Arc<DaemonEngine>, vm: String, message: ExchangeMessage) {
-    let wire = crocusdale_schema::peer::ExchangeMessage::from(message);
+    let wire_message = crocusdale_schema::peer::ExchangeMessage::from(message);
     let sent = engine.now();
     let reply =
-        call(engine, &vm, CALL_TIMEOUT, |mut client| async move { client.exchange(wire).await });
-    let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
+        call(
+            engine,
+            &vm,
+            CALL_TIMEOUT,
+            |mut client| async move { client.exchange(wire_message).await },
+        );
+    let message =
+        reply.await.ok().and_then(|wire_message| ExchangeMessage::try_from(wire_message).ok());
     engine.handle_event(match message {
         // Another VM may have taken over the address since the VM list was read.
         Some(message) if message.sender.instance.vm == vm => {
@@ -127,16 +133,13 @@
 
 /// Exchanges heartbeats with whichever daemon listens at the address of a seed.
 async fn ping(engine: &Arc<DaemonEngine>, address: SocketAddr, message: ExchangeMessage) {
-    let wire = crocusdale_schema::peer::ExchangeMessage::from(message);
+    let wire_message = crocusdale_schema::peer::ExchangeMessage::from(message);
     let sent = engine.now();
-    let reply =
-        call_at(
-            engine,
-            address,
-            CALL_TIMEOUT,
-            |mut client| async move { client.exchange(wire).await },
-        );
-    let message = reply.await.ok().and_then(|wire| ExchangeMessage::try_from(wire).ok());
+    let reply = call_at(engine, address, CALL_TIMEOUT, |mut client| async move {
+        client.exchange(wire_message).await
+    });
+    let message =
+        reply.await.ok().and_then(|wire_message| ExchangeMessage::try_from(wire_message).ok());
     engine.handle_event(match message {
         Some(message) => DaemonEvent::Exchanged { message: Box::new(message), sent },
         None => DaemonEvent::SeedPingFailed,
@@ -211,7 +214,7 @@
         engine.core.record_outcome(&key, holder, &body, engine.now());
         return;
     }
-    for attempt in 1..=RECORD_ATTEMPTS {
+    for attempt in 1..=MAX_RECORD_ATTEMPTS {
         let request = RecordOutcomeRequest {
             key: Some(key.clone().into()),
             holder: Some(holder.clone().into()),
@@ -227,7 +230,7 @@
     }
     engine.telemetry.count(CounterName::OutcomesUnrecorded);
     warn!(engine.telemetry.log, "outcome_unrecorded"; "witness" => witness, "key" => key.to_string(),
-        "attempts" => RECORD_ATTEMPTS);
+        "attempts" => MAX_RECORD_ATTEMPTS);
 }
 
 async fn ask_holder(engine: &Arc<DaemonEngine>, command: Command) {
--- a/crates/crocusdaled/src/peer/peer_server.rs
+++ b/crates/crocusdaled/src/peer/peer_server.rs
@@ -115,8 +115,8 @@
     ) -> Result<Response<FetchDirectoryReply>, Status> {
         let FetchDirectoryRequest { revision, era } = request.into_inner();
         let known = StorePosition { era, revision };
-        let list = self.engine.core.published_since(known, self.engine.now());
-        Ok(Response::new(list.into()))
+        let directory = self.engine.core.published_since(known, self.engine.now());
+        Ok(Response::new(directory.into()))
     }
 
     async fn make_pieces(
--- a/crates/crocusdaled/src/platform/service_reader.rs
+++ b/crates/crocusdaled/src/platform/service_reader.rs
@@ -15,8 +15,8 @@
 /// Time for which the configuration service may hold a watch before it answers without a change
 /// (long polling).
 const WATCH_HOLD_TIME: Duration = Duration::from_secs(10);
-/// Time beyond the hold within which an answer has to arrive. Connecting and reading the VM list
-/// have the same timeout.
+/// Time beyond the hold time of a watch within which an answer has to arrive. Connecting and
+/// reading the VM list have the same timeout.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest factor by which JSON escaping may enlarge the configuration text.
 const JSON_ESCAPE_FACTOR: usize = 2;
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -25,8 +25,8 @@
 /// A watch only reports a change sooner than the next full read. A silent connection, or a store
 /// that has compacted its history, therefore does no harm. Each watch is a billed call.
 const WATCH_HOLD_TIME: Duration = Duration::from_millis(10_000);
-/// Time beyond the hold within which an answer has to arrive. Answers usually take a few
-/// milliseconds, and up to some tenths of a second while the store is slow.
+/// Time beyond the hold time of a watch within which an answer has to arrive. Answers usually take
+/// a few milliseconds, and up to some tenths of a second while the store is slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Largest answer of the store that is read, in bytes. A page has about one megabyte, which base64
 /// enlarges.
@@ -142,8 +142,8 @@
         }
     }
 
-    fn directory_event(&self, read: StoreContents, engine: &DaemonEngine) -> DaemonEvent {
-        let StoreContents { position, items, mut unreadable } = read;
+    fn directory_event(&self, contents: StoreContents, engine: &DaemonEngine) -> DaemonEvent {
+        let StoreContents { position, items, mut unreadable } = contents;
         let mut entries = Vec::with_capacity(items.len());
         let (mut evacuations, mut cold) = (Vec::new(), Vec::new());
         let mut configuration = None;
@@ -196,8 +196,8 @@
     }
 
     async fn next_configuration(&self) -> Result<Option<(u64, String)>, ReadFault> {
-        let from = lock(&self.position).revision;
-        let path = watch_path(from, WATCH_HOLD_TIME);
+        let start_revision = lock(&self.position).revision;
+        let path = watch_path(start_revision, WATCH_HOLD_TIME);
         let (era, body) = self.get(&path, WATCH_HOLD_TIME + ANSWER_TIMEOUT).await?;
         let read = read_changes(&body).map_err(ReadFault::Unparsable)?;
         let StoreChanges { changes, unreadable, revision } = read;
--- a/crates/crocusdaled/src/platform/unreadable_items.rs
+++ b/crates/crocusdaled/src/platform/unreadable_items.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of unreadable items that are remembered and logged after one read. A single
 /// faulty writer has fewer items.
-const MAX_ITEMS: usize = 64;
+const MAX_LOGGED_ITEMS: usize = 64;
 
 /// Items of the store that could not be parsed in its last full read.
 ///
@@ -27,8 +27,8 @@
     pub(super) fn log_new_faults(&self, telemetry: &Telemetry, faults: Vec<StoreFault>) {
         let mut known = lock(&self.known);
         let mut current = BTreeMap::new();
-        let unlogged_count = faults.len().saturating_sub(MAX_ITEMS);
-        for StoreFault { key, cause } in faults.into_iter().take(MAX_ITEMS) {
+        let unlogged_count = faults.len().saturating_sub(MAX_LOGGED_ITEMS);
+        for StoreFault { key, cause } in faults.into_iter().take(MAX_LOGGED_ITEMS) {
             if known.get(&key) != Some(&cause) {
                 telemetry.count(CounterName::StoreItemsUnreadable);
                 warn!(telemetry.log, "store_item_unreadable";
--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -29,8 +29,8 @@
 #[derive(Clone, Debug)]
 pub struct CallerService {
     engine: Arc<DaemonEngine>,
-    body_bytes: usize,
-    body_time: Duration,
+    max_body_bytes: usize,
+    body_timeout: Duration,
 }
 
 /// Query parameters of a request for daemon addresses.
@@ -67,7 +67,7 @@
     /// Creates a service for callers of `engine`, with the body size and time limits of `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
-        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
+        Self { engine, max_body_bytes: limits.body_bytes, body_timeout: limits.body_time }
     }
 
     /// Returns the router of all paths for callers.
@@ -91,13 +91,13 @@
     }
 
     async fn submit(&self, request: Request) -> Response {
-        let request = match self.read(request.into_body()).await {
+        let request = match self.read_request(request.into_body()).await {
             Ok(request) => request,
             Err(outcome) => return refusal_response(*outcome, self.engine.core.is_leaving()),
         };
         let stream = request.stream;
         let mut call = self.open_call(&request.key);
-        let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
+        let event = DaemonEvent::Submitted { call: call.id, request: Box::new(request) };
         self.engine.handle_event(event);
         match call.next().await {
             Some(CallReply::Final(answer)) if !stream => self.final_response(&answer),
@@ -117,7 +117,7 @@
         let key = RequestKey::new(query.workspace, query.key);
         let mut call = self.open_call(&key);
         let age = query.age_ms.map(Duration::from_millis);
-        self.engine.handle_event(DaemonEvent::Inquired { call: call.call, key, age });
+        self.engine.handle_event(DaemonEvent::Inquired { call: call.id, key, age });
         match call.next().await {
             Some(CallReply::Final(answer)) => self.final_response(&answer),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
@@ -158,19 +158,20 @@
         refusal_response(refusal(RefusalReason::Malformed, detail), self.engine.core.is_leaving())
     }
 
-    async fn read(&self, body: Body) -> Result<CallerRequest, Box<FinalOutcome>> {
-        let read = tokio::time::timeout(self.body_time, read_caller_body(body, self.body_bytes));
+    async fn read_request(&self, body: Body) -> Result<CallerRequest, Box<FinalOutcome>> {
+        let read =
+            tokio::time::timeout(self.body_timeout, read_caller_body(body, self.max_body_bytes));
         let body = match read.await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyFault::TooLarge)) => {
-                let detail = format!("body: accepted: at most {} bytes", self.body_bytes);
+                let detail = format!("body: accepted: at most {} bytes", self.max_body_bytes);
                 return Err(Box::new(refusal(RefusalReason::TooLarge, &detail)));
             }
             Ok(Err(BodyFault::Incomplete)) => {
                 return Err(Box::new(refusal(RefusalReason::Malformed, "the body was cut")));
             }
             Err(_) => {
-                let detail = format!("body: accepted: within {} ms", self.body_time.as_millis());
+                let detail = format!("body: accepted: within {} ms", self.body_timeout.as_millis());
                 return Err(Box::new(refusal(RefusalReason::TooSlow, &detail)));
             }
         };
--- a/crates/crocusdaled/src/service/open_call.rs
+++ b/crates/crocusdaled/src/service/open_call.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct OpenCall {
     pub(crate) engine: Arc<DaemonEngine>,
-    pub(crate) call: CallId,
+    pub(crate) id: CallId,
     replies: UnboundedReceiver<CallReply>,
     /// Whether the final answer has arrived, so that no further reply follows.
     pub(crate) is_answered: bool,
@@ -20,9 +20,9 @@
 impl OpenCall {
     /// Opens a call for the request with `key`.
     pub(crate) fn open(engine: &Arc<DaemonEngine>, key: &RequestKey) -> Self {
-        let call = engine.core.open_call(key);
-        let replies = engine.open_call(call);
-        Self { engine: Arc::clone(engine), call, replies, is_answered: false }
+        let id = engine.core.open_call(key);
+        let replies = engine.open_call(id);
+        Self { engine: Arc::clone(engine), id, replies, is_answered: false }
     }
 
     /// Waits for the next reply. Returns `None` if the call was closed without an answer.
@@ -41,7 +41,7 @@
 impl Drop for OpenCall {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.engine.abandon_call(self.call);
+            self.engine.abandon_call(self.id);
         }
     }
 }
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -33,7 +33,7 @@
 /// Client for upstreams that process batches of pieces.
 #[derive(Debug, Default)]
 pub struct BatchClient {
-    open: Mutex<HashMap<BatchId, AbortHandle>>,
+    open_batches: Mutex<HashMap<BatchId, AbortHandle>>,
 }
 
 impl BatchClient {
@@ -43,21 +43,21 @@
         let task_engine = Arc::clone(engine);
         // The table stays locked until the task is registered, so that the task can't remove its
         // entry before the entry is inserted.
-        let mut open = lock(&self.open);
+        let mut open_batches = lock(&self.open_batches);
         let task = tokio::spawn(async move {
             let started = task_engine.now();
             let outcome = call_batch(&task_engine, &order).await;
-            lock(&task_engine.batches().open).remove(&batch);
+            lock(&task_engine.batches().open_batches).remove(&batch);
             let time = task_engine.now().since(started);
             task_engine.telemetry.batch_ended(&order, &outcome, time);
             task_engine.handle_event(DaemonEvent::BatchEnded { batch, outcome });
         });
-        open.insert(batch, task.abort_handle());
+        open_batches.insert(batch, task.abort_handle());
     }
 
     /// Aborts a batch and closes its connection.
     pub fn cancel(&self, batch: BatchId) {
-        if let Some(task) = lock(&self.open).remove(&batch) {
+        if let Some(task) = lock(&self.open_batches).remove(&batch) {
             task.abort();
         }
     }
@@ -78,7 +78,7 @@
     }
 
     /// Tells upstreams to free `results`, except those at the addresses in `excluded`.
-    pub fn free(
+    pub fn free_results(
         &self,
         engine: &Arc<DaemonEngine>,
         results: &[ResultHandle],
--- a/crates/crocusdaled/src/upstream/upstream_client.rs
+++ b/crates/crocusdaled/src/upstream/upstream_client.rs
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub struct UpstreamClient {
     clients: Mutex<HashMap<String, Client>>,
-    open: Mutex<HashMap<AttemptId, AbortHandle>>,
+    open_calls: Mutex<HashMap<AttemptId, AbortHandle>>,
 }
 
 impl UpstreamClient {
@@ -49,18 +49,18 @@
         let task_engine = Arc::clone(engine);
         // The table stays locked until the task is registered, so that the task can't remove its
         // entry before the entry is inserted.
-        let mut open = lock(&self.open);
+        let mut open_calls = lock(&self.open_calls);
         let task = tokio::spawn(async move {
             let end = call(&task_engine, &client, order).await;
-            lock(&task_engine.upstreams().open).remove(&attempt);
+            lock(&task_engine.upstreams().open_calls).remove(&attempt);
             task_engine.handle_event(DaemonEvent::Attempt { attempt, event: end });
         });
-        open.insert(attempt, task.abort_handle());
+        open_calls.insert(attempt, task.abort_handle());
     }
 
     /// Aborts the call of `attempt` and closes its connection.
     pub fn cancel(&self, attempt: AttemptId) {
-        if let Some(task) = lock(&self.open).remove(&attempt) {
+        if let Some(task) = lock(&self.open_calls).remove(&attempt) {
             task.abort();
         }
     }
@@ -89,7 +89,10 @@
 
 impl fmt::Debug for UpstreamClient {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("UpstreamClient").field("open", &lock(&self.open).len()).finish()
+        formatter
+            .debug_struct("UpstreamClient")
+            .field("open", &lock(&self.open_calls).len())
+            .finish()
     }
 }
 
