--- a/crates/crocusdaled/src/service/caller_service.rs
+++ b/crates/crocusdaled/src/service/caller_service.rs
@@ -22,18 +22,18 @@
 use crate::engine::{CallReply, DaemonEngine};
 use crate::http::{BodyFault, read_caller_body};
 
-/// When a caller is told to ask a daemon for addresses again that has just started.
-const READY_RETRY: Duration = Duration::from_millis(1_000);
+/// Delay after which a caller should ask for addresses again if the daemon has just started.
+const READY_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Serves callers.
+/// HTTP service for callers.
 #[derive(Clone, Debug)]
 pub struct CallerService {
     engine: Arc<DaemonEngine>,
-    body_bytes: usize,
-    body_time: Duration,
+    max_body_bytes: usize,
+    body_timeout: Duration,
 }
 
-/// Query of an address question.
+/// Query parameters of a request for daemon addresses.
 #[derive(Debug, Deserialize)]
 struct AddressQuery {
     #[serde(default)]
@@ -41,7 +41,7 @@
     zone: Option<String>,
 }
 
-/// Query of an outcome question.
+/// Query parameters of a request for the outcome of an earlier request.
 #[derive(Debug, Deserialize)]
 struct OutcomeQuery {
     workspace: String,
@@ -49,14 +49,14 @@
     age_ms: Option<u64>,
 }
 
-/// Question for a ticket.
+/// Query parameters of a request for a ticket.
 #[derive(Debug, Deserialize)]
 struct TicketQuery {
     workspace: String,
     key: String,
 }
 
-/// A ticket, and for how long it is good.
+/// JSON body of an answer with a ticket and its validity.
 #[derive(Debug, Serialize)]
 struct TicketAnswer {
     ticket: String,
@@ -64,13 +64,13 @@
 }
 
 impl CallerService {
-    /// Serves callers of `engine` within `limits`.
+    /// Creates a service for callers of `engine`, with the body size and time limits of `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
-        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_timeout }
+        Self { engine, max_body_bytes: limits.body_bytes, body_timeout: limits.body_timeout }
     }
 
-    /// Routes of callers.
+    /// Returns the router of all paths for callers.
     pub fn router(self) -> Router {
         let (submit, outcome, addresses, tickets) =
             (self.clone(), self.clone(), self.clone(), self);
@@ -91,16 +91,16 @@
     }
 
     async fn submit(&self, request: Request) -> Response {
-        let request = match self.read(request.into_body()).await {
+        let request = match self.read_request(request.into_body()).await {
             Ok(request) => request,
             Err(outcome) => return refusal_response(*outcome, self.engine.core.is_leaving()),
         };
         let stream = request.stream;
         let mut call = self.open_call(&request.key);
-        let event = DaemonEvent::Submitted { call: call.call, request: Box::new(request) };
-        self.engine.feed(event);
+        let event = DaemonEvent::Submitted { call: call.id, request: Box::new(request) };
+        self.engine.handle_event(event);
         match call.next().await {
-            Some(CallReply::Final(answer)) if !stream => self.finish(&answer),
+            Some(CallReply::Final(answer)) if !stream => self.final_response(&answer),
             Some(reply) if stream => stream_response(call, reply),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         }
@@ -109,24 +109,24 @@
     async fn outcome(&self, query: Option<Query<OutcomeQuery>>) -> Response {
         let Some(Query(query)) = query else {
             let detail = "accepted: /v1/outcomes?workspace=NAME&key=KEY[&age_ms=N]";
-            return self.malformed(detail);
+            return self.malformed_response(detail);
         };
         if query.workspace.len() > MAX_KEY_BYTES || query.key.len() > MAX_KEY_BYTES {
-            return self.malformed("workspace and key: accepted: 1 to 128 bytes");
+            return self.malformed_response("workspace and key: accepted: 1 to 128 bytes");
         }
         let key = RequestKey::new(query.workspace, query.key);
         let mut call = self.open_call(&key);
         let age = query.age_ms.map(Duration::from_millis);
-        self.engine.feed(DaemonEvent::Inquired { call: call.call, key, age });
+        self.engine.handle_event(DaemonEvent::Inquired { call: call.id, key, age });
         match call.next().await {
-            Some(CallReply::Final(answer)) => self.finish(&answer),
+            Some(CallReply::Final(answer)) => self.final_response(&answer),
             _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         }
     }
 
     fn ticket(&self, query: Option<Query<TicketQuery>>) -> Response {
         let Some(Query(query)) = query else {
-            return self.malformed("accepted: /v1/tickets?workspace=NAME&key=KEY");
+            return self.malformed_response("accepted: /v1/tickets?workspace=NAME&key=KEY");
         };
         let key = RequestKey::new(query.workspace, query.key);
         let (ticket, valid) = self.engine.core.issue_ticket(&key, self.engine.now());
@@ -137,11 +137,11 @@
         let (caller, zone) =
             query.map(|Query(query)| (query.caller, query.zone)).unwrap_or_default();
         let answer = self.engine.core.addresses(&caller, zone.as_deref());
-        // A daemon that has just started knows of no peers yet; an empty answer would leave its
-        // caller with nowhere to go for as long as answers may be kept.
+        // A daemon that has just started knows no peers yet. An empty answer would leave the
+        // caller without any address for as long as it may cache the answer.
         if !self.engine.core.is_ready() || answer.addresses.is_empty() {
             let outcome = refusal(RefusalReason::NotReady, "this daemon knows of none to use");
-            return refusal_response(outcome.with_retry(READY_RETRY, true), false);
+            return refusal_response(outcome.with_retry(READY_RETRY_DELAY, true), false);
         }
         Json(answer).into_response()
     }
@@ -150,37 +150,38 @@
         OpenCall::open(&self.engine, key)
     }
 
-    fn finish(&self, answer: &FinalAnswer) -> Response {
+    fn final_response(&self, answer: &FinalAnswer) -> Response {
         answer_response(answer, self.engine.core.is_leaving())
     }
 
-    fn malformed(&self, detail: &str) -> Response {
+    fn malformed_response(&self, detail: &str) -> Response {
         refusal_response(refusal(RefusalReason::Malformed, detail), self.engine.core.is_leaving())
     }
 
-    async fn read(&self, body: Body) -> Result<CallerRequest, Box<FinalOutcome>> {
-        let read = tokio::time::timeout(self.body_time, read_caller_body(body, self.body_bytes));
+    async fn read_request(&self, body: Body) -> Result<CallerRequest, Box<FinalOutcome>> {
+        let read =
+            tokio::time::timeout(self.body_timeout, read_caller_body(body, self.max_body_bytes));
         let body = match read.await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyFault::TooLarge)) => {
-                let detail = format!("body: accepted: at most {} bytes", self.body_bytes);
+                let detail = format!("body: accepted: at most {} bytes", self.max_body_bytes);
                 return Err(Box::new(refusal(RefusalReason::TooLarge, &detail)));
             }
-            Ok(Err(BodyFault::Cut)) => {
+            Ok(Err(BodyFault::Incomplete)) => {
                 return Err(Box::new(refusal(RefusalReason::Malformed, "the body was cut")));
             }
             Err(_) => {
-                let detail = format!("body: accepted: within {} ms", self.body_time.as_millis());
+                let detail = format!("body: accepted: within {} ms", self.body_timeout.as_millis());
                 return Err(Box::new(refusal(RefusalReason::TooSlow, &detail)));
             }
         };
-        let wire: SubmittedRequest = serde_json::from_slice(&body)
+        let submitted: SubmittedRequest = serde_json::from_slice(&body)
             .map_err(|fault| Box::new(refusal(RefusalReason::Malformed, &fault.to_string())))?;
-        CallerRequest::try_from(wire)
+        CallerRequest::try_from(submitted)
     }
 }
 
 fn refusal(reason: RefusalReason, detail: &str) -> FinalOutcome {
-    let nobody = RequestKey::new("", "");
-    FinalOutcome::new(OutcomeKind::Refused, &nobody).with_reason(reason).with_detail(detail)
+    let empty_key = RequestKey::new("", "");
+    FinalOutcome::new(OutcomeKind::Refused, &empty_key).with_reason(reason).with_detail(detail)
 }
