--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -12,7 +12,7 @@
 use crocusdale_core::daemon::{Command, DaemonEvent};
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
-    ExchangeMessage, MemberStatus, VmEntry, VmRole, VmRoster, VmState,
+    ExchangeMessage, MemberStatus, VmEntry, VmList, VmRole, VmState,
 };
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder};
 use crocusdale_schema::peer;
@@ -52,7 +52,7 @@
     lost: Vec<bool>,
     queue: BTreeMap<(MonotonicTime, u64), (usize, Delivery)>,
     sequence: u64,
-    roster: VmRoster,
+    roster: VmList,
     published: (u64, String),
     outage: bool,
     tally: Tally,
@@ -127,7 +127,7 @@
             lost: vec![false; size],
             queue: BTreeMap::new(),
             sequence: 0,
-            roster: VmRoster { revision: 1, vms },
+            roster: VmList { revision: 1, vms },
             published: (1, declarations(1)),
             outage: false,
             tally: Tally::default(),
@@ -163,7 +163,7 @@
             Delivery::Exchange { from, message, sent } => {
                 let reply = self.cores[index].exchange(&message, self.now, &mut commands);
                 self.tally.bytes += wire_size(&reply);
-                let event = DaemonEvent::Exchanged { message: Box::new(reply), sent };
+                let event = DaemonEvent::HeartbeatAnswered { message: Box::new(reply), sent };
                 self.push(from, self.latency(index, from), Delivery::Event(event));
             }
             Delivery::Fetch { from, known } => {
@@ -187,7 +187,7 @@
                     let delivery = Delivery::Event(DaemonEvent::Timer(timer));
                     self.queue.insert((at, self.sequence), (index, delivery));
                 }
-                Command::Exchange { vm, message } => self.exchange(index, vm, message),
+                Command::SendHeartbeat { vm, message } => self.exchange(index, vm, message),
                 Command::FetchConfiguration { vm, known } => {
                     let to = position(&vm);
                     let delivery = Delivery::Fetch { from: index, known };
@@ -205,7 +205,7 @@
         self.tally.exchanges += 1;
         self.tally.bytes += wire_size(&message);
         if self.lost[to] {
-            let event = DaemonEvent::ExchangeFailed(vm);
+            let event = DaemonEvent::HeartbeatFailed(vm);
             self.push(index, PATIENCE, Delivery::Event(event));
         } else {
             let delivery = Delivery::Exchange { from: index, message, sent: self.now };
--- a/crates/crocusdale_core/src/batching/batch_pool.rs
+++ b/crates/crocusdale_core/src/batching/batch_pool.rs
@@ -129,7 +129,7 @@
 
     /// Accepts the pieces of a step. `crash_count` is the number of upstreams that have crashed
     /// while they ran the request of the step.
-    pub fn offer(
+    pub fn submit(
         &mut self,
         order: PieceOrder,
         crash_count: usize,
@@ -137,14 +137,14 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let attempt = order.attempt;
-        self.record_activity(order.repeated, now);
+        self.record_activity(order.is_resubmission, now);
         if order.pieces == 0 {
             let pool = order.pool;
             actions.push(DispatchAction::ReportOutcome { attempt, pool, outcome: Ok(Vec::new()) });
             return;
         }
         // Another dispatcher may already have processed these pieces, so they count as retries.
-        if order.repeated {
+        if order.is_resubmission {
             if !(0..order.pieces).all(|_| self.retry_budget.take_retry(now)) {
                 actions.push(DispatchAction::fail(attempt, &order.pool, PieceFault::Failed));
                 return;
@@ -170,7 +170,7 @@
     /// when pieces arrive from a failed dispatcher.
     fn record_activity(&mut self, is_takeover: bool, now: MonotonicTime) {
         let idle_time = self.last_active_at.replace(now).map(|last| now.since(last));
-        let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_life);
+        let was_idle = idle_time.is_none_or(|idle_time| idle_time >= self.rules.result_lifetime);
         if was_idle || (is_takeover && !self.has_recent_takeover(now)) {
             self.memory_unverified_since = Some(now);
             for worker in self.workers.values_mut() {
@@ -180,7 +180,8 @@
     }
 
     fn has_recent_takeover(&self, now: MonotonicTime) -> bool {
-        self.memory_unverified_since.is_some_and(|since| now.since(since) < self.rules.result_life)
+        self.memory_unverified_since
+            .is_some_and(|since| now.since(since) < self.rules.result_lifetime)
     }
 
     /// Sends nothing to `upstream` until `until`, as it has requested.
@@ -348,7 +349,7 @@
                     worker.result_memory.add_result(
                         handle.clone(),
                         bytes,
-                        now + self.rules.result_life,
+                        now + self.rules.result_lifetime,
                     );
                 }
                 let result = PlacedResult { handle, zone: zone.to_owned() };
--- a/crates/crocusdale_core/src/configuration/declarations.rs
+++ b/crates/crocusdale_core/src/configuration/declarations.rs
@@ -8,8 +8,8 @@
 use crate::orders::EngineOrder;
 
 use super::{
-    CallerLimits, ColdRules, ConfigurationError, ConfigurationErrorKind, ForwardRules, HomeRegions,
-    LabelSelector, LabelSet, PoolKind, RouteTable, StagePlan,
+    AllowedRegions, CallerLimits, ColdRules, ConfigurationError, ConfigurationErrorKind,
+    ForwardRules, LabelSelector, LabelSet, PoolKind, RouteTable, StagePlan,
 };
 
 /// Priority level of requests that match no `[priority]` section.
@@ -42,7 +42,7 @@
     /// Time for which the idempotency key of a request that must run at most once is remembered.
     pub key_life: Duration,
     /// Time for which callers may cache a list of daemon addresses.
-    pub address_hold: Duration,
+    pub address_cache_time: Duration,
     /// Maximum deadline of a request, as a time from its arrival.
     pub longest_deadline: Duration,
     /// Weight of meeting the latency objective against the cost of the stages.
@@ -109,7 +109,7 @@
     /// the level of the pipeline applies.
     pub level: Option<u8>,
     /// Regions in which forwarded requests may be processed.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Configuration of one pipeline.
@@ -277,7 +277,7 @@
 
     /// Name of the workspace that the access key `key` belongs to, or `None` if the key is unknown.
     #[must_use]
-    pub fn workspace_of_access(&self, key: &str) -> Option<&str> {
+    pub fn workspace_for_access_key(&self, key: &str) -> Option<&str> {
         self.access.get(key).map(String::as_str)
     }
 
@@ -345,7 +345,7 @@
     let rules = DeploymentRules {
         name: section.owned("name"),
         key_life: section.duration("key_life_ms").unwrap_or_default(),
-        address_hold: section.duration("address_hold_ms").unwrap_or_default(),
+        address_cache_time: section.duration("address_hold_ms").unwrap_or_default(),
         longest_deadline: section.duration("longest_deadline_ms").unwrap_or_default(),
         attainment_weight: section.get("attainment_weight").unwrap_or_default(),
         policy: section.get("policy").unwrap_or_default(),
@@ -464,7 +464,7 @@
         labels: section.labels("labels"),
         concurrency: section.get("concurrency").unwrap_or(1),
         level: None,
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     };
     (section.name.clone(), rules)
 }
--- a/crates/crocusdale_core/src/configuration/forward_rules.rs
+++ b/crates/crocusdale_core/src/configuration/forward_rules.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::HomeRegions;
+use super::AllowedRegions;
 
 /// Configuration of a pipeline whose last step forwards the request of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// Whether callers need no access key.
     pub public: bool,
     /// Regions in which the requests may be processed.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Conditions under which a failed forwarded request may be sent to another upstream.
@@ -82,7 +82,7 @@
     /// Memory for results in one upstream, in bytes.
     pub result_bytes: u64,
     /// Time after which an upstream drops a result that was not released.
-    pub result_life: Duration,
+    pub result_lifetime: Duration,
 }
 
 impl BatchRules {
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRules {
     /// Duration of the cold start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Number of requests per second that an upstream accepts during its cold start, from all
     /// daemons together.
     pub requests_per_s: f64,
--- a/crates/crocusdale_core/src/daemon/core_state.rs
+++ b/crates/crocusdale_core/src/daemon/core_state.rs
@@ -14,7 +14,7 @@
 use crate::claims::RegisterShard;
 use crate::configuration::{DeclarationReader, Declarations, MembershipSettings, RegionMap};
 use crate::identity::{InstanceId, MonotonicTime, RequestKey};
-use crate::membership::{MemberPlace, MemberViewBuilder, RosterHistory};
+use crate::membership::{MemberPlace, MemberViewBuilder, VmListHistory};
 use crate::pipeline::RequestShard;
 use crate::quarantine::CrashDetector;
 use crate::rate_limiting::RateLimiter;
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct FleetSnapshot {
     pub(super) declarations: Option<Arc<Declarations>>,
-    pub(super) history: RosterHistory,
+    pub(super) history: VmListHistory,
     pub(super) key_life: Duration,
 }
 
@@ -319,7 +319,7 @@
         self.shard(key.stable_hash())
     }
 
-    pub(super) fn register(&self, key: &RequestKey) -> MutexGuard<'_, RegisterShard> {
+    pub(super) fn register_shard(&self, key: &RequestKey) -> MutexGuard<'_, RegisterShard> {
         lock(&self.register_shards[(key.stable_hash() % SHARD_COUNT as u64) as usize])
     }
 }
--- a/crates/crocusdale_core/src/daemon/crash_flow.rs
+++ b/crates/crocusdale_core/src/daemon/crash_flow.rs
@@ -63,7 +63,7 @@
         out: &mut Vec<Command>,
     ) {
         if !records.is_empty() {
-            let verdict = lock(&self.crash_detector).take(records, now);
+            let verdict = lock(&self.crash_detector).merge(records, now);
             self.update_crash_summary();
             self.apply_verdict(verdict, Some(vm), now, out);
         }
@@ -80,18 +80,18 @@
 
     /// Drops crash records that have expired.
     pub(super) fn expire_crash_records(&self, now: MonotonicTime) {
-        if lock(&self.crash_detector).forget(now) {
+        if lock(&self.crash_detector).remove_expired(now) {
             self.update_crash_summary();
         }
     }
 
     /// Remaining quarantine of requests with `digest`, or `None` if they may be dispatched.
-    pub(super) fn quarantine_left(
+    pub(super) fn remaining_quarantine(
         &self,
         digest: RequestDigest,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        lock(&self.crash_detector).quarantine(digest, now)
+        lock(&self.crash_detector).quarantine_left(digest, now)
     }
 
     /// Logs new and lifted quarantines, refuses the queued requests they apply to, and schedules
@@ -137,14 +137,14 @@
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
-        let Some(left) = self.quarantine_left(digest, now) else { return };
+        let Some(remaining) = self.remaining_quarantine(digest, now) else { return };
         let mut actions = Vec::new();
         let queued = lock(&self.entry_backlog).take_matching(digest);
         for (call, plan) in queued {
-            self.refuse_quarantined(call, &plan, left, &mut actions);
+            self.refuse_quarantined(call, &plan, remaining, &mut actions);
         }
         for shard in &self.request_shards {
-            lock(shard).end_quarantined(digest, left, now, &mut actions);
+            lock(shard).end_quarantined(digest, remaining, now, &mut actions);
         }
         let mut dispatch_actions = Vec::new();
         lock(&self.dispatcher).fail_quarantined(digest, &mut dispatch_actions);
--- a/crates/crocusdale_core/src/daemon/daemon_core.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_core.rs
@@ -83,25 +83,30 @@
         let mut actions = Vec::new();
         match event {
             DaemonEvent::Submitted { call, request } => {
-                let held = HeldRequest { call, request: *request, arrived: now };
-                self.state.submit_or_hold(held, now, out);
+                let held_request = HeldRequest { call, request: *request, arrived_at: now };
+                self.state.submit_or_hold(held_request, now, out);
             }
             DaemonEvent::Inquired { call, key, age } => {
                 self.state.inquire(call, key, age, now, out);
             }
             DaemonEvent::CallerDisconnected(call) => {
                 self.state.remove_queued_request(call, &mut actions);
-                self.state.shard(call.0).abandon(call, now, &mut actions);
+                self.state.shard(call.0).handle_disconnect(call, now, &mut actions);
             }
             DaemonEvent::Attempt { attempt, event } => {
-                self.state.shard(attempt.call.0).attempt_event(attempt, event, now, &mut actions);
+                self.state.shard(attempt.call.0).handle_attempt_event(
+                    attempt,
+                    event,
+                    now,
+                    &mut actions,
+                );
             }
             DaemonEvent::WitnessReplied { call, witness, reply } => {
                 let mut shard = self.state.shard(call.0);
-                shard.register_replied(call, &witness, reply, now, &mut actions);
+                shard.handle_register_reply(call, &witness, reply, now, &mut actions);
             }
             DaemonEvent::HolderReplied { call, reply } => {
-                self.state.shard(call.0).holder_replied(call, reply, now, &mut actions);
+                self.state.shard(call.0).handle_holder_reply(call, reply, now, &mut actions);
             }
             DaemonEvent::Timer(timer) => self.handle_timer(timer, now, out),
             DaemonEvent::PiecesReceived(order) => {
@@ -111,7 +116,7 @@
                 lock(&self.state.dispatcher).cancel_attempt(attempt, &pool);
             }
             DaemonEvent::PoolWaitReported { pool, wait } => {
-                lock(&self.state.pool_waits).note(&pool, wait, now);
+                lock(&self.state.pool_waits).record(&pool, wait, now);
             }
             DaemonEvent::ResultsReleased { pool, results } => {
                 lock(&self.state.dispatcher).release(&pool, results);
@@ -162,7 +167,7 @@
             let directory = fleet.directory_status(now);
             let vm = &message.sender.instance.vm;
             let reply = match message.known_members {
-                Some(known) => fleet.view.welcome(vm, known, position, directory),
+                Some(known) => fleet.view.full_sync_message(vm, known, position, directory),
                 None => fleet.view.message(vm, position, directory),
             };
             let reply = ExchangeMessage {
@@ -205,7 +210,7 @@
         now: MonotonicTime,
     ) {
         let key_life = self.state.fleet_snapshot().key_life;
-        self.state.register(key).record(key, holder, body, now, key_life);
+        self.state.register_shard(key).record(key, holder, body, now, key_life);
     }
 
     /// Answers a peer's inquiry about the request `key` that the process `holder` has claimed. A
@@ -269,9 +274,9 @@
     pub fn addresses(&self, caller: &str, zone: Option<&str>) -> AddressAnswer {
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force();
-        let address_hold =
-            in_force.map_or(Duration::ZERO, |entry| entry.declarations.deployment().address_hold);
-        let order = AddressOrder::new(fleet.history.current(), &fleet.view, address_hold);
+        let address_cache_time = in_force
+            .map_or(Duration::ZERO, |entry| entry.declarations.deployment().address_cache_time);
+        let order = AddressOrder::new(fleet.history.current(), &fleet.view, address_cache_time);
         let order = order.regions(&self.state.region_map);
         order.answer(caller, zone.unwrap_or(&self.state.zone))
     }
@@ -332,7 +337,7 @@
             registers,
             outcomes,
             keys,
-            waiting: router.waiting(),
+            waiting: router.waiting_counts(),
             waiting_pieces: lock(&self.state.dispatcher).waiting(),
             upstreams: router.summaries(now),
             limited_upstreams: self.state.limiter.summaries(),
@@ -344,8 +349,8 @@
     fn open_call_count(&self) -> usize {
         let started: usize =
             self.state.request_shards.iter().map(|shard| lock(shard).open_count()).sum();
-        let held = lock(&self.state.held_work).request_count();
-        started + lock(&self.state.entry_backlog).len() + held
+        let held_count = lock(&self.state.held_work).request_count();
+        started + lock(&self.state.entry_backlog).len() + held_count
     }
 
     /// Dispatches a timer that has fired to its handler.
@@ -413,7 +418,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut actions = Vec::new();
-        self.state.shard(call.0).timer(timer, now, &mut actions);
+        self.state.shard(call.0).handle_timer(timer, now, &mut actions);
         self.state.run_actions(actions, now, out);
     }
 
--- a/crates/crocusdale_core/src/daemon/daemon_event.rs
+++ b/crates/crocusdale_core/src/daemon/daemon_event.rs
@@ -3,7 +3,7 @@
 use crate::batching::{BatchId, BatchOutcome, PoolWait};
 use crate::claims::RegisterReply;
 use crate::identity::{AttemptId, CallId, MonotonicTime, RequestKey, StorePosition};
-use crate::membership::{ExchangeMessage, VmRoster};
+use crate::membership::{ExchangeMessage, VmList};
 use crate::orders::EngineOrder;
 use crate::pipeline::{AttemptEvent, CallerRequest, HolderReply, PieceOrder, ResultHandle};
 use crate::routing::{ColdUpstream, DirectoryEntry, PeerDirectory, UpstreamNotice};
@@ -59,14 +59,14 @@
     },
     /// A peer answered a heartbeat of this daemon with its own, which the daemon merges into its
     /// view of the fleet.
-    Exchanged {
+    HeartbeatAnswered {
         /// Heartbeat of the peer.
         message: Box<ExchangeMessage>,
         /// Time at which this daemon sent its own heartbeat.
         sent: MonotonicTime,
     },
     /// The peer on the named VM did not answer a heartbeat, which may make it suspect.
-    ExchangeFailed(String),
+    HeartbeatFailed(String),
     /// A peer's configuration was fetched, as revision and text; `None` if the fetch failed.
     ConfigurationFetched(Option<(u64, String)>),
     /// The configuration service answered with a revision and its text; `None` without a change.
@@ -153,7 +153,7 @@
         outcome: BatchOutcome,
     },
     /// The VM list was read; `None` if it is unchanged.
-    VmListRead(Option<VmRoster>),
+    VmListRead(Option<VmList>),
     /// A read of the VM list failed.
     VmListReadFailed,
     /// A model engine answered which engine order it holds, or failed to answer. The daemon sends
--- a/crates/crocusdale_core/src/daemon/directory_state.rs
+++ b/crates/crocusdale_core/src/daemon/directory_state.rs
@@ -88,7 +88,7 @@
         evacuations: Vec<(u64, String)>,
     ) -> Self {
         let with_position = |(revision, zone)| ZoneEvacuation {
-            written: StorePosition { era: position.era, revision },
+            write_position: StorePosition { era: position.era, revision },
             zone,
         };
         let evacuations = evacuations.into_iter().map(with_position).collect();
@@ -324,8 +324,8 @@
         self.consecutive_failures += 1;
         let failing_since = *self.failing_since.get_or_insert(now);
         self.had_outage |= now.since(failing_since) >= OUTAGE_THRESHOLD;
-        let pause = READ_BACKOFF.0 * 2_u32.pow(self.consecutive_failures.min(4) - 1);
-        self.schedule_poll(now + pause.min(READ_BACKOFF.1), out);
+        let backoff = READ_BACKOFF.0 * 2_u32.pow(self.consecutive_failures.min(4) - 1);
+        self.schedule_poll(now + backoff.min(READ_BACKOFF.1), out);
     }
 
     /// Fetches changes from the peer on `vm` if its last change, at `changed`, is newer than the
@@ -550,8 +550,8 @@
         out: &mut Vec<Command>,
     ) {
         if changed {
-            let StorePosition { era, revision } = self.directory.changed();
-            let upstreams = self.directory.staying().count();
+            let StorePosition { era, revision } = self.directory.change_position();
+            let upstreams = self.directory.available_entries().count();
             let age_ms = age.map(whole_millis);
             let change = StateChange::DirectoryTaken { era, revision, upstreams, peer, age_ms };
             out.push(Command::LogStateChange(change));
--- a/crates/crocusdale_core/src/daemon/entry_flow.rs
+++ b/crates/crocusdale_core/src/daemon/entry_flow.rs
@@ -27,7 +27,8 @@
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
-        plan.is_flood = lock(&self.workspace_meter).count(&plan.request.key.workspace, now);
+        plan.is_flood =
+            lock(&self.workspace_meter).record_request(&plan.request.key.workspace, now);
         if let Some(wait) = self.rate_limit_retry_after(&plan, now) {
             refuse_unstarted(call, &plan, (RefusalReason::Overload, wait), actions);
             return;
@@ -36,17 +37,17 @@
         match self.entry_verdict(&plan, now) {
             EntryVerdict::InTime => self.shard(call.0).start(call, plan, now, actions),
             EntryVerdict::Unservable => self.refuse_overloaded(call, &plan, now, actions),
-            verdict @ (EntryVerdict::LateWithRoom | EntryVerdict::Late) => {
+            verdict @ (EntryVerdict::LateWithCapacity | EntryVerdict::Late) => {
                 actions.push(ShardAction::Command(Command::LogStateChange(
                     StateChange::RequestWaits {
                         request: plan.request.key.clone(),
                         verdict: verdict.to_string(),
-                        needed_ms: millis(self.expected_duration(&plan, now)),
-                        objective_ms: millis(plan.objective.since(now)),
+                        needed_ms: whole_millis(self.expected_duration(&plan, now)),
+                        objective_ms: whole_millis(plan.objective.since(now)),
                         is_flood: plan.is_flood,
                     },
                 )));
-                lock(&self.entry_backlog).wait(call, plan);
+                lock(&self.entry_backlog).push(call, plan);
             }
         }
     }
@@ -55,7 +56,7 @@
     /// answered before their deadline.
     pub(super) fn start_queued_requests(&self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         let verdict_of = |plan: &RequestPlan| self.entry_verdict(plan, now);
-        let ready = lock(&self.entry_backlog).take(MAX_LATE_STARTS_PER_ROUND, verdict_of);
+        let ready = lock(&self.entry_backlog).take_ready(MAX_LATE_STARTS_PER_ROUND, verdict_of);
         for (call, mut plan, verdict) in ready {
             plan.queueing_delays = self.expected_delays(&plan, now);
             if verdict == EntryVerdict::Unservable {
@@ -89,7 +90,7 @@
     fn expected_duration(&self, plan: &RequestPlan, now: MonotonicTime) -> Duration {
         let delays = self.expected_delays(plan, now);
         let steps = &plan.pipeline.plan;
-        steps.longest_way(|step, position| plan.step_time(position, step) + delays[position])
+        steps.critical_path_time(|step, position| plan.step_time(position, step) + delays[position])
     }
 
     /// Expected delay of each step over its duration on idle pools, from the latest reports of
@@ -99,8 +100,8 @@
     fn expected_delays(&self, plan: &RequestPlan, now: MonotonicTime) -> Vec<Duration> {
         let steps = plan.pipeline.plan.steps().iter().enumerate();
         let delay = |(position, step): (usize, &PlanStep)| {
-            let batched = matches!(step.work, StepWork::Batched { .. });
-            if plan.is_flood || !batched || plan.pieces(position) == 0 {
+            let is_batched = matches!(step.work, StepWork::Batched { .. });
+            if plan.is_flood || !is_batched || plan.pieces(position) == 0 {
                 return Duration::ZERO;
             }
             let wait = self.step_wait(plan, step, now);
@@ -138,15 +139,15 @@
         refuse_unstarted(call, plan, (RefusalReason::Overload, retry_after), actions);
     }
 
-    /// Refuses a queued request that is quarantined for `left`.
+    /// Refuses a queued request that is quarantined for `remaining`.
     pub(super) fn refuse_quarantined(
         &self,
         call: CallId,
         plan: &RequestPlan,
-        left: Duration,
+        remaining: Duration,
         actions: &mut Vec<ShardAction>,
     ) {
-        refuse_unstarted(call, plan, (RefusalReason::Quarantined, left), actions);
+        refuse_unstarted(call, plan, (RefusalReason::Quarantined, remaining), actions);
     }
 
     /// `Retry-After` of a request that the rate limits of its last step's upstreams leave no slot
@@ -155,7 +156,7 @@
     fn rate_limit_retry_after(&self, plan: &RequestPlan, now: MonotonicTime) -> Option<Duration> {
         let steps = plan.pipeline.plan.steps();
         let forwarded = steps.iter().find(|step| step.work == StepWork::Forward)?;
-        self.router().admission_delay(&forwarded.stage, &plan.home_regions, plan.deadline, now)
+        self.router().admission_delay(&forwarded.stage, &plan.allowed_regions, plan.deadline, now)
     }
 
     /// Admission verdict on a request, from the latest reports of the dispatchers of its batched
@@ -169,22 +170,22 @@
         let expected = self.expected_duration(plan, now);
         let waits = self.needed_pool_waits(plan, now);
         let late_wait = waits.iter().map(|wait| wait.late_wait(plan.level)).max();
-        let unqueued =
-            plan.pipeline.plan.longest_way(|step, position| plan.step_time(position, step));
+        let unqueued_duration =
+            plan.pipeline.plan.critical_path_time(|step, position| plan.step_time(position, step));
         // Flood requests queue behind all others, like late ones.
         let expected = if plan.is_flood {
-            expected.max(unqueued + late_wait.unwrap_or_default())
+            expected.max(unqueued_duration + late_wait.unwrap_or_default())
         } else {
             expected
         };
-        if now + unqueued >= plan.deadline {
+        if now + unqueued_duration >= plan.deadline {
             EntryVerdict::Unservable
         } else if now + expected.mul_f64(1.0 / OBJECTIVE_FRACTION) <= plan.objective {
             EntryVerdict::InTime
         } else if now + late_wait.unwrap_or_default() >= plan.deadline {
             EntryVerdict::Unservable
-        } else if waits.iter().all(PoolWait::has_room) {
-            EntryVerdict::LateWithRoom
+        } else if waits.iter().all(PoolWait::has_spare_capacity) {
+            EntryVerdict::LateWithCapacity
         } else {
             EntryVerdict::Late
         }
@@ -199,12 +200,12 @@
     actions: &mut Vec<ShardAction>,
 ) {
     actions.push(ShardAction::ReleasePermit(plan.permit.clone()));
-    let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).reason(reason);
-    let answer = FinalAnswer::from(outcome.retry(retry_after, true));
+    let outcome = FinalOutcome::new(OutcomeKind::Refused, &plan.request.key).with_reason(reason);
+    let answer = FinalAnswer::from(outcome.with_retry(retry_after, true));
     actions.push(ShardAction::Command(Command::Reply { call, answer }));
 }
 
 /// Whole milliseconds of `duration`.
-fn millis(duration: Duration) -> u64 {
+fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/crocusdale_core/src/daemon/fleet_events.rs
+++ b/crates/crocusdale_core/src/daemon/fleet_events.rs
@@ -6,7 +6,7 @@
 use super::directory_state::PlatformSnapshot;
 use super::{Command, CounterName, DaemonCore, DaemonEvent};
 use crate::identity::{MonotonicTime, StorePosition};
-use crate::membership::{ExchangeMessage, VmRoster};
+use crate::membership::{ExchangeMessage, VmList};
 use crate::sync::lock;
 
 impl DaemonCore {
@@ -19,7 +19,7 @@
         out: &mut Vec<Command>,
     ) {
         match event {
-            DaemonEvent::Exchanged { message, sent } => {
+            DaemonEvent::HeartbeatAnswered { message, sent } => {
                 let sender = &message.sender.instance.vm;
                 self.state.merge_crash_records(&message.crashes, sender, now, out);
                 self.state.merge_limits(&message.limits, sender, now, out);
@@ -53,7 +53,7 @@
                 let changed = lock(&self.state.directory).apply_peer_list(list, revision, now, out);
                 self.propagate_directory(changed, now, out);
             }
-            DaemonEvent::ExchangeFailed(vm) => {
+            DaemonEvent::HeartbeatFailed(vm) => {
                 lock(&self.state.fleet).record_heartbeat_failure(&vm, now, out);
             }
             DaemonEvent::ConfigurationFetched(configuration) => {
@@ -148,7 +148,7 @@
             let restarted = state.directory.take_restarted();
             out.extend(restarted.into_iter().map(Command::CloseStaleConnections));
             let lowest_position = StorePosition::from(u64::from(state.directory.is_known()));
-            (state.directory.changed().max(lowest_position), state.verified_at())
+            (state.directory.change_position().max(lowest_position), state.verified_at())
         };
         let declarations = {
             let mut fleet = lock(&self.state.fleet);
@@ -191,14 +191,14 @@
     /// Applies a VM list to membership and routing; `None` stands for an unchanged list.
     pub(super) fn apply_vm_list(
         &self,
-        vm_list: Option<VmRoster>,
+        vm_list: Option<VmList>,
         now: MonotonicTime,
         out: &mut Vec<Command>,
     ) {
         let Some(vm_list) = vm_list else { return };
         if lock(&self.state.fleet).apply_vm_list(vm_list, now, out) {
             self.refresh_fleet_snapshot();
-            self.state.router().take_roster(self.state.fleet_snapshot().history.current());
+            self.state.router().apply_roster(self.state.fleet_snapshot().history.current());
         }
     }
 
@@ -208,7 +208,7 @@
         let fleet = lock(&self.state.fleet);
         let in_force = fleet.ledger.in_force().filter(|_| fleet.is_ready());
         let snapshot = FleetSnapshot {
-            declarations: in_force.map(|each| Arc::clone(&each.declarations)),
+            declarations: in_force.map(|in_force| Arc::clone(&in_force.declarations)),
             history: fleet.history.clone(),
             key_life: fleet.key_life(),
         };
--- a/crates/crocusdale_core/src/daemon/piece_flow.rs
+++ b/crates/crocusdale_core/src/daemon/piece_flow.rs
@@ -20,7 +20,7 @@
         out: &mut Vec<Command>,
     ) {
         order.pool = self.section_for(&order.pool, &order.request, now);
-        self.shard(order.attempt.call.0).note_section(order.attempt, &order.pool);
+        self.shard(order.attempt.call.0).record_section(order.attempt, &order.pool);
         let vm = {
             let fleet = lock(&self.fleet);
             let choice = DispatcherChoice::new(fleet.history.current(), &fleet.view);
@@ -64,13 +64,13 @@
         out: &mut Vec<Command>,
     ) {
         let mut dispatch_actions = Vec::new();
-        if order.digest.is_some_and(|digest| self.quarantine_left(digest, now).is_some()) {
+        if order.digest.is_some_and(|digest| self.remaining_quarantine(digest, now).is_some()) {
             let fault = PieceFault::Quarantined;
             dispatch_actions.push(DispatchAction::fail(order.attempt, &order.pool, fault));
         } else {
             let crash_count =
                 order.digest.map_or(0, |digest| lock(&self.crash_detector).crash_count(digest));
-            lock(&self.dispatcher).offer(order, crash_count, now, &mut dispatch_actions);
+            lock(&self.dispatcher).submit(order, crash_count, now, &mut dispatch_actions);
         }
         self.run_dispatch_actions(dispatch_actions, now, actions, out);
     }
@@ -239,16 +239,16 @@
         out: &mut Vec<Command>,
     ) {
         let wait = lock(&self.dispatcher).expected_wait(pool, now);
-        if attempt.incarnation != self.own_instance.mark() {
+        if attempt.incarnation != self.own_instance.process_hash() {
             out.push(Command::AnswerPieces { attempt, outcome, wait });
             return;
         }
         let retry_after = wait.retry_after();
-        lock(&self.pool_waits).note(pool, wait, now);
+        lock(&self.pool_waits).record(pool, wait, now);
         let event = match outcome {
             Ok(results) => AttemptEvent::PiecesCompleted(results),
             Err(fault) => AttemptEvent::PiecesFailed { fault, retry_after },
         };
-        self.shard(attempt.call.0).attempt_event(attempt, event, now, actions);
+        self.shard(attempt.call.0).handle_attempt_event(attempt, event, now, actions);
     }
 }
--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -30,17 +30,22 @@
 impl CoreState {
     /// Starts, queues or refuses a caller's request. Its deadline counts from its arrival, not from
     /// `now`.
-    pub(super) fn submit(&self, held: HeldRequest, now: MonotonicTime, out: &mut Vec<Command>) {
-        let HeldRequest { call, request, arrived } = held;
+    pub(super) fn submit(
+        &self,
+        held_request: HeldRequest,
+        now: MonotonicTime,
+        out: &mut Vec<Command>,
+    ) {
+        let HeldRequest { call, request, arrived_at } = held_request;
         let mut actions = Vec::new();
         let key = request.key.clone();
-        let claimed = !request.repeatable && request.forward().is_none();
-        if claimed && self.shard(call.0).join(call, &key, now, &mut actions) {
+        let needs_claim = !request.repeatable && request.forward_head().is_none();
+        if needs_claim && self.shard(call.0).join_run(call, &key, now, &mut actions) {
             self.run_actions(actions, now, out);
             return;
         }
         let is_about_to_exit = lock(&self.refuse_requests_from).is_some_and(|from| now >= from);
-        if is_about_to_exit && request.forward().is_some() {
+        if is_about_to_exit && request.forward_head().is_some() {
             let refusal = refusal(&key, RefusalReason::Draining, DRAINING_RETRY_AFTER);
             self.refuse(call, key, None, refusal, now, out);
             return;
@@ -48,17 +53,18 @@
         let snapshot = self.fleet_snapshot();
         let Some(declarations) = &snapshot.declarations else {
             let refusal = refusal(&key, RefusalReason::NotReady, NOT_READY_RETRY_AFTER);
-            let age = claimed.then_some(request.age);
+            let age = needs_claim.then_some(request.age);
             self.refuse(call, key, age, refusal, now, out);
             return;
         };
-        let (forwarded, age) = (request.forward().is_some(), request.age);
-        let repeatable = request.repeatable || forwarded;
-        match self.admit(request, declarations, arrived, now) {
+        let (is_forwarded, age) = (request.forward_head().is_some(), request.age);
+        let is_repeatable = request.repeatable || is_forwarded;
+        match self.admit(request, declarations, arrived_at, now) {
             Ok(plan) if !plan.needs_claim => self.start_or_queue(call, plan, now, &mut actions),
             Ok(plan) => self.start_claimed(call, plan, now, &mut actions),
             Err((refusal, is_pipeline_repeatable)) => {
-                let age = (!repeatable || !(is_pipeline_repeatable || forwarded)).then_some(age);
+                let age =
+                    (!is_repeatable || !(is_pipeline_repeatable || is_forwarded)).then_some(age);
                 self.refuse(call, key, age, refusal, now, out);
             }
         }
@@ -75,7 +81,7 @@
         out: &mut Vec<Command>,
     ) {
         let mut actions = Vec::new();
-        if !self.shard(call.0).join(call, &key, now, &mut actions) {
+        if !self.shard(call.0).join_run(call, &key, now, &mut actions) {
             actions = self.start_inquiry(call, key, None, age, now);
         }
         self.run_actions(actions, now, out);
@@ -102,7 +108,7 @@
     ) -> Vec<ShardAction> {
         let mut actions = Vec::new();
         for grant in grants {
-            self.shard(grant.request.call.0).granted(grant, now, &mut actions);
+            self.shard(grant.request.call.0).handle_grant(grant, now, &mut actions);
         }
         actions
     }
@@ -120,18 +126,21 @@
         let own_witnesses = WitnessSet::choose(key, snapshot.history.current());
         if snapshot.declarations.is_none()
             || !own_witnesses.contains(&self.own_instance.vm)
-            || !own_witnesses.agrees_with(witnesses)
+            || !own_witnesses.shares_quorum_with(witnesses)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
         }
-        if let Some(abstention) =
-            snapshot.history.abstention(&self.own_instance.vm, key, now, snapshot.key_life)
-        {
+        if let Some(abstention) = snapshot.history.remaining_abstention(
+            &self.own_instance.vm,
+            key,
+            now,
+            snapshot.key_life,
+        ) {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(abstention);
         }
-        let mut register = self.register(key);
+        let mut register = self.register_shard(key);
         let reply = match claimant {
             Some(claimant) => register.claim(key, claimant, now, snapshot.key_life),
             None => register.write_tombstone(key, now, snapshot.key_life),
@@ -150,15 +159,15 @@
         &self,
         request: CallerRequest,
         declarations: &Arc<Declarations>,
-        arrived: MonotonicTime,
+        arrived_at: MonotonicTime,
         now: MonotonicTime,
     ) -> Result<RequestPlan, (Box<FinalOutcome>, bool)> {
         let key = request.key.clone();
-        let mut plan = RequestPlan::build(request, declarations, arrived)
+        let mut plan = RequestPlan::build(request, declarations, arrived_at)
             .map_err(|refusal| (refusal, true))?;
-        let repeatable = plan.repeatable;
-        if let Some(quarantine) = self.quarantine_left(plan.digest, now) {
-            return Err((refusal(&key, RefusalReason::Quarantined, quarantine), repeatable));
+        let is_repeatable = plan.repeatable;
+        if let Some(quarantine) = self.remaining_quarantine(plan.digest, now) {
+            return Err((refusal(&key, RefusalReason::Quarantined, quarantine), is_repeatable));
         }
         // Load shedding: a request that can't meet its deadline is refused before it uses any
         // capacity of requests that can.
@@ -166,12 +175,12 @@
         if now + estimated_time > plan.deadline {
             let retry_after =
                 estimated_time.saturating_sub(plan.request.deadline).max(LIMIT_RETRY_AFTER);
-            return Err((refusal(&key, RefusalReason::Overload, retry_after), repeatable));
+            return Err((refusal(&key, RefusalReason::Overload, retry_after), is_repeatable));
         }
         let workspace = &plan.request.key.workspace;
         let admission = lock(&self.admission_gate).admit(declarations, workspace, &plan.labels);
-        plan.permit =
-            admission.map_err(|reason| (refusal(&key, reason, LIMIT_RETRY_AFTER), repeatable))?;
+        plan.permit = admission
+            .map_err(|reason| (refusal(&key, reason, LIMIT_RETRY_AFTER), is_repeatable))?;
         Ok(plan)
     }
 
@@ -187,7 +196,7 @@
         let key = plan.request.key.clone();
         let mut shard = self.shard(call.0);
         // A request that its caller marks as repeatable may match a pipeline that is not.
-        if plan.request.repeatable && shard.join(call, &key, now, actions) {
+        if plan.request.repeatable && shard.join_run(call, &key, now, actions) {
             actions.push(ShardAction::ReleasePermit(plan.permit));
             return;
         }
@@ -221,10 +230,10 @@
         now: MonotonicTime,
     ) -> Option<RefusalReason> {
         let key = &plan.request.key;
-        if shard.has_given_up(key) {
+        if shard.has_abandoned(key) {
             return Some(RefusalReason::NeverRun);
         }
-        if !shard.has_memory() {
+        if !shard.has_key_capacity() {
             return Some(RefusalReason::RequestLimit);
         }
         if plan.deadline >= plan.remembered_until {
@@ -300,12 +309,17 @@
                 self.acquire(request, RefusalReason::NoUpstream, now, &mut actions);
             }
             ShardAction::AcquireRetrySlot { request, reason } => {
-                if self.router().allow_retry(&request, now) {
+                if self.router().take_retry(&request, now) {
                     out.push(Command::Count(CounterName::Retries));
                     self.acquire(request, reason, now, &mut actions);
                 } else {
                     out.push(Command::Count(CounterName::RetriesDenied));
-                    self.shard(request.call.0).denied(request.call, reason, now, &mut actions);
+                    self.shard(request.call.0).handle_refusal(
+                        request.call,
+                        reason,
+                        now,
+                        &mut actions,
+                    );
                 }
             }
             ShardAction::CancelSlotRequest(request) => {
@@ -341,12 +355,12 @@
             ShardAction::WriteRegister(register) => {
                 self.ask_witness(register, now, &mut actions, out)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: false } => {
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: false } => {
                 self.router().confirm_running(&upstream, &life)
             }
-            ShardAction::RecordProcess { upstream, life, leaving: true } => {
-                let news = LeavingUpstream { upstream, life };
-                lock(&self.fleet).view.take_leaving_upstream(&news, now);
+            ShardAction::RecordProcess { upstream, process: life, is_leaving: true } => {
+                let news = LeavingUpstream { upstream, process: life };
+                lock(&self.fleet).view.add_leaving_upstream(&news, now);
                 self.mark_leaving(&[news], now, out);
             }
         }
@@ -380,11 +394,15 @@
         }
         let claimant = (!bury).then_some(&self.own_instance);
         let reply = self.witness(&key, claimant, &witnesses, now, out);
-        self.shard(call.0).register_replied(call, &witness, Some(reply), now, actions);
+        self.shard(call.0).handle_register_reply(call, &witness, Some(reply), now, actions);
     }
 }
 
 /// Refused outcome for `key`, which its caller may retry after `retry_after`.
 fn refusal(key: &RequestKey, reason: RefusalReason, retry_after: Duration) -> Box<FinalOutcome> {
-    Box::new(FinalOutcome::new(OutcomeKind::Refused, key).reason(reason).retry(retry_after, true))
+    Box::new(
+        FinalOutcome::new(OutcomeKind::Refused, key)
+            .with_reason(reason)
+            .with_retry(retry_after, true),
+    )
 }
--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ExchangeMessage, LeavingUpstream, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
-    VmEntry, VmRole, VmRoster, VmState,
+    VmEntry, VmList, VmRole, VmState,
 };
 use crate::identity::{InstanceId, MonotonicTime};
 
@@ -37,7 +37,7 @@
     pub(super) own: MemberRecord,
     pub(super) own_leaving: bool,
     /// Whether messages request all member records that this daemon lacks.
-    pub(super) asks_for_all: bool,
+    pub(super) requests_full_sync: bool,
     pub(super) period: Duration,
     pub(super) suspicion: Duration,
     pub(super) peers: BTreeMap<String, PeerState>,
@@ -132,7 +132,7 @@
         MemberView {
             own: MemberRecord::new(self.own, self.place),
             own_leaving: false,
-            asks_for_all: false,
+            requests_full_sync: false,
             period: self.period,
             suspicion: self.suspicion,
             peers: BTreeMap::new(),
@@ -160,15 +160,15 @@
         self.period
     }
 
-    /// Adds peers that are new in the VM list `roster`, and removes those that are no longer in it.
+    /// Adds peers that are new in the VM list `vm_list`, and removes those that are no longer in it.
     /// In a deployment with a VM list, gossip adds no peers.
-    pub fn take_roster(&mut self, roster: &VmRoster, now: MonotonicTime) {
+    pub fn update_peers(&mut self, vm_list: &VmList, now: MonotonicTime) {
         let own = &self.own.instance.vm;
-        self.peers.retain(|vm, _| roster.get(vm).is_some());
-        for vm in roster.entries().filter(|vm| vm.name != *own && vm.peer.is_some()) {
+        self.peers.retain(|vm, _| vm_list.get(vm).is_some());
+        for vm in vm_list.entries().filter(|vm| vm.name != *own && vm.peer.is_some()) {
             self.peers.entry(vm.name.clone()).or_insert_with(|| PeerState::without_record(now));
         }
-        self.leaving.retain(|instance, _| roster.get(&instance.vm).is_some());
+        self.leaving.retain(|instance, _| vm_list.get(&instance.vm).is_some());
         self.partner_order.clear();
     }
 
@@ -226,7 +226,7 @@
 
     /// Merges a message of a peer into the view. Returns the leaving upstreams that were not known
     /// before.
-    pub fn take_message(
+    pub fn merge_message(
         &mut self,
         message: &ExchangeMessage,
         now: MonotonicTime,
@@ -249,11 +249,11 @@
             self.add_leaving_member(instance);
         }
         let notices = message.leaving_upstreams.iter();
-        notices.filter(|upstream| self.take_leaving_upstream(upstream, now)).cloned().collect()
+        notices.filter(|upstream| self.add_leaving_upstream(upstream, now)).cloned().collect()
     }
 
     /// Handles a failed exchange with `vm`: the member becomes suspected, unless it already was.
-    pub fn exchange_failed(&mut self, vm: &str, now: MonotonicTime) {
+    pub fn handle_failed_exchange(&mut self, vm: &str, now: MonotonicTime) {
         let sends = self.initial_sends();
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.is_contacted = true;
@@ -269,14 +269,14 @@
     }
 
     /// Records that an upstream is leaving. Returns whether this was not known before.
-    pub fn take_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
+    pub fn add_leaving_upstream(&mut self, leaving: &LeavingUpstream, now: MonotonicTime) -> bool {
         let known = self.leaving_upstreams.get(&leaving.upstream);
-        if known.is_some_and(|notice| notice.process == leaving.life) {
+        if known.is_some_and(|notice| notice.process == leaving.process) {
             return false;
         }
         // Each process of a published upstream has its own name, so the map would grow forever.
         self.leaving_upstreams.retain(|_, notice| now.since(notice.learned_at) < LEAVING_RETENTION);
-        let (process, remaining_sends) = (leaving.life.clone(), self.initial_sends());
+        let (process, remaining_sends) = (leaving.process.clone(), self.initial_sends());
         let notice = LeavingNotice { process, learned_at: now, remaining_sends };
         self.leaving_upstreams.insert(leaving.upstream.clone(), notice);
         true
@@ -344,7 +344,7 @@
 
     /// Removes members that have been unreachable for more than 30 s. Does nothing in a deployment
     /// with a VM list.
-    pub fn forget_lost(&mut self, now: MonotonicTime) {
+    pub fn remove_unreachable(&mut self, now: MonotonicTime) {
         if self.own.place.is_none() {
             return;
         }
@@ -374,7 +374,7 @@
     /// Whether messages from at least `enough` peers have arrived, or every peer has sent a message
     /// or failed to reply at least once.
     #[must_use]
-    pub fn has_asked(&self, enough: usize) -> bool {
+    pub fn has_contacted_peers(&self, enough: usize) -> bool {
         let heard_count = self.peers.values().filter(|peer| peer.last_heard.is_some()).count();
         heard_count >= enough || self.peers.values().all(|peer| peer.is_contacted)
     }
--- a/crates/crocusdale_core/src/membership/witness_set.rs
+++ b/crates/crocusdale_core/src/membership/witness_set.rs
@@ -1,4 +1,4 @@
-use super::{VmRoster, VmState};
+use super::{VmList, VmState};
 use crate::identity::{RequestKey, stable_hash};
 
 /// Number of witnesses of each request key.
@@ -18,8 +18,8 @@
     ///
     /// Adding or removing one VM changes at most one witness of each key.
     #[must_use]
-    pub fn choose(key: &RequestKey, roster: &VmRoster) -> Self {
-        let mut ranked: Vec<(u64, &str, &str)> = roster
+    pub fn choose(key: &RequestKey, vm_list: &VmList) -> Self {
+        let mut ranked: Vec<(u64, &str, &str)> = vm_list
             .entries()
             .filter(|vm| vm.state == VmState::Live)
             .map(|vm| {
@@ -71,7 +71,7 @@
     /// witness share the other two, and two quorums that contain the same shared witness can't both
     /// grant a claim.
     #[must_use]
-    pub fn agrees_with(&self, other: &Self) -> bool {
+    pub fn shares_quorum_with(&self, other: &Self) -> bool {
         self.vms.iter().filter(|vm| other.contains(vm)).count() >= WITNESS_QUORUM
     }
 }
--- a/crates/crocusdale_core/src/pipeline/caller_request.rs
+++ b/crates/crocusdale_core/src/pipeline/caller_request.rs
@@ -102,7 +102,7 @@
 
     /// The head of a forwarded request, or `None` for a JSON request.
     #[must_use]
-    pub fn forward(&self) -> Option<&ForwardHead> {
+    pub fn forward_head(&self) -> Option<&ForwardHead> {
         match &self.content {
             RequestContent::Json(_) => None,
             RequestContent::Forward(head) => Some(head),
@@ -117,7 +117,9 @@
         let key = RequestKey::new(submitted.workspace, submitted.key);
         let refuse = |reason, detail: String| {
             Err(Box::new(
-                FinalOutcome::new(OutcomeKind::Refused, &key).reason(reason).detail(detail),
+                FinalOutcome::new(OutcomeKind::Refused, &key)
+                    .with_reason(reason)
+                    .with_detail(detail),
             ))
         };
         for (name, value) in [("workspace", &key.workspace), ("key", &key.key)] {
@@ -126,9 +128,9 @@
                 return refuse(RefusalReason::Malformed, detail);
             }
         }
-        if let Some(fault) = submitted.labels.first_fault() {
+        if let Some(fault) = submitted.labels.describe_first_error() {
             let detail =
-                format!("labels: {fault}; accepted: up to {} pairs of words", LabelSet::MOST);
+                format!("labels: {fault}; accepted: up to {} pairs of words", LabelSet::MAX_LABELS);
             return refuse(RefusalReason::BadLabels, detail);
         }
         Ok(Self {
--- a/crates/crocusdale_core/src/pipeline/final_answer.rs
+++ b/crates/crocusdale_core/src/pipeline/final_answer.rs
@@ -158,7 +158,7 @@
     /// Time from the arrival of the request to its end, for metrics. It is not sent, as callers can
     /// measure it themselves.
     #[serde(skip)]
-    pub took: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 /// Final answer together with its JSON body, which is serialized once.
@@ -179,7 +179,7 @@
     /// Time and cost of each answered stage.
     pub stages: Vec<StageCost>,
     /// Time from the arrival of the request to its end; `None` if this process did not measure it.
-    pub took: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 impl FinalOutcome {
@@ -197,27 +197,27 @@
             same_key: None,
             answer: None,
             stages: Vec::new(),
-            took: None,
+            duration: None,
         }
     }
 
     /// Sets why the request was not answered.
     #[must_use]
-    pub fn reason(mut self, reason: RefusalReason) -> Self {
+    pub fn with_reason(mut self, reason: RefusalReason) -> Self {
         self.reason = Some(reason);
         self
     }
 
     /// Sets the explanation for people.
     #[must_use]
-    pub fn detail(mut self, detail: impl Into<String>) -> Self {
+    pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
     /// Sets the time after which the caller may retry, and whether a retry may use the same key.
     #[must_use]
-    pub fn retry(mut self, after: Duration, same_key: bool) -> Self {
+    pub fn with_retry(mut self, after: Duration, same_key: bool) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self.same_key = Some(same_key);
         self
@@ -235,7 +235,7 @@
             retry_after: outcome.retry_after_ms.map(Duration::from_millis),
             body,
             stages: outcome.stages,
-            took: outcome.took,
+            duration: outcome.duration,
         }
     }
 }
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,9 +10,9 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// Minimum retry delay for a caller whose request was shed, unless less time is left until the
-/// request's deadline; then that time is the minimum. A batched call takes a few tenths of a second,
-/// so the queues have moved on by then.
+/// Minimum retry delay for a caller whose request was shed. If less time is left until the
+/// request's deadline, that time is the minimum instead. A batched call takes a few tenths of a
+/// second, so the queues have moved on by then.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
@@ -105,7 +105,8 @@
         let Some(index) = waiting_index.filter(|_| !is_too_late) else {
             let (call, report) = (self.call, AttemptReport::Cancelled);
             actions.push(ShardAction::ReleaseSlot { upstream: grant.upstream, call, report });
-            return waiting_index.and_then(|_| self.denied(RefusalReason::Overload, now, actions));
+            return waiting_index
+                .and_then(|_| self.handle_refusal(RefusalReason::Overload, now, actions));
         };
         let id = self.next_attempt_id();
         let kind = match self.step_runs[index].work {
@@ -142,7 +143,7 @@
     }
 
     /// Handles the router's refusal to assign an upstream to a step.
-    pub fn denied(
+    pub fn handle_refusal(
         &mut self,
         reason: RefusalReason,
         now: MonotonicTime,
@@ -170,7 +171,7 @@
     }
 
     /// Handles an event of an attempt. Returns the final answer if the event ends the run.
-    pub fn attempt_event(
+    pub fn handle_attempt_event(
         &mut self,
         id: AttemptId,
         event: AttemptEvent,
@@ -187,9 +188,9 @@
                 self.step_runs[index].attempts -= 1;
                 self.handle_attempt_failure(index, AttemptFailure::NotSent, now, actions)
             }
-            AttemptEvent::ProcessIdentified { life, leaving } => {
+            AttemptEvent::ProcessIdentified { process, is_leaving } => {
                 let upstream = self.record_progress(index, now).to_owned();
-                actions.push(ShardAction::RecordProcess { upstream, life, leaving });
+                actions.push(ShardAction::RecordProcess { upstream, process, is_leaving });
                 None
             }
             AttemptEvent::Line(line) => self.handle_stream_line(index, &line, now, actions),
@@ -242,14 +243,14 @@
 
     /// Handles the router's refusal to assign an upstream, for a reason that holds for the time
     /// `left`.
-    pub fn denied_for(
+    pub fn handle_lasting_refusal(
         &mut self,
         (reason, left): (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
         self.retry_after = Some(left);
-        self.denied(reason, now, actions)
+        self.handle_refusal(reason, now, actions)
     }
 
     /// Ends the run without an answer and cancels everything that is still open.
@@ -264,8 +265,9 @@
         self.close_step_runs(actions);
         self.free_all_results(actions);
         let outcome_kind = self.attempt_counts.outcome_kind(self.plan.repeatable);
-        let mut outcome = FinalOutcome::new(outcome_kind, &self.plan.request.key).reason(reason);
-        if outcome_kind == OutcomeKind::Refused && self.plan.forward().is_some() {
+        let mut outcome =
+            FinalOutcome::new(outcome_kind, &self.plan.request.key).with_reason(reason);
+        if outcome_kind == OutcomeKind::Refused && self.plan.forward_rules().is_some() {
             // A caller that retries at once meets the queue for which it was refused. A retry delay
             // longer than the caller's deadline is told as well, so that the caller does not retry
             // in vain.
@@ -273,18 +275,18 @@
             let retry_after = self
                 .retry_after
                 .map_or(min_retry_after, |pool_retry_after| pool_retry_after.max(min_retry_after));
-            outcome = outcome.retry(retry_after, true);
+            outcome = outcome.with_retry(retry_after, true);
         }
         outcome.stage = stage;
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived_at));
+        outcome.duration = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 
     /// Whether the run continues after its caller has disconnected.
     #[must_use]
     pub fn outlives_caller(&self) -> bool {
-        match self.plan.forward().map(|rules| rules.repeat) {
+        match self.plan.forward_rules().map(|rules| rules.repeat) {
             None => !self.plan.repeatable,
             // The only permitted run has started, and cancelling it would waste its work.
             Some(RepeatRule::AtMostOnce) => !self.is_unsent(),
@@ -305,9 +307,9 @@
             let mut step_run = StepRun::new(position, &step.stage, step.work, now);
             let is_batched = matches!(step.work, StepWork::Batched { .. });
             if step.work == StepWork::Forward
-                && let Some((attempts, tried)) = self.forward_history.take()
+                && let Some((attempts, failed_targets)) = self.forward_history.take()
             {
-                (step_run.attempts, step_run.tried) = (attempts, tried);
+                (step_run.attempts, step_run.failed_targets) = (attempts, failed_targets);
             }
             if is_batched && self.plan.pieces(position) == 0 {
                 step_run.output = Some(StepOutput::Results(Vec::new()));
@@ -338,24 +340,24 @@
 
     pub(super) fn slot_request(&self, index: usize) -> SlotRequest {
         let step_run = &self.step_runs[index];
-        let demand = self.plan.request.forward().and_then(|head| head.demand.clone());
+        let demand = self.plan.request.forward_head().and_then(|head| head.demand.clone());
         SlotRequest {
             call: self.call,
             branch: step_run.step,
             stage: step_run.stage.clone(),
             level: self.plan.level,
             deadline: self.plan.deadline,
-            tried: step_run.tried.clone(),
+            failed_upstreams: step_run.failed_targets.clone(),
             demand: demand.filter(|_| step_run.work == StepWork::Forward),
             digest: self.plan.digest,
-            homes: self.plan.home_regions.clone(),
+            allowed_regions: self.plan.allowed_regions.clone(),
         }
     }
 
     /// Whether the step run at `index` may be retried on another upstream even if an earlier
     /// attempt may have run.
     pub(super) fn can_repeat(&self, index: usize) -> bool {
-        match self.plan.forward() {
+        match self.plan.forward_rules() {
             None => self.plan.repeatable,
             Some(rules) => self.plan.repeatable && self.step_runs[index].attempts < rules.attempts,
         }
@@ -388,7 +390,7 @@
             upstream: in_flight.upstream.clone(),
             time_ms: now.since(step_run.started_at).as_secs_f64() * 1e3,
             attempts: step_run.attempts,
-            tried: step_run.tried.clone(),
+            tried: step_run.failed_targets.clone(),
             cost: upstream_time.as_secs_f64() * cost_factor,
         });
         if in_flight.has_slot() {
@@ -405,11 +407,11 @@
     /// Builds the final answer from the answers of the last steps, in declared order.
     pub(super) fn finish_answered(&mut self, now: MonotonicTime) -> FinalAnswer {
         let mut outcome = FinalOutcome::new(OutcomeKind::Answered, &self.plan.request.key);
-        if self.plan.forward().is_none() {
+        if self.plan.forward_rules().is_none() {
             outcome.answer = Some(self.combined_answer());
         }
         outcome.stages = std::mem::take(&mut self.stage_costs);
-        outcome.took = Some(now.since(self.plan.arrived_at));
+        outcome.duration = Some(now.since(self.plan.arrived_at));
         FinalAnswer::from(outcome)
     }
 }
--- a/crates/crocusdale_core/src/routing/engine_choice.rs
+++ b/crates/crocusdale_core/src/routing/engine_choice.rs
@@ -109,7 +109,7 @@
         let fleet_load = FleetLoad::new(self.daemons.load(Ordering::Relaxed), &candidates);
         // The subject is the last segment of the prompt prefix that other requests may share.
         let traffic_share = demand
-            .subject()
+            .last_shared_part()
             .map_or(0.0, |prefix| lock(&routed.queue).prefixes.traffic_share(prefix.id));
         let replicas = fleet_load.replica_count(traffic_share, rules.slots, candidates.len());
         candidates[..replicas].rotate_left(self.replica_offset % replicas);
@@ -149,7 +149,8 @@
         now: MonotonicTime,
     ) -> Vec<EngineCandidate> {
         // The subject is the last segment of the prompt prefix that other requests may share.
-        let prefix_id = demand.subject().map(|prefix| prefix.id.to_string()).unwrap_or_default();
+        let prefix_id =
+            demand.last_shared_part().map(|prefix| prefix.id.to_string()).unwrap_or_default();
         let to_candidate = |position: usize| {
             let upstream = &self.upstreams[position];
             let state = lock(&upstream.state);
--- a/crates/crocusdale_core/src/routing/upstream_router.rs
+++ b/crates/crocusdale_core/src/routing/upstream_router.rs
@@ -12,7 +12,7 @@
     ColdRules, EngineRules, RegionMap, RoutingPolicy, StagePlan, UpstreamRules,
 };
 use crate::identity::{CallId, MonotonicTime};
-use crate::membership::{LeavingUpstream, VmRoster};
+use crate::membership::{LeavingUpstream, VmList};
 use crate::rate_limiting::{RateLimiter, RateUse};
 use crate::retry::RetryLimits;
 use crate::sync::lock;
@@ -170,7 +170,7 @@
     }
 
     /// Marks upstreams on VMs that the VM list shows as leaving.
-    pub fn take_roster(&self, roster: &VmRoster) {
+    pub fn apply_roster(&self, roster: &VmList) {
         for upstream in &self.upstreams {
             lock(&upstream.state).set_listed_leaving(roster.is_leaving(&upstream.rules.vm));
         }
@@ -180,7 +180,7 @@
     /// Returns `false` if this router had recorded it before, or doesn't know the upstream.
     pub fn record_leaving(&self, leaving: &LeavingUpstream) -> bool {
         let upstream = self.upstream(&leaving.upstream);
-        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.life))
+        upstream.is_some_and(|upstream| lock(&upstream.state).record_leaving(&leaving.process))
     }
 
     /// Excludes `upstream` from new requests of this daemon until `until`, as the upstream asked.
@@ -200,9 +200,9 @@
     /// Takes one retry from the retry budget of the request's pool. Returns `false` if the budget
     /// is exhausted. The baseline policy allows a fixed number of retries instead.
     #[must_use]
-    pub fn allow_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
+    pub fn take_retry(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         if self.policy == RoutingPolicy::Baseline {
-            return request.tried.len() <= BASELINE_RETRIES;
+            return request.failed_upstreams.len() <= BASELINE_RETRIES;
         }
         self.pools
             .get(&request.stage)
@@ -216,7 +216,7 @@
         if self.policy == RoutingPolicy::Baseline {
             return Duration::ZERO;
         }
-        plan.longest_way(|step, _| {
+        plan.critical_path_time(|step, _| {
             let routed = self.pools.get(&step.stage).filter(|routed| routed.engine.is_none());
             routed.map_or(Duration::ZERO, |routed| lock(&routed.queue).expected_duration(level))
         })
@@ -235,11 +235,13 @@
         now: MonotonicTime,
     ) -> Result<Option<SlotGrant>, SlotRequest> {
         let Some(routed) = self.pools.get(&request.stage) else { return Err(request) };
-        if request.tried.is_empty() {
+        if request.failed_upstreams.is_empty() {
             let mut queue = lock(&routed.queue);
             queue.retry_budget.record_first_attempt(now);
             // The subject is the last segment of the prompt prefix that other requests may share.
-            if let Some(prefix) = request.demand.as_ref().and_then(|demand| demand.subject()) {
+            if let Some(prefix) =
+                request.demand.as_ref().and_then(|demand| demand.last_shared_part())
+            {
                 queue.prefixes.record(prefix.id, now);
             }
         }
@@ -264,7 +266,7 @@
         let Some(upstream) = self.upstream(upstream) else { return Vec::new() };
         {
             let mut state = lock(&upstream.state);
-            state.end(report, now);
+            state.end_attempt(report, now);
             if let Some(engine) = &mut state.engine {
                 engine.end_request(call);
             }
@@ -326,7 +328,7 @@
 
     /// Number of queued attempts by stage, in ascending order of stage names.
     #[must_use]
-    pub fn waiting(&self) -> Vec<(String, usize)> {
+    pub fn waiting_counts(&self) -> Vec<(String, usize)> {
         let pools = self.pools.iter();
         let mut waiting: Vec<_> = pools
             .map(|(stage, routed)| (stage.clone(), lock(&routed.queue).waiting_count()))
@@ -349,7 +351,7 @@
         let upstream = &self.upstreams[position];
         let min_answer_time = {
             let mut state = lock(&upstream.state);
-            state.begin();
+            state.start_attempt();
             if let Some(routed) = self.pools.get(&request.stage) {
                 Self::record_send(routed, &mut state, now);
             }
@@ -402,7 +404,7 @@
                 && self.limiter.allows(&upstream.rules.name, RateUse::Shared, now)
                 && {
                     let state = lock(&upstream.state);
-                    state.has_room()
+                    state.has_free_slot()
                         && !state.is_leaving()
                         && state.backoff_left(now).is_zero()
                         && !state.is_ejected(now)
--- a/crates/crocusdale_core/src/wire/piece_messages.rs
+++ b/crates/crocusdale_core/src/wire/piece_messages.rs
@@ -49,7 +49,7 @@
             due_ms: signed_millis(self.target_end.since(now))
                 - signed_millis(now.since(self.target_end)),
             left_ms: signed_millis(self.expires.since(now)).unsigned_abs(),
-            repeated: self.repeated,
+            repeated: self.is_resubmission,
             result_bytes: self.result_bytes,
             inputs_pool: self.inputs_pool.clone().unwrap_or_default(),
             is_flood: self.is_flood,
@@ -85,7 +85,7 @@
             is_flood: message.is_flood,
             target_end: MonotonicTime::from_start(due),
             expires: now + Duration::from_millis(message.left_ms),
-            repeated: message.repeated,
+            is_resubmission: message.repeated,
         })
     }
 }
@@ -207,32 +207,32 @@
 }
 
 impl From<ColdUpstream> for peer::ColdUpstream {
-    fn from(ColdUpstream { name, left }: ColdUpstream) -> Self {
-        Self { name, left_ms: saturating_millis(left) }
+    fn from(ColdUpstream { name, remaining }: ColdUpstream) -> Self {
+        Self { name, left_ms: saturating_millis(remaining) }
     }
 }
 
 impl From<peer::ColdUpstream> for ColdUpstream {
     fn from(message: peer::ColdUpstream) -> Self {
-        Self { name: message.name, left: Duration::from_millis(u64::from(message.left_ms)) }
+        Self { name: message.name, remaining: Duration::from_millis(u64::from(message.left_ms)) }
     }
 }
 
 impl From<ZoneEvacuation> for peer::ZoneEvacuation {
-    fn from(ZoneEvacuation { written, zone }: ZoneEvacuation) -> Self {
-        Self { zone, revision: written.revision, era: written.era }
+    fn from(ZoneEvacuation { write_position, zone }: ZoneEvacuation) -> Self {
+        Self { zone, revision: write_position.revision, era: write_position.era }
     }
 }
 
 impl From<peer::ZoneEvacuation> for ZoneEvacuation {
     fn from(message: peer::ZoneEvacuation) -> Self {
-        let written = StorePosition { era: message.era, revision: message.revision };
-        Self { written, zone: message.zone }
+        let write_position = StorePosition { era: message.era, revision: message.revision };
+        Self { write_position, zone: message.zone }
     }
 }
 
 impl From<PeerEntry> for peer::DirectoryEntry {
-    fn from(PeerEntry { written, entry, expires_in }: PeerEntry) -> Self {
+    fn from(PeerEntry { write_position, entry, expires_in }: PeerEntry) -> Self {
         Self {
             id: entry.id,
             pool: entry.pool,
@@ -240,8 +240,8 @@
             zone: entry.zone,
             slots: entry.slots,
             leaving: entry.leaving,
-            revision: written.revision,
-            era: written.era,
+            revision: write_position.revision,
+            era: write_position.era,
             born: entry.started_at_ms,
             lapses_in_ms: expires_in.map(saturating_millis),
         }
@@ -263,8 +263,8 @@
         };
         let expires_in =
             message.lapses_in_ms.map(|millis| Duration::from_millis(u64::from(millis)));
-        let written = StorePosition { era: message.era, revision: message.revision };
-        Ok(Self { written, entry, expires_in })
+        let write_position = StorePosition { era: message.era, revision: message.revision };
+        Ok(Self { write_position, entry, expires_in })
     }
 }
 
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    ColdRules, Declarations, DeclarationsBuilder, EngineRules, HomeRegions, PoolKind, StageRules,
+    AllowedRegions, ColdRules, Declarations, DeclarationsBuilder, EngineRules, PoolKind, StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest};
 use crocusdale_core::membership::KnownDaemons;
@@ -22,7 +22,7 @@
 use support::virtual_fleet::VirtualFleet;
 
 /// What an engine takes while it is cold.
-const COLD: ColdRules = ColdRules { lasts: Duration::from_secs(3), requests_per_s: 22.0 };
+const COLD: ColdRules = ColdRules { duration: Duration::from_secs(3), requests_per_s: 22.0 };
 const LIMITS: ColdLimits = ColdLimits { overshoot: 1.5, slack: 5.0 };
 /// Requests in one second that follow from these.
 const BOUND: u32 = 38;
@@ -75,10 +75,10 @@
         stage: "reader".to_owned(),
         level: 0,
         deadline: now + Duration::from_secs(6),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -142,7 +142,7 @@
             for number in 0..50 {
                 now = now + REQUEST_PACE;
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
-                if grant.upstream.starts_with("new") && now.since(start) < COLD.lasts {
+                if grant.upstream.starts_with("new") && now.since(start) < COLD.duration {
                     let late = random.random_bool(0.5);
                     writes.push(if late { now + CONNECT_TIMEOUT } else { now });
                 }
@@ -195,7 +195,7 @@
         router.acquire(request(*number, now), now).is_ok_and(|grant| grant.is_some())
     });
     assert!(granted.count() < BOUND as usize / 6, "of its share, one is used up");
-    let later = now + COLD.lasts;
+    let later = now + COLD.duration;
     assert!(router.acquire(request(90, later), later).is_ok_and(|grant| grant.is_some()));
 }
 
@@ -216,7 +216,7 @@
 fn engine_that_turns_cold_again_is_spared_by_daemons_and_their_peers() {
     let mut known = directory(1, &["old"]);
     let now = MonotonicTime::from_millis(10_000);
-    let cold = ColdUpstream { name: entry("old").1.name(), left: Duration::from_secs(2) };
+    let cold = ColdUpstream { name: entry("old").1.name(), remaining: Duration::from_secs(2) };
     assert!(known.record_cold(vec![cold.clone()], now));
     assert!(!known.record_cold(vec![cold.clone()], now), "that is no news");
     let mut peer = directory(1, &["old"]);
@@ -237,10 +237,10 @@
 fn daemons_that_cannot_be_reached_keep_their_share() {
     let mut known = KnownDaemons::default();
     let (all, reachable) = (names(74), names(50));
-    assert!(known.note(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
+    assert!(known.update(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
     for second in 1..500 {
         let now = MonotonicTime::from_millis(second * 1_000);
-        known.note(reachable.iter().map(String::as_str), now);
+        known.update(reachable.iter().map(String::as_str), now);
         assert_eq!(known.names().count(), 74, "after {second} s");
     }
 }
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    Declarations, DeclarationsBuilder, EngineRules, HomeRegions, PoolKind, StageRules,
+    AllowedRegions, Declarations, DeclarationsBuilder, EngineRules, PoolKind, StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime};
 use crocusdale_core::pipeline::{EngineDemand, PromptPart};
@@ -150,10 +150,10 @@
         stage: "reader".to_owned(),
         level: 1,
         deadline: MonotonicTime::from_start(Duration::from_secs(60)),
-        tried: Vec::new(),
+        failed_upstreams: Vec::new(),
         demand: Some(Arc::new(demand)),
         digest: Default::default(),
-        homes: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -27,7 +27,7 @@
         call_time: Duration::from_millis(CALL_MS),
         piece_time: Duration::from_millis(PIECE_MS),
         result_bytes: ROOM,
-        result_life: Duration::from_secs(4),
+        result_lifetime: Duration::from_secs(4),
     }
 }
 
@@ -128,13 +128,13 @@
             expires: self.now + Duration::from_secs(6),
             inputs_pool: None,
             is_flood: false,
-            repeated: false,
+            is_resubmission: false,
         }
     }
 
     pub fn offer(&mut self, order: PieceOrder) -> AttemptId {
         let (attempt, mut steps) = (order.attempt, Vec::new());
-        self.dispatcher.offer(order, 0, self.now, &mut steps);
+        self.dispatcher.submit(order, 0, self.now, &mut steps);
         self.take(steps);
         attempt
     }
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -40,11 +40,11 @@
 }
 
 fn evacuation(written: StorePosition, zone: &str) -> ZoneEvacuation {
-    ZoneEvacuation { written, zone: zone.to_owned() }
+    ZoneEvacuation { write_position: written, zone: zone.to_owned() }
 }
 
 fn staying(directory: &UpstreamDirectory) -> Vec<&str> {
-    directory.staying().map(|entry| entry.id.as_str()).collect()
+    directory.available_entries().map(|entry| entry.id.as_str()).collect()
 }
 
 /// Upstreams `a1` in zone a and `b1` in zone b, of which the latter is evacuated.
@@ -131,7 +131,7 @@
     assert_eq!(staying(&directory), ["a1"]);
     assert!(directory.replace_evacuations(at(1, 12), Vec::new(), None));
     assert_eq!(staying(&directory), ["a1", "b1"]);
-    assert_eq!(directory.changed(), at(1, 12), "peers hear of it");
+    assert_eq!(directory.change_position(), at(1, 12), "peers hear of it");
 }
 
 /// Guards against a zone that opens because the store came back from a copy of before its evacuation.
--- a/crates/crocusdaled/src/forwarding/forward_service.rs
+++ b/crates/crocusdaled/src/forwarding/forward_service.rs
@@ -51,7 +51,7 @@
     /// Serves callers of `engine` within `limits`.
     #[must_use]
     pub fn new(engine: Arc<DaemonEngine>, limits: &LimitSettings) -> Self {
-        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_time }
+        Self { engine, body_bytes: limits.body_bytes, body_time: limits.body_timeout }
     }
 
     /// Routes of callers: every path of every host.
@@ -69,7 +69,8 @@
         let body = match self.read(body).await {
             Ok(body) => body,
             Err(reason) => {
-                let outcome = FinalOutcome::new(OutcomeKind::Refused, &request.key).reason(reason);
+                let outcome =
+                    FinalOutcome::new(OutcomeKind::Refused, &request.key).with_reason(reason);
                 return self.refusal(&FinalAnswer::from(outcome));
             }
         };
