--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -10,8 +10,8 @@
 use crocusdale_core::sync::lock;
 use crocusdale_platform::notice::read_notice;
 use crocusdale_platform::pieces::{
-    FREE_PATH, REPORT_PATH, WORK_PATH, free_bodies, read_free_room, read_work, work_body,
-    work_headers,
+    BATCH_PATH, FREE_PATH, REPORT_PATH, batch_body, batch_headers, free_bodies, read_batch_answer,
+    read_free_room,
 };
 use http::{HeaderMap, HeaderValue, Method, Request, header};
 use http_body_util::Full;
@@ -102,8 +102,8 @@
 }
 
 async fn work(engine: &Arc<DaemonEngine>, order: &BatchOrder) -> BatchOutcome {
-    let body = work_body(order, engine.now());
-    let request = post(WORK_PATH, order.address, work_headers(&order.process), body);
+    let body = batch_body(order, engine.now());
+    let request = post(BATCH_PATH, order.address, batch_headers(&order.process), body);
     let sent = engine.now();
     let may_write = || engine.now() <= order.write_by;
     let answer = engine
@@ -114,7 +114,7 @@
         Ok(answer) => {
             let (parts, body) = answer.into_parts();
             engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
-            read_work(parts.status, &parts.headers, &body)
+            read_batch_answer(parts.status, &parts.headers, &body)
         }
         Err(fault) => {
             info!(engine.telemetry.log, "batch_failed";
