--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -10,8 +10,8 @@
 use crocusdale_core::sync::lock;
 use crocusdale_platform::notice::read_notice;
 use crocusdale_platform::pieces::{
-    BATCH_PATH, FREE_PATH, REPORT_PATH, batch_body, batch_headers, free_bodies, read_batch_answer,
-    read_free_room,
+    BATCH_PATH, RELEASE_PATH, REPORT_PATH, batch_body, batch_headers, read_batch_answer,
+    read_free_room, release_bodies,
 };
 use http::{HeaderMap, HeaderValue, Method, Request, header};
 use http_body_util::Full;
@@ -76,7 +76,7 @@
         results: &[ResultHandle],
         spared: &[SocketAddr],
     ) {
-        let told = free_bodies(results).into_iter().filter(|(maker, _)| !spared.contains(maker));
+        let told = release_bodies(results).into_iter().filter(|(maker, _)| !spared.contains(maker));
         for (maker, body) in told {
             let engine = Arc::clone(engine);
             tokio::spawn(async move { free_at(&engine, maker, body).await });
@@ -126,7 +126,7 @@
 }
 
 async fn free_at(engine: &Arc<DaemonEngine>, maker: SocketAddr, body: Vec<u8>) {
-    let request = post(FREE_PATH, maker, HeaderMap::new(), body);
+    let request = post(RELEASE_PATH, maker, HeaderMap::new(), body);
     // Results that could not be given up lapse by themselves; until then their room is taken.
     if let Err(fault) = engine.connections().call(maker, request, ANSWER_LIMIT, FREE_PATIENCE).await
     {
