--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -11,7 +11,7 @@
 use crocusdale_platform::notice::read_notice;
 use crocusdale_platform::pieces::{
     BATCH_PATH, RELEASE_PATH, REPORT_PATH, batch_body, batch_headers, read_batch_answer,
-    read_free_room, release_bodies,
+    read_free_memory, release_bodies,
 };
 use http::{HeaderMap, HeaderValue, Method, Request, header};
 use http_body_util::Full;
@@ -91,7 +91,7 @@
     let free = match connections.call(address, request, ANSWER_LIMIT, REPORT_PATIENCE).await {
         Ok(answer) => {
             engine.take_notice(upstream, read_notice(answer.status(), answer.headers()), sent);
-            read_free_room(answer.status(), answer.body())
+            read_free_memory(answer.status(), answer.body())
         }
         Err(fault) => Err(fault.cause),
     };
