--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -8,7 +8,7 @@
 use crocusdale_core::identity::StorePosition;
 use crocusdale_core::sync::lock;
 use crocusdale_platform::store::{
-    StoreChange, StoreChanges, StoreFault, StoreItem, evacuated_zone, is_configuration,
+    StoreChange, StoreChanges, StoreError, StoreItem, evacuated_zone, is_configuration,
     is_upstream, range_path, read_changes, read_configuration, read_era, read_page, read_upstream,
     watch_path,
 };
@@ -64,7 +64,7 @@
     HistoryGone,
     /// The store came back from an older copy between two pages.
     Restored,
-    Unreadable(StoreFault),
+    Unreadable(StoreError),
 }
 
 impl fmt::Display for ReadFault {
@@ -84,7 +84,7 @@
     /// Position of the store.
     position: StorePosition,
     items: Vec<StoreItem>,
-    unreadable: Vec<StoreFault>,
+    unreadable: Vec<StoreError>,
 }
 
 impl StoreReader {
@@ -173,7 +173,7 @@
     }
 
     /// The configuration in `item`, if it is another one than the last reading gave on.
-    fn news_of(&self, item: &StoreItem, era: u64) -> Result<Option<(u64, String)>, StoreFault> {
+    fn news_of(&self, item: &StoreItem, era: u64) -> Result<Option<(u64, String)>, StoreError> {
         let written = StorePosition { era, revision: item.revision };
         if *lock(&self.given_on) == written {
             return Ok(None);
--- a/crates/crocusdaled/src/platform/unreadable_items.rs
+++ b/crates/crocusdaled/src/platform/unreadable_items.rs
@@ -3,7 +3,7 @@
 
 use crocusdale_core::daemon::CounterName;
 use crocusdale_core::sync::lock;
-use crocusdale_platform::store::StoreFault;
+use crocusdale_platform::store::StoreError;
 use slog::warn;
 
 use crate::telemetry::Telemetry;
@@ -22,11 +22,11 @@
 
 impl UnreadableItems {
     /// Takes all faults of one reading.
-    pub(super) fn note(&self, telemetry: &Telemetry, faults: Vec<StoreFault>) {
+    pub(super) fn note(&self, telemetry: &Telemetry, faults: Vec<StoreError>) {
         let mut known = lock(&self.known);
         let mut now = BTreeMap::new();
         let beyond = faults.len().saturating_sub(REMEMBERED);
-        for StoreFault { key, cause } in faults.into_iter().take(REMEMBERED) {
+        for StoreError { key, cause } in faults.into_iter().take(REMEMBERED) {
             if known.get(&key) != Some(&cause) {
                 telemetry.count(CounterName::StoreItemsUnreadable);
                 warn!(telemetry.log, "store_item_unreadable";
