--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -9,8 +9,8 @@
 use crocusdale_core::sync::lock;
 use crocusdale_platform::store::{
     StoreChange, StoreChanges, StoreError, StoreItem, evacuated_zone, is_configuration,
-    is_upstream, range_path, read_changes, read_configuration, read_era, read_page, read_upstream,
-    watch_path,
+    is_upstream, range_path, read_changes, read_configuration, read_page, read_restore_count,
+    read_upstream, watch_path,
 };
 use http::{HeaderValue, Request, StatusCode, header};
 use http_body_util::Full;
@@ -239,7 +239,7 @@
         let answer = self.connections.call(self.store, request, ANSWER_LIMIT, patience).await;
         let answer = answer.map_err(ReadFault::Silent)?;
         match answer.status() {
-            StatusCode::OK => Ok((read_era(answer.headers()), answer.into_body())),
+            StatusCode::OK => Ok((read_restore_count(answer.headers()), answer.into_body())),
             StatusCode::GONE => Err(ReadFault::HistoryGone),
             status => Err(ReadFault::Refused(status)),
         }
