--- a/crates/crocusdaled/tests/published_platform_test.rs
+++ b/crates/crocusdaled/tests/published_platform_test.rs
@@ -100,7 +100,7 @@
         IngressCaller::once(caller, &digest(&format!("earlier{index}"))).await?;
     }
     let used = fleet.engines.iter().position(|engine| !engine.seen().is_empty()).unwrap_or(0);
-    fleet.engines[used].set_fault(WorkerFault::Cut(2));
+    fleet.engines[used].set_fault(WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(caller, &digest("second")).await?;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true));
     let other = fleet.engines[1 - used].seen();
@@ -120,7 +120,8 @@
     for index in 0..40 {
         IngressCaller::once(caller, &digest(&format!("earlier{index}"))).await?;
     }
-    for (fault, attempt) in [(WorkerFault::Misplaced, "moved"), (WorkerFault::InputGone, "gone")] {
+    for (fault, attempt) in [(WorkerFault::WrongProcess, "moved"), (WorkerFault::InputGone, "gone")]
+    {
         set_fault(&fleet.engines, WorkerFault::None);
         let seen = |engine: &WorkerStandIn| engine.seen().len();
         let before: Vec<usize> = fleet.engines.iter().map(seen).collect();
@@ -137,7 +138,7 @@
 #[tokio::test]
 async fn stream_that_nobody_finishes_looks_broken() -> Result<()> {
     let fleet = fleet(1).await?;
-    set_fault(&fleet.engines, WorkerFault::Cut(2));
+    set_fault(&fleet.engines, WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(fleet.daemons[0].caller, &digest("torn")).await?;
     assert!(!answer.whole);
     assert!(events(0).starts_with(&answer.body), "{}", answer.body);
@@ -407,7 +408,7 @@
     let before = seen(0);
     ask("after", 40).await?;
     assert_eq!(seen(0), before, "it has said that it leaves");
-    fleet.plain[1].set_fault(WorkerFault::Away);
+    fleet.plain[1].set_fault(WorkerFault::Backoff);
     let refused = IngressCaller::once(caller, &IngressRequest::new("/ask/7", "refused")).await?;
     assert_eq!(refused.status, 503);
     fleet.plain[1].set_fault(WorkerFault::None);
