--- a/crates/crocusdaled/tests/cold_upstream_test.rs
+++ b/crates/crocusdaled/tests/cold_upstream_test.rs
@@ -48,7 +48,7 @@
     let fleet = fleet().await?;
     wait_for(SOON, "both engines are called", async || {
         send_streams(&fleet, 12).await;
-        fleet.engines.iter().all(|engine| !engine.seen().is_empty())
+        fleet.engines.iter().all(|engine| !engine.executed_requests().is_empty())
     })
     .await?;
     // Daemons that have started of late send nothing to cold engines.
@@ -60,19 +60,19 @@
     let since = Instant::now();
     let mut gets = Vec::new();
     while since.elapsed() < COLD_START - Duration::from_secs(1) {
-        let before = started.seen().len();
+        let before = started.executed_requests().len();
         let second = Instant::now();
         while second.elapsed() < Duration::from_millis(900) {
             send_streams(&fleet, 30).await;
         }
-        gets.push(started.seen().len() - before);
+        gets.push(started.executed_requests().len() - before);
     }
     assert!(gets.iter().all(|count| *count <= COLD_RATE), "within 0.9 s each: {gets:?}");
     assert!(gets.iter().sum::<usize>() > 0, "it is of no use to anybody");
     wait_for(SOON, "a warm engine gets its part", async || {
-        let before = started.seen().len();
+        let before = started.executed_requests().len();
         send_streams(&fleet, 30).await;
-        started.seen().len() > before + COLD_RATE
+        started.executed_requests().len() > before + COLD_RATE
     })
     .await
 }
--- a/crates/crocusdaled/tests/crashing_request_test.rs
+++ b/crates/crocusdaled/tests/crashing_request_test.rs
@@ -26,7 +26,7 @@
 }
 
 fn runs(engines: &[WorkerStandIn]) -> usize {
-    let seen = engines.iter().flat_map(WorkerStandIn::seen);
+    let seen = engines.iter().flat_map(WorkerStandIn::executed_requests);
     seen.filter(|seen| seen.target.ends_with("/digest/crash")).count()
 }
 
--- a/crates/crocusdaled/tests/limited_upstream_test.rs
+++ b/crates/crocusdaled/tests/limited_upstream_test.rs
@@ -34,18 +34,18 @@
     let fleet = PublishedFleet::start(binary, env!("CARGO_TARGET_TMPDIR"), 3).await?;
     let limited = &fleet.plain[0];
     send_for(&fleet, Duration::from_secs(1)).await?;
-    assert!(!limited.seen().is_empty(), "it is used");
+    assert!(!limited.executed_requests().is_empty(), "it is used");
     limited.set_fault(WorkerFault::Limited);
     send_for(&fleet, CONTACT).await?;
-    let before = limited.seen().len();
+    let before = limited.executed_requests().len();
     send_for(&fleet, WINDOW).await?;
-    let most = limited.seen().len() - before;
+    let most = limited.executed_requests().len() - before;
     assert!(most <= ALLOWED, "{most} requests in {WINDOW:?}");
     limited.set_fault(WorkerFault::None);
     wait_for(SOON, "it is used again", async || {
-        let before = limited.seen().len();
+        let before = limited.executed_requests().len();
         let _ = send_for(&fleet, Duration::from_secs(1)).await;
-        limited.seen().len() > before + ALLOWED
+        limited.executed_requests().len() > before + ALLOWED
     })
     .await
 }
--- a/crates/crocusdaled/tests/published_platform_test.rs
+++ b/crates/crocusdaled/tests/published_platform_test.rs
@@ -18,7 +18,7 @@
 }
 
 fn runs(workers: &[WorkerStandIn], attempt: &str) -> usize {
-    let seen = workers.iter().flat_map(WorkerStandIn::seen);
+    let seen = workers.iter().flat_map(WorkerStandIn::executed_requests);
     seen.filter(|seen| seen.attempt == attempt).count()
 }
 
@@ -54,17 +54,17 @@
         let answer = IngressCaller::once(daemon.caller, &digest(&format!("digest{index}"))).await?;
         assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true));
     }
-    let seen: Vec<_> = fleet.plain.iter().flat_map(WorkerStandIn::seen).collect();
+    let seen: Vec<_> = fleet.plain.iter().flat_map(WorkerStandIn::executed_requests).collect();
     let first = seen.iter().find(|seen| seen.attempt == "ask0").expect("it ran");
     assert_eq!(first.target, "POST /ask/7?page=2");
     assert_eq!(&first.body[..], b"letter ask0");
     assert_eq!(first.headers["x-tenant"], "letters");
     assert!(!first.headers.contains_key("x-api-key"));
-    let inputs: Vec<_> = fleet.engines.iter().flat_map(WorkerStandIn::seen).collect();
+    let inputs: Vec<_> = fleet.engines.iter().flat_map(WorkerStandIn::executed_requests).collect();
     let inputs = inputs[0].headers["x-inputs"].to_str()?.split(',').count();
     assert_eq!(inputs, 3);
     wait_for(SOON, "all results are given up", async || {
-        fleet.stages.iter().map(|stage| stage.freed().len()).sum::<usize>() == 9
+        fleet.stages.iter().map(|stage| stage.released_results().len()).sum::<usize>() == 9
     })
     .await
 }
@@ -83,7 +83,7 @@
     while let Some(answer) = calls.join_next().await {
         assert_eq!(answer??.body, events(0));
     }
-    let made: Vec<usize> = fleet.stages.iter().flat_map(WorkerStandIn::calls).collect();
+    let made: Vec<usize> = fleet.stages.iter().flat_map(WorkerStandIn::batch_sizes).collect();
     assert_eq!(made.iter().sum::<usize>(), 90);
     assert!(made.len() < 30, "{} calls for thirty requests", made.len());
     Ok(())
@@ -99,11 +99,12 @@
     for index in 0..40 {
         IngressCaller::once(caller, &digest(&format!("earlier{index}"))).await?;
     }
-    let used = fleet.engines.iter().position(|engine| !engine.seen().is_empty()).unwrap_or(0);
+    let used =
+        fleet.engines.iter().position(|engine| !engine.executed_requests().is_empty()).unwrap_or(0);
     fleet.engines[used].set_fault(WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(caller, &digest("second")).await?;
     assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true));
-    let other = fleet.engines[1 - used].seen();
+    let other = fleet.engines[1 - used].executed_requests();
     let resumed = other.iter().find(|seen| seen.attempt == "second").expect("it went on there");
     assert_eq!(resumed.headers["last-event-id"], "1");
     Ok(())
@@ -123,7 +124,7 @@
     for (fault, attempt) in [(WorkerFault::WrongProcess, "moved"), (WorkerFault::InputGone, "gone")]
     {
         set_fault(&fleet.engines, WorkerFault::None);
-        let seen = |engine: &WorkerStandIn| engine.seen().len();
+        let seen = |engine: &WorkerStandIn| engine.executed_requests().len();
         let before: Vec<usize> = fleet.engines.iter().map(seen).collect();
         IngressCaller::once(caller, &digest(&format!("before-{attempt}"))).await?;
         let used = fleet.engines.iter().zip(before).position(|(each, before)| seen(each) > before);
@@ -186,14 +187,14 @@
     let leaving = &fleet.plain[0];
     fleet.store.publish(leaving.id(), &leaving.entry("notify", "draining"));
     wait_for(SOON, "nothing reaches it any more", async || {
-        let before = leaving.seen().len();
+        let before = leaving.executed_requests().len();
         for daemon in &fleet.daemons {
             for _ in 0..5 {
                 let request = IngressRequest::new("/ask/7", "probe");
                 let _ = IngressCaller::once(daemon.caller, &request).await;
             }
         }
-        leaving.seen().len() == before
+        leaving.executed_requests().len() == before
     })
     .await
 }
@@ -209,13 +210,13 @@
     fleet.store.publish("torn", &json!({ "service": "notify", "address": "127.0.0.1:9" }));
     fleet.store.publish("odd", &again.entry("notify", "resting"));
     let reached = async |worker: &WorkerStandIn| {
-        let before = worker.seen().len();
+        let before = worker.executed_requests().len();
         for _ in 0..12 {
             let request = IngressRequest::new("/ask/7", "probe");
             let answer = IngressCaller::once(fleet.daemons[0].caller, &request).await;
             assert!(answer.is_ok_and(|answer| answer.status == 200));
         }
-        worker.seen().len() > before
+        worker.executed_requests().len() > before
     };
     wait_for(SOON, "nothing reaches it any more", async || !reached(again).await).await?;
     assert!(reached(other).await);
@@ -397,7 +398,7 @@
     };
     ask("earlier", 20).await?;
     fleet.store.set_mode(StoreMode::Silent);
-    let seen = |index: usize| fleet.plain[index].seen().len();
+    let seen = |index: usize| fleet.plain[index].executed_requests().len();
     fleet.plain[0].set_fault(WorkerFault::Leaving);
     wait_for(SOON, "the worker answers once more", async || {
         let before = seen(0);
--- a/crates/crocusdaled/tests/store_drill_test.rs
+++ b/crates/crocusdaled/tests/store_drill_test.rs
@@ -75,7 +75,7 @@
             for daemon in 0..3 {
                 let _ = status(&fleet, daemon, "secret").await;
             }
-            !worker.seen().is_empty()
+            !worker.executed_requests().is_empty()
         })
         .await?;
         fleet.store.publish(worker.id(), &worker.entry("notify", "draining"));
@@ -141,7 +141,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.store.remove(leaving.id());
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let before = leaving.seen().len();
+    let before = leaving.executed_requests().len();
     fleet.store.restore(&copy);
     for _ in 0..30 {
         for daemon in 0..3 {
@@ -149,7 +149,7 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(leaving.seen().len(), before, "it has left");
+    assert_eq!(leaving.executed_requests().len(), before, "it has left");
     Ok(())
 }
 
--- a/crates/crocusdaled/tests/zone_evacuation_test.rs
+++ b/crates/crocusdaled/tests/zone_evacuation_test.rs
@@ -44,7 +44,12 @@
 /// Requests, streams and calls for pieces that upstreams in zone `b` have seen.
 fn seen_in_zone(fleet: &PublishedFleet) -> usize {
     let first = fleet.services().map(|(_, workers)| &workers[0]);
-    first.iter().map(|worker: &&WorkerStandIn| worker.seen().len() + worker.calls().len()).sum()
+    first
+        .iter()
+        .map(|worker: &&WorkerStandIn| {
+            worker.executed_requests().len() + worker.batch_sizes().len()
+        })
+        .sum()
 }
 
 /// Guards against requests to the upstreams of a zone that was evacuated.
@@ -53,10 +58,9 @@
     let fleet = fleet().await?;
     wait_for(SOON, "zone b is called", async || {
         send_all(&fleet).await;
-        fleet
-            .services()
-            .iter()
-            .all(|(_, workers)| !workers[0].seen().is_empty() || !workers[0].calls().is_empty())
+        fleet.services().iter().all(|(_, workers)| {
+            !workers[0].executed_requests().is_empty() || !workers[0].batch_sizes().is_empty()
+        })
     })
     .await?;
     fleet.store.set_evacuated("b", true);
