--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -118,12 +118,12 @@
     };
     let (parts, body) = response.into_parts();
     let head = read_head(parts.status, &parts.headers, &call.attempt);
-    if head.foreign {
+    if head.is_foreign {
         return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
     engine.take_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let success = parts.status.is_success();
-    if head.head.execution == ExecutionStatus::Ran && success && !head.signed {
+    if head.head.execution == ExecutionStatus::Ran && success && !head.has_signature {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if success && head.is_stream {
