--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -8,11 +8,11 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::pipeline::ResultHandle;
 use crocusdale_core::sync::lock;
-use crocusdale_platform::notice::read_notice;
-use crocusdale_platform::pieces::{
+use crocusdale_platform::batch_calls::{
     BATCH_PATH, RELEASE_PATH, REPORT_PATH, batch_body, batch_headers, read_batch_answer,
     read_free_memory, release_bodies,
 };
+use crocusdale_platform::notice::read_notice;
 use http::{HeaderMap, HeaderValue, Method, Request, header};
 use http_body_util::Full;
 use slog::info;
