--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -156,7 +156,7 @@
             } else if is_upstream(&item.key) {
                 match read_upstream(item) {
                     Ok(upstream) => {
-                        cold.extend(upstream.cold());
+                        cold.extend(upstream.cold_upstream());
                         entries.push((item.revision, upstream.entry));
                     }
                     Err(fault) => unreadable.push(fault),
