--- a/crates/crocusdaled/tests/store_drill_test.rs
+++ b/crates/crocusdaled/tests/store_drill_test.rs
@@ -60,12 +60,12 @@
 #[tokio::test]
 async fn worker_that_registers_after_the_drill_gets_requests() -> Result<()> {
     let fleet = fleet().await?;
-    let copy = fleet.store.copy();
+    let backup = fleet.store.backup();
     renew_entries(&fleet, 200);
     wait_status(&fleet, "secret", 200, "all serve").await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for drill in 0..2 {
-        fleet.store.restore(&copy);
+        fleet.store.restore(&backup);
         let worker = WorkerStandIn::start(&format!("later-{drill}"))?;
         fleet.store.publish(worker.id(), &worker.entry("notify", "ready"));
         for old in &fleet.plain {
@@ -88,10 +88,10 @@
 #[tokio::test]
 async fn configuration_takes_effect_under_a_revision_that_was_used() -> Result<()> {
     let fleet = fleet().await?;
-    let copy = fleet.store.copy();
+    let backup = fleet.store.backup();
     fleet.store.configure(&with_keys(&fleet, 2, &["second"]));
     wait_status(&fleet, "secret", 401, "the key is taken away").await?;
-    fleet.store.restore(&copy);
+    fleet.store.restore(&backup);
     for _ in 0..20 {
         for daemon in 0..3 {
             assert_eq!(status(&fleet, daemon, "secret").await, Some(401), "it is let in again");
@@ -112,12 +112,12 @@
     for old in &fleet.plain {
         fleet.store.publish(old.id(), &old.entry("notify", "draining"));
     }
-    let copy = fleet.store.copy();
+    let backup = fleet.store.backup();
     fleet.store.publish(worker.id(), &worker.entry("notify", "ready"));
     wait_status(&fleet, "secret", 200, "the only one serves").await?;
     renew_entries(&fleet, 0);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fleet.store.restore(&copy);
+    fleet.store.restore(&backup);
     for round in 0..30 {
         if round == 10 {
             fleet.store.publish(worker.id(), &worker.entry("notify", "ready"));
@@ -135,14 +135,14 @@
 #[tokio::test]
 async fn worker_that_left_within_the_lost_seconds_gets_nothing() -> Result<()> {
     let fleet = fleet().await?;
-    let copy = fleet.store.copy();
+    let backup = fleet.store.backup();
     let leaving = &fleet.plain[0];
     fleet.store.publish(leaving.id(), &leaving.entry("notify", "draining"));
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.store.remove(leaving.id());
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = leaving.executed_requests().len();
-    fleet.store.restore(&copy);
+    fleet.store.restore(&backup);
     for _ in 0..30 {
         for daemon in 0..3 {
             assert_eq!(status(&fleet, daemon, "secret").await, Some(200));
@@ -157,10 +157,10 @@
 #[tokio::test]
 async fn daemon_that_starts_on_the_old_copy_asks_its_peers() -> Result<()> {
     let mut fleet = fleet().await?;
-    let copy = fleet.store.copy();
+    let backup = fleet.store.backup();
     fleet.store.configure(&with_keys(&fleet, 2, &["second"]));
     wait_status(&fleet, "secret", 401, "the key is taken away").await?;
-    fleet.store.restore(&copy);
+    fleet.store.restore(&backup);
     fleet.daemons[0].process.kill();
     fleet.start_daemon(0)?;
     wait_for(SOON, "it answers", async || status(&fleet, 0, "second").await == Some(200)).await?;
