--- a/crates/crocusdaled/tests/crashing_request_test.rs
+++ b/crates/crocusdaled/tests/crashing_request_test.rs
@@ -93,7 +93,7 @@
     let other = other.field("x-piece-key", "7c1e").field("x-token-usage", "1000,50");
     wait_for(SOON, "another request is answered", async || {
         let answer = IngressCaller::once(fleet.daemons[0].caller, &other).await;
-        answer.is_ok_and(|answer| (answer.status, answer.whole) == (200, true))
+        answer.is_ok_and(|answer| (answer.status, answer.is_complete) == (200, true))
     })
     .await?;
     let log: String = (0..3).filter_map(|index| fleet.log(index).ok()).collect();
--- a/crates/crocusdaled/tests/published_platform_test.rs
+++ b/crates/crocusdaled/tests/published_platform_test.rs
@@ -49,10 +49,10 @@
         let request = IngressRequest::new("/ask/7?page=2", &format!("ask{index}"))
             .field("x-tenant", "somebody-else");
         let answer = IngressCaller::once(daemon.caller, &request).await?;
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
         assert!(answer.body.ends_with(&format!("answers ask{index}")), "{}", answer.body);
         let answer = IngressCaller::once(daemon.caller, &digest(&format!("digest{index}"))).await?;
-        assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true));
+        assert_eq!((answer.status, answer.body, answer.is_complete), (200, events(0), true));
     }
     let seen: Vec<_> = fleet.plain.iter().flat_map(WorkerStandIn::executed_requests).collect();
     let first = seen.iter().find(|seen| seen.attempt == "ask0").expect("it ran");
@@ -103,7 +103,7 @@
         fleet.engines.iter().position(|engine| !engine.executed_requests().is_empty()).unwrap_or(0);
     fleet.engines[used].set_fault(WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(caller, &digest("second")).await?;
-    assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true));
+    assert_eq!((answer.status, answer.body, answer.is_complete), (200, events(0), true));
     let other = fleet.engines[1 - used].executed_requests();
     let resumed = other.iter().find(|seen| seen.attempt == "second").expect("it went on there");
     assert_eq!(resumed.headers["last-event-id"], "1");
@@ -130,7 +130,11 @@
         let used = fleet.engines.iter().zip(before).position(|(each, before)| seen(each) > before);
         fleet.engines[used.unwrap_or(0)].set_fault(fault);
         let answer = IngressCaller::once(caller, &digest(attempt)).await?;
-        assert_eq!((answer.status, answer.body, answer.whole), (200, events(0), true), "{fault:?}");
+        assert_eq!(
+            (answer.status, answer.body, answer.is_complete),
+            (200, events(0), true),
+            "{fault:?}"
+        );
     }
     Ok(())
 }
@@ -141,7 +145,7 @@
     let fleet = fleet(1).await?;
     set_fault(&fleet.engines, WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(fleet.daemons[0].caller, &digest("torn")).await?;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert!(events(0).starts_with(&answer.body), "{}", answer.body);
     Ok(())
 }
