--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -122,12 +122,12 @@
     };
     let (parts, body) = response.into_parts();
     let head = read_head(parts.status, &parts.headers, &call.attempt);
-    if head.foreign {
+    if head.is_foreign {
         return Some(AttemptEvent::Broken(BreakReason::OtherAttempt));
     }
     engine.report_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
     let is_success = parts.status.is_success();
-    if head.head.execution == ExecutionStatus::Ran && is_success && !head.signed {
+    if head.head.execution == ExecutionStatus::Ran && is_success && !head.has_signature {
         return Some(AttemptEvent::Broken(BreakReason::Malformed));
     }
     if is_success && head.is_stream {
--- a/crates/crocusdaled/src/platform/store_reader.rs
+++ b/crates/crocusdaled/src/platform/store_reader.rs
@@ -8,9 +8,9 @@
 use crocusdale_core::identity::StorePosition;
 use crocusdale_core::sync::lock;
 use crocusdale_platform::store::{
-    StoreChange, StoreChanges, StoreFault, StoreItem, evacuated_zone, is_configuration,
-    is_upstream, range_path, read_changes, read_configuration, read_era, read_page, read_upstream,
-    watch_path,
+    StoreChange, StoreChanges, StoreError, StoreItem, evacuated_zone, is_configuration,
+    is_upstream, range_path, read_changes, read_configuration, read_page, read_restore_count,
+    read_upstream, watch_path,
 };
 use http::{HeaderValue, Request, StatusCode, header};
 use http_body_util::Full;
@@ -66,7 +66,7 @@
     HistoryCompacted,
     /// The store was restored from an older copy between two pages.
     Restored,
-    Unparsable(StoreFault),
+    Unparsable(StoreError),
 }
 
 impl fmt::Display for ReadFault {
@@ -86,7 +86,7 @@
     /// Position of the store at the first page.
     position: StorePosition,
     items: Vec<StoreItem>,
-    unreadable: Vec<StoreFault>,
+    unreadable: Vec<StoreError>,
 }
 
 impl StoreReader {
@@ -158,7 +158,7 @@
             } else if is_upstream(&item.key) {
                 match read_upstream(item) {
                     Ok(upstream) => {
-                        cold.extend(upstream.cold());
+                        cold.extend(upstream.cold_upstream());
                         entries.push((item.revision, upstream.entry));
                     }
                     Err(fault) => unreadable.push(fault),
@@ -179,7 +179,7 @@
         &self,
         item: &StoreItem,
         era: u64,
-    ) -> Result<Option<(u64, String)>, StoreFault> {
+    ) -> Result<Option<(u64, String)>, StoreError> {
         let item_position = StorePosition { era, revision: item.revision };
         if *lock(&self.last_configuration) == item_position {
             return Ok(None);
@@ -246,7 +246,7 @@
         let answer = self.connections.call(self.store, request, MAX_ANSWER_BYTES, timeout).await;
         let answer = answer.map_err(ReadFault::Unanswered)?;
         match answer.status() {
-            StatusCode::OK => Ok((read_era(answer.headers()), answer.into_body())),
+            StatusCode::OK => Ok((read_restore_count(answer.headers()), answer.into_body())),
             StatusCode::GONE => Err(ReadFault::HistoryCompacted),
             status => Err(ReadFault::UnexpectedStatus(status)),
         }
--- a/crates/crocusdaled/src/platform/unreadable_items.rs
+++ b/crates/crocusdaled/src/platform/unreadable_items.rs
@@ -3,7 +3,7 @@
 
 use crocusdale_core::daemon::CounterName;
 use crocusdale_core::sync::lock;
-use crocusdale_platform::store::StoreFault;
+use crocusdale_platform::store::StoreError;
 use slog::warn;
 
 use crate::telemetry::Telemetry;
@@ -24,11 +24,11 @@
 
 impl UnreadableItems {
     /// Logs and counts the new faults among all `faults` of one full read.
-    pub(super) fn log_new_faults(&self, telemetry: &Telemetry, faults: Vec<StoreFault>) {
+    pub(super) fn log_new_faults(&self, telemetry: &Telemetry, faults: Vec<StoreError>) {
         let mut known = lock(&self.known);
         let mut current = BTreeMap::new();
         let unlogged_count = faults.len().saturating_sub(MAX_LOGGED_ITEMS);
-        for StoreFault { key, cause } in faults.into_iter().take(MAX_LOGGED_ITEMS) {
+        for StoreError { key, cause } in faults.into_iter().take(MAX_LOGGED_ITEMS) {
             if known.get(&key) != Some(&cause) {
                 telemetry.count(CounterName::StoreItemsUnreadable);
                 warn!(telemetry.log, "store_item_unreadable";
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -8,11 +8,11 @@
 use crocusdale_core::daemon::DaemonEvent;
 use crocusdale_core::pipeline::ResultHandle;
 use crocusdale_core::sync::lock;
-use crocusdale_platform::notice::read_notice;
-use crocusdale_platform::pieces::{
-    FREE_PATH, REPORT_PATH, WORK_PATH, free_bodies, read_free_room, read_work, work_body,
-    work_headers,
+use crocusdale_platform::batch_calls::{
+    BATCH_PATH, RELEASE_PATH, REPORT_PATH, batch_body, batch_headers, read_batch_answer,
+    read_free_memory, release_bodies,
 };
+use crocusdale_platform::notice::read_notice;
 use http::{HeaderMap, HeaderValue, Method, Request, header};
 use http_body_util::Full;
 use slog::info;
@@ -84,7 +84,7 @@
         results: &[ResultHandle],
         excluded: &[SocketAddr],
     ) {
-        let release_bodies = free_bodies(results)
+        let release_bodies = release_bodies(results)
             .into_iter()
             .filter(|(upstream_address, _)| !excluded.contains(upstream_address));
         for (upstream_address, body) in release_bodies {
@@ -105,7 +105,7 @@
     let free = match connections.call(address, request, MAX_ANSWER_BYTES, REPORT_TIMEOUT).await {
         Ok(answer) => {
             engine.report_notice(upstream, read_notice(answer.status(), answer.headers()), sent);
-            read_free_room(answer.status(), answer.body())
+            read_free_memory(answer.status(), answer.body())
         }
         Err(fault) => Err(fault.cause),
     };
@@ -116,8 +116,8 @@
 }
 
 async fn call_batch(engine: &Arc<DaemonEngine>, order: &BatchOrder) -> BatchOutcome {
-    let body = work_body(order, engine.now());
-    let request = post_request(WORK_PATH, order.address, work_headers(&order.process), body);
+    let body = batch_body(order, engine.now());
+    let request = post_request(BATCH_PATH, order.address, batch_headers(&order.process), body);
     let sent = engine.now();
     let may_write = || engine.now() <= order.write_by;
     let answer = engine
@@ -128,7 +128,7 @@
         Ok(answer) => {
             let (parts, body) = answer.into_parts();
             engine.report_notice(&order.upstream, read_notice(parts.status, &parts.headers), sent);
-            read_work(parts.status, &parts.headers, &body)
+            read_batch_answer(parts.status, &parts.headers, &body)
         }
         Err(fault) => {
             info!(engine.telemetry.log, "batch_failed";
@@ -140,7 +140,7 @@
 }
 
 async fn free_results_at(engine: &Arc<DaemonEngine>, upstream_address: SocketAddr, body: Vec<u8>) {
-    let request = post_request(FREE_PATH, upstream_address, HeaderMap::new(), body);
+    let request = post_request(RELEASE_PATH, upstream_address, HeaderMap::new(), body);
     // Results that could not be freed expire by themselves. Until then they occupy memory.
     if let Err(fault) =
         engine.connections().call(upstream_address, request, MAX_ANSWER_BYTES, FREE_TIMEOUT).await
