--- a/crates/crocusdale_core/tests/address_order_test.rs
+++ b/crates/crocusdale_core/tests/address_order_test.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller is given.
+//! Tests of the order in which `AddressOrder` lists daemon addresses for a caller.
 
 mod support;
 
@@ -18,7 +18,7 @@
     VmRoster { revision: 1, vms: (0..DAEMONS).map(entry).collect() }
 }
 
-/// The view of daemon 0, which has heard that each other one has `status`.
+/// Builds the member view of daemon 0, in which every other daemon has the status `status`.
 fn view(status: MemberStatus) -> MemberView {
     let now = MonotonicTime::from_millis(0);
     let mut view = MemberViewBuilder::new(InstanceId::new(vm_name(0), 1)).build();
@@ -52,38 +52,43 @@
 }
 
 #[test]
-fn own_zone_comes_first_and_callers_spread() {
+fn daemons_of_the_callers_zone_come_first_and_callers_spread() {
     let view = view(MemberStatus::Alive);
-    let mut firsts = std::collections::HashMap::new();
-    for number in 0..300 {
-        let addresses = answer(&view, &format!("caller-{number}"), "z1");
+    let mut first_address_counts = std::collections::HashMap::new();
+    for caller_number in 0..300 {
+        let addresses = answer(&view, &format!("caller-{caller_number}"), "z1");
         assert_eq!(addresses.len(), DAEMONS);
-        let near: Vec<_> = [1, 4].iter().filter_map(|index| entry(*index).caller).collect();
-        assert!(near.contains(&addresses[0]) && near.contains(&addresses[1]));
-        *firsts.entry(addresses[0]).or_insert(0) += 1;
+        let same_zone: Vec<_> = [1, 4].iter().filter_map(|index| entry(*index).caller).collect();
+        assert!(same_zone.contains(&addresses[0]) && same_zone.contains(&addresses[1]));
+        *first_address_counts.entry(addresses[0]).or_insert(0) += 1;
     }
-    // Two daemons of the zone share 300 callers; fixed names, so the split is always the same.
-    assert!(firsts.values().all(|count| (120..=180).contains(count)), "{firsts:?}");
+    // Two daemons of the zone share 300 callers. The caller names are fixed, so the split is
+    // the same in every run.
+    assert!(
+        first_address_counts.values().all(|count| (120..=180).contains(count)),
+        "{first_address_counts:?}"
+    );
 }
 
-// A daemon drains on a VM that is starved of time: its calls fail, and it takes all others for
-// unreachable. A caller that asks it must still be told of someone.
+// Guards against an empty address list from a draining daemon. A VM without enough CPU time fails
+// its calls to all peers, so the daemon regards every other daemon as unreachable.
 #[test]
-fn drained_daemon_that_reaches_nobody_names_the_others() {
+fn draining_daemon_without_reachable_peers_lists_all_peers() {
     let mut view = view(MemberStatus::Unreachable);
     view.leave();
     assert_eq!(answer(&view, "caller", "z0").len(), DAEMONS - 1);
 }
 
 #[test]
-fn unreachable_daemons_are_left_out_while_others_can_be_had() {
+fn unreachable_daemons_are_omitted_while_others_are_reachable() {
     let view = view(MemberStatus::Unreachable);
     assert_eq!(answer(&view, "caller", "z0").len(), 1);
 }
 
-/// Guards against callers that are sent to daemons of another region while their own has some.
+/// Guards against callers that are sent to daemons of another region while their own region
+/// still has daemons.
 #[test]
-fn daemons_of_the_callers_region_alone_are_named_while_there_are_any() {
+fn only_daemons_of_the_callers_region_are_listed_while_it_has_any() {
     let regions = LabelSet::parse("z0=lakes, z1=lakes, z2=coast").expect("labels");
     let regions = RegionMap::from(regions);
     let answer = |view: &MemberView, roster: &VmRoster, zone: &str| {
@@ -91,12 +96,17 @@
         order.answer("caller", zone).addresses
     };
     let (view, all) = (view(MemberStatus::Alive), roster());
-    let caller = |index| entry(index).caller.expect("it serves callers");
+    let caller =
+        |index| entry(index).caller.expect("every daemon of the VM list has a caller address");
     let mut coast = answer(&view, &all, "z2");
     coast.sort_unstable();
     assert_eq!(coast, [caller(2), caller(5)]);
     assert_eq!(answer(&view, &all, "z0").len(), 4);
     let lakes =
         VmRoster { revision: 2, vms: all.vms.into_iter().filter(|vm| vm.zone != "z2").collect() };
-    assert_eq!(answer(&view, &lakes, "z2").len(), 4, "none of its own is left");
+    assert_eq!(
+        answer(&view, &lakes, "z2").len(),
+        4,
+        "the region of z2 has no daemon left, so the daemons of the other region are listed"
+    );
 }
