--- a/crates/crocusdale_core/tests/at_most_once_test.rs
+++ b/crates/crocusdale_core/tests/at_most_once_test.rs
@@ -1,4 +1,5 @@
-//! A key of a request that must not repeat runs at most once, and "not run" is true.
+//! Tests that a request that must not be repeated runs at most once, and that a daemon answers
+//! "not run" only for a key that never ran and never will.
 
 mod support;
 
@@ -10,10 +11,11 @@
     whole_answer,
 };
 
-// A caller sends a shred order to one daemon, gets no answer in time and sends it to another. The
-// first daemon has run it; the second must find that out instead of running it again.
+// Guards against a second run of a request that a caller sends to another daemon.
+// The first daemon ran the request, but its answer came too late for the caller.
+// The second daemon must return the recorded outcome.
 #[test]
-fn second_daemon_relays_outcome_of_first() {
+fn second_daemon_returns_the_outcome_recorded_by_the_first() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
@@ -25,34 +27,37 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
-// One witness never hears of the claim; the other two suffice and the order runs. Then the holder
-// and those two are lost. The witness that is left was told the outcome all the same, and a caller
-// that asks another daemon gets the answer instead of "unknown".
+// Guards against the answer "unknown" for a request whose outcome one witness still has.
+// One witness misses the claim, and the two others suffice for the request to run. Then the claim
+// holder and these two restart. The remaining witness has received the outcome without the claim.
 #[test]
 fn witness_that_missed_the_claim_keeps_the_outcome() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
-    let holder = daemon_beside_the_witnesses(&key, &fleet);
+    let holder = daemon_outside_the_witnesses(&key, &fleet);
     fleet.submit(holder, request(&key, "once", false));
-    let lost = fleet.network.remove(0);
-    let Message::Register { witness: missed, .. } = lost.message else { panic!("a claim") };
+    let dropped_claim = fleet.network.remove(0);
+    let Message::Register { witness: uninformed_witness, .. } = dropped_claim.message else {
+        panic!("expected the first message to be a claim")
+    };
     fleet.settle();
     fleet.answer_attempt(0, whole_answer);
     fleet.settle();
     for witness in WitnessSet::choose(&key, &fleet.roster).vms() {
-        if *witness != missed {
+        if *witness != uninformed_witness {
             fleet.restart(vm_index(witness));
         }
     }
     fleet.restart(holder);
-    fleet.inquire(vm_index(&missed), &key, Some(500));
+    fleet.inquire(vm_index(&uninformed_witness), &key, Some(500));
     fleet.settle();
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
-// A daemon dies after it sent an order on and before it heard the answer. The caller asks another
-// daemon, which can't know: it must neither say "not run" nor run it.
+// Guards against a false "not run" and a second run after a daemon crash.
+// A daemon dies after it sent the request to an upstream and before it received the answer.
+// Another daemon can't know the outcome, so it must answer "unknown".
 #[test]
-fn order_of_dead_daemon_is_unknown() {
+fn outcome_of_request_at_crashed_daemon_is_unknown() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
@@ -66,10 +71,11 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
-// A daemon is paused with its claims under way. Its caller asks another daemon and is told "not
-// run". When the paused daemon wakes up and its claims arrive, it must not run the order.
+// Guards against a run of a request after a daemon has answered "not run" for it.
+// A daemon is paused while its claims are in flight, and its caller gets "not run" from another
+// daemon. When the paused daemon resumes and its claims arrive, it must not run the request.
 #[test]
-fn order_said_not_run_never_runs() {
+fn request_answered_as_not_run_never_runs() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.submit(0, request(&key, "once", false));
     let claims = std::mem::take(&mut fleet.network);
@@ -85,11 +91,12 @@
     assert_eq!(fleet.run_count(&key), 0);
 }
 
-// A caller asks for an order long after it ran, when its witnesses have restarted and voted for
-// long again. Their registers are empty, and a plain inquiry would take that for "not run": the
-// customer's letter would be shredded twice.
+// Guards against a false "not run" after the registers of a key are lost.
+// The witnesses restarted after the request ran, and have been voting again for longer than a key
+// lives. Their registers are empty. A caller that is told "not run" would send the request again,
+// and it would run twice.
 #[test]
-fn forgotten_order_is_unknown() {
+fn outcome_of_key_with_lost_registers_is_unknown() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
@@ -106,9 +113,10 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
-// The same caller sends the old order again instead, and says how old it is.
+// Guards against a run of a request that is older than the lifetime of its key, when the caller
+// sends it again and states its age.
 #[test]
-fn order_older_than_its_key_is_not_run() {
+fn request_older_than_its_key_lifetime_is_not_run() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     let mut old = request(&key, "once", false);
     old.age = std::time::Duration::from_millis(KEY_LIFE_MS - DEADLINE_MS);
@@ -117,11 +125,11 @@
     assert_eq!((fleet.run_count(&key), fleet.kinds(&key)), (0, vec![OutcomeKind::Unknown]));
 }
 
-// An order waits in the socket of a daemon that is frozen for longer than keys are remembered.
-// Its caller was told "not run" elsewhere and has sent a new order. The daemon wakes up and reads
-// the old one as if it had just come.
+// Guards against a run of a request that waited in the socket of a paused daemon for longer than
+// the lifetime of its key. Its caller was told "not run" by another daemon and has sent a new
+// request. When the daemon resumes, it reads the old request as if it had just arrived.
 #[test]
-fn order_read_after_long_pause_is_not_run() {
+fn request_read_after_long_pause_is_not_run() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.nodes[0].paused = true;
     fleet.advance(100 * KEY_LIFE_MS);
@@ -131,11 +139,12 @@
     assert_eq!((fleet.run_count(&key), fleet.kinds(&key)), (0, vec![OutcomeKind::Unknown]));
 }
 
-// A ticket proves by the daemon's own clock that an order is fresh, and stops proving it in time.
+// A ticket proves by the clock of the daemon that issued it that a request is recent. It is valid
+// for one key, at one daemon process, and until it expires.
 #[test]
-fn ticket_is_good_for_its_time_key_and_life() {
+fn ticket_is_valid_for_its_key_process_and_lifetime() {
     let (mut fleet, key, other) = (CoreFleet::new(6), key("order"), key("other"));
-    let (ticket, life) = fleet.nodes[0].core.issue_ticket(&key, fleet.now);
+    let (ticket, ticket_lifetime) = fleet.nodes[0].core.issue_ticket(&key, fleet.now);
     let mut fresh = request(&key, "once", false);
     fresh.ticket = Some(ticket.clone());
     fleet.submit(0, fresh.clone());
@@ -152,16 +161,17 @@
     let late = support::key("late");
     let mut request = support::request(&late, "once", false);
     request.ticket = Some(fleet.nodes[0].core.issue_ticket(&late, fleet.now).0);
-    fleet.advance(u64::try_from(life.as_millis()).expect("a short time") + 1);
+    fleet.advance(u64::try_from(ticket_lifetime.as_millis()).expect("a short time") + 1);
     fleet.submit(0, request);
     fleet.settle();
     assert_eq!(fleet.run_count(&late), 0);
 }
 
-// All daemons have just been replaced. None can know what its predecessor promised, so an order
-// is not run, and the caller is told when to come back; then it runs.
+// Guards against a second run after all daemons have been replaced at once.
+// No new daemon knows the claims that its predecessor granted, so it doesn't run a request until
+// these have expired. It tells the caller after which time to retry, and the retry runs.
 #[test]
-fn fresh_fleet_abstains_and_says_until_when() {
+fn restarted_fleet_abstains_and_states_retry_after() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     for index in 0..6 {
         fleet.restart(index);
@@ -169,17 +179,19 @@
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown]);
-    let wait = fleet.answers[0].1.retry_after.expect("a time to come back");
-    fleet.advance(u64::try_from(wait.as_millis()).expect("a short time") + 1);
+    let retry_after_wait =
+        fleet.answers[0].1.retry_after.expect("the answer has a retry-after time");
+    fleet.advance(u64::try_from(retry_after_wait.as_millis()).expect("a short time") + 1);
     fleet.submit(1, request(&key, "once", false));
     fleet.settle();
     assert_eq!(fleet.run_count(&key), 1);
 }
 
-// Two VMs are added, so that some keys get a new witness. It can't know what the VM that it
-// replaced has promised; it must abstain, and the two others still serve the key.
+// Guards against a claim that a new witness grants although its predecessor granted another one.
+// Two added VMs become witnesses of some keys. They don't know the claims of the VMs that they
+// replaced, so they must abstain. The other two witnesses of the key still grant claims.
 #[test]
-fn new_witness_abstains_and_others_serve() {
+fn new_witness_abstains_while_the_others_grant_claims() {
     let mut fleet = CoreFleet::new(6);
     let mut roster = fleet.roster.clone();
     roster.revision += 1;
@@ -194,17 +206,21 @@
         fleet.settle();
         fleet.advance(500);
         fleet.settle();
-        let two_new = fleet.run_count(&key) == 0;
-        assert!(!two_new || fleet.kinds(&key) == [OutcomeKind::Unknown], "order-{number}");
+        let was_not_run = fleet.run_count(&key) == 0;
+        assert!(
+            !was_not_run || fleet.kinds(&key) == [OutcomeKind::Unknown],
+            "order-{number}: expected a run or the answer \"unknown\""
+        );
     }
-    let served = fleet.runs.len();
-    assert!(served >= 25, "{served} of 50");
+    let run_keys = fleet.runs.len();
+    assert!(run_keys >= 25, "expected at least 25 of 50 keys to run, got {run_keys}");
 }
 
-// A daemon refuses an order because its workspace is at its limit; the same order has run through
-// another daemon meanwhile. "Not run" would be a lie about the key.
+// Guards against a false "not run" when a daemon refuses a request that ran at another daemon.
+// A daemon may refuse a request, for instance because its workspace is at its limit, while another
+// daemon has run it. Here the second daemon has no pipeline for the labels of the request.
 #[test]
-fn refusal_of_key_that_ran_elsewhere_is_not_not_run() {
+fn refusal_of_key_that_ran_elsewhere_is_reported_as_unknown() {
     let mut fleet = CoreFleet::new(6);
     let key = key("order");
     fleet.submit(0, request(&key, "once", false));
@@ -218,29 +234,30 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
-// Two daemons have used VM lists that differ by two of a key's three witnesses, for longer than a
-// key lives. Each finds a witness that sees what it sees; the witness that both have in common
-// must tell them apart, or each would gather two claims and the order would run twice.
+// Guards against two runs of a request by daemons whose VM lists differ in two of the three
+// witnesses of its key, for longer than a key lives. Each daemon has one witness with the same VM
+// list as its own. The witness in both sets must refuse one of the lists, or each daemon
+// would gather two claims.
 #[test]
-fn witness_in_common_refuses_the_list_that_differs_by_two() {
+fn common_witness_refuses_a_list_that_differs_by_two_witnesses() {
     let mut fleet = CoreFleet::new(9);
     let key = key("order");
-    let seen = WitnessSet::choose(&key, &fleet.roster);
+    let first_witnesses = WitnessSet::choose(&key, &fleet.roster);
     let mut other = fleet.roster.clone();
     other.revision += 1;
-    other.vms.retain(|vm| !seen.vms()[1..].contains(&vm.name));
-    let seen_there = WitnessSet::choose(&key, &other);
-    let common = support::vm_index(&seen.vms()[0]);
-    let replaced: Vec<usize> = seen_there
+    other.vms.retain(|vm| !first_witnesses.vms()[1..].contains(&vm.name));
+    let other_witnesses = WitnessSet::choose(&key, &other);
+    let common_witness = support::vm_index(&first_witnesses.vms()[0]);
+    let replaced: Vec<usize> = other_witnesses
         .vms()
         .iter()
         .map(|vm| support::vm_index(vm))
-        .filter(|vm| *vm != common)
+        .filter(|vm| *vm != common_witness)
         .collect();
     let outsiders: Vec<usize> = (0..9)
         .filter(|index| {
             let name = support::vm_name(*index);
-            !seen.contains(&name) && !seen_there.contains(&name)
+            !first_witnesses.contains(&name) && !other_witnesses.contains(&name)
         })
         .collect();
     let (first, second) = (outsiders[0], outsiders[1]);
@@ -249,11 +266,11 @@
     fleet.advance(KEY_LIFE_MS + 1);
 
     fleet.submit(first, request(&key, "once", false));
-    let to_common = |message: &Message| match message {
-        Message::Register { witness, .. } => support::vm_index(witness) == common,
+    let is_to_common_witness = |message: &Message| match message {
+        Message::Register { witness, .. } => support::vm_index(witness) == common_witness,
         _ => false,
     };
-    fleet.network.retain(|envelope| !to_common(&envelope.message));
+    fleet.network.retain(|envelope| !is_to_common_witness(&envelope.message));
     fleet.settle();
     assert_eq!(fleet.run_count(&key), 1);
     fleet.submit(second, request(&key, "once", false));
@@ -261,11 +278,11 @@
     assert_eq!(fleet.run_count(&key), 1);
 }
 
-// One caller asks a daemon for an order that it has not seen; another caller sends that order to
-// the same daemon just then. The claims arrive before the tombstones, so the question finds the
-// daemon's own claims. They are in use, and must not be taken for claims of one who never runs.
+// Guards against a false "not run" when an inquiry and the request reach one daemon together.
+// The claims arrive before the tombstones, so the inquiry finds claims of its own daemon.
+// These belong to a running request, and must not be treated as claims that are never used.
 #[test]
-fn question_that_crosses_the_order_at_one_daemon() {
+fn inquiry_concurrent_with_request_at_one_daemon_returns_its_outcome() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.inquire(0, &key, Some(0));
     let tombstones = std::mem::take(&mut fleet.network);
@@ -278,11 +295,11 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
-// A fresh daemon has the VM list and no configuration yet, so it does not know how long the others
-// remember keys. It is asked about an order that they have forgotten; it must not take that for
-// "not run".
+// Guards against a false "not run" from a new daemon that has the VM list but no configuration.
+// It doesn't know for how long the other daemons keep keys, so empty registers prove nothing:
+// the other daemons may have discarded the key after the request ran.
 #[test]
-fn daemon_without_configuration_proves_nothing() {
+fn daemon_without_configuration_never_answers_not_run() {
     let (mut fleet, key) = (CoreFleet::new(6), key("order"));
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
@@ -297,9 +314,9 @@
     assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown]);
 }
 
-/// A daemon that is no witness of `key`.
-fn daemon_beside_the_witnesses(key: &RequestKey, fleet: &CoreFleet) -> usize {
+/// Returns the index of a daemon that is not a witness of `key`.
+fn daemon_outside_the_witnesses(key: &RequestKey, fleet: &CoreFleet) -> usize {
     let witnesses = WitnessSet::choose(key, &fleet.roster);
-    let beside = (0..fleet.nodes.len()).find(|index| !witnesses.contains(&vm_name(*index)));
-    beside.expect("six daemons and three witnesses")
+    let outsider = (0..fleet.nodes.len()).find(|index| !witnesses.contains(&vm_name(*index)));
+    outsider.expect("six daemons include one that is not among the three witnesses")
 }
