--- a/crates/crocusdale_core/tests/claim_model_test.rs
+++ b/crates/crocusdale_core/tests/claim_model_test.rs
@@ -1,5 +1,6 @@
-//! Drives the real cores with the steps of the specification in `model/at_most_once.pml`, and
-//! holds them against its two assertions: at most one run, and no "not run" of a key that ran.
+//! Drives the real daemon cores with the steps of the specification in `model/at_most_once.pml`.
+//! Checks its two assertions: a key runs at most once, and no answer says "not run" of a key that
+//! ran.
 
 mod support;
 
@@ -10,38 +11,39 @@
 use proptest::test_runner::RngSeed;
 use support::{CoreFleet, KEY_LIFE_MS, key, request, whole_answer};
 
-/// Daemons of the model; the VM list changes by one more.
+/// Number of daemons. [`ModelStep::ChangeList`] removes the last of them from a VM list.
 const DAEMONS: usize = 4;
-/// Restarts that one case may have; the specification is checked with two.
-const RESTARTS: u32 = 2;
+/// Maximum number of restarts in one test case. The specification is checked with two as well.
+const MAX_RESTARTS: u32 = 2;
 
-/// Seed of the cases: CI gives the same verdict every time.
+/// Fixed seed of the generated cases, so that every CI run checks the same ones.
 const SEED: u64 = 20_261_202;
 
 /// A step of the specification.
 #[derive(Clone, Debug)]
 enum ModelStep {
-    /// A caller sends the key to a daemon, again and anywhere.
+    /// A caller sends the request key to this daemon. It may send it repeatedly and to any daemon.
     Submit(usize),
-    /// An inquirer asks a daemon.
+    /// A caller asks this daemon for the outcome of the key.
     Inquire(usize),
-    /// A message arrives; any of those under way, so that they are reordered and delayed.
+    /// One pending message arrives. Any pending message can be chosen, so that messages are
+    /// reordered and delayed.
     Deliver(usize),
-    /// A message arrives and will arrive again.
+    /// One pending message arrives and stays pending, so that it can arrive again.
     DeliverTwice(usize),
-    /// A message is lost.
-    Lose(usize),
-    /// An upstream answers.
+    /// One pending message is lost.
+    DropMessage(usize),
+    /// An upstream answers one open attempt.
     Answer(usize),
-    /// A daemon takes no step until it wakes up.
+    /// This daemon processes no timer and no message until it is resumed.
     Pause(usize),
-    /// A paused daemon goes on.
-    Wake(usize),
-    /// A daemon ends, with all that it knew, and its VM starts a new one.
+    /// This daemon is resumed after a pause.
+    Resume(usize),
+    /// This daemon stops and loses its state, and its VM starts a new daemon.
     Restart(usize),
-    /// One daemon hears of a VM list that differs by one VM.
+    /// This daemon receives a VM list that lacks one VM.
     ChangeList(usize),
-    /// Time passes, in milliseconds.
+    /// The virtual clock advances by this number of milliseconds.
     Advance(u64),
 }
 
@@ -52,10 +54,10 @@
         3 => daemon.clone().prop_map(ModelStep::Inquire),
         24 => (0..64_usize).prop_map(ModelStep::Deliver),
         3 => (0..64_usize).prop_map(ModelStep::DeliverTwice),
-        4 => (0..64_usize).prop_map(ModelStep::Lose),
+        4 => (0..64_usize).prop_map(ModelStep::DropMessage),
         2 => (0..8_usize).prop_map(ModelStep::Answer),
         2 => daemon.clone().prop_map(ModelStep::Pause),
-        2 => daemon.clone().prop_map(ModelStep::Wake),
+        2 => daemon.clone().prop_map(ModelStep::Resume),
         2 => daemon.clone().prop_map(ModelStep::Restart),
         1 => daemon.prop_map(ModelStep::ChangeList),
         3 => (1..1_000_u64).prop_map(ModelStep::Advance),
@@ -63,45 +65,46 @@
     ]
 }
 
-/// Takes `step`, with callers that say truly how old the key is.
-fn take(fleet: &mut CoreFleet, step: &ModelStep, restarts: &mut u32, start_ms: u128) {
-    let order = key("order");
+/// Applies `step` to the fleet. Callers state the true age of the key.
+fn apply_step(fleet: &mut CoreFleet, step: &ModelStep, restarts: &mut u32, start_ms: u128) {
+    let request_key = key("order");
     let age = u64::try_from(fleet.now.since_start().as_millis() - start_ms).unwrap_or(u64::MAX);
-    let position = |raw: usize, length: usize| (length > 0).then(|| raw % length.max(1));
+    let position =
+        |random_index: usize, length: usize| (length > 0).then(|| random_index % length.max(1));
     match *step {
         ModelStep::Submit(daemon) if !fleet.nodes[daemon].paused => {
-            let mut request = request(&order, "once", false);
+            let mut request = request(&request_key, "once", false);
             request.age = Duration::from_millis(age);
             fleet.submit(daemon, request);
         }
         ModelStep::Inquire(daemon) if !fleet.nodes[daemon].paused => {
-            fleet.inquire(daemon, &order, Some(age));
+            fleet.inquire(daemon, &request_key, Some(age));
         }
         ModelStep::Submit(_) | ModelStep::Inquire(_) => {}
-        ModelStep::Deliver(raw) => {
-            if let Some(position) = position(raw, fleet.network.len()) {
+        ModelStep::Deliver(random_index) => {
+            if let Some(position) = position(random_index, fleet.network.len()) {
                 fleet.deliver(position, false);
             }
         }
-        ModelStep::DeliverTwice(raw) => {
-            if let Some(position) = position(raw, fleet.network.len()) {
+        ModelStep::DeliverTwice(random_index) => {
+            if let Some(position) = position(random_index, fleet.network.len()) {
                 fleet.deliver(position, true);
             }
         }
-        ModelStep::Lose(raw) => {
-            if let Some(position) = position(raw, fleet.network.len()) {
+        ModelStep::DropMessage(random_index) => {
+            if let Some(position) = position(random_index, fleet.network.len()) {
                 fleet.network.remove(position);
             }
         }
-        ModelStep::Answer(raw) => {
-            if let Some(position) = position(raw, fleet.attempts.len()) {
+        ModelStep::Answer(random_index) => {
+            if let Some(position) = position(random_index, fleet.attempts.len()) {
                 fleet.answer_attempt(position, whole_answer);
             }
         }
         ModelStep::Pause(daemon) => fleet.nodes[daemon].paused = true,
-        ModelStep::Wake(daemon) => fleet.nodes[daemon].paused = false,
+        ModelStep::Resume(daemon) => fleet.nodes[daemon].paused = false,
         ModelStep::Restart(daemon) => {
-            if *restarts < RESTARTS {
+            if *restarts < MAX_RESTARTS {
                 *restarts += 1;
                 fleet.restart(daemon);
             }
@@ -116,8 +119,8 @@
     }
 }
 
-/// Whether any daemon has said that the key did not run.
-fn said_not_run(fleet: &CoreFleet) -> bool {
+/// Returns whether any daemon has answered that the key was not run.
+fn has_not_run_answer(fleet: &CoreFleet) -> bool {
     fleet.kinds(&key("order")).contains(&OutcomeKind::Refused)
 }
 
@@ -130,15 +133,18 @@
     })]
 
     #[test]
-    fn cores_follow_the_specification(steps in proptest::collection::vec(model_step(), 1..120)) {
+    fn cores_satisfy_the_specification(steps in proptest::collection::vec(model_step(), 1..120)) {
         let mut fleet = CoreFleet::new(DAEMONS);
         let start_ms = fleet.now.since_start().as_millis();
         let mut restarts = 0;
         for step in &steps {
-            take(&mut fleet, step, &mut restarts, start_ms);
+            apply_step(&mut fleet, step, &mut restarts, start_ms);
             let runs = fleet.run_count(&key("order"));
-            prop_assert!(runs <= 1, "ran {runs} times after {step:?}");
-            prop_assert!(runs == 0 || !said_not_run(&fleet), "said not run, and ran: {step:?}");
+            prop_assert!(runs <= 1, "expected at most one run, got {runs} after {step:?}");
+            prop_assert!(
+                runs == 0 || !has_not_run_answer(&fleet),
+                "a daemon answered \"not run\" for a key that ran, after {step:?}"
+            );
         }
     }
 }
