--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -1,4 +1,4 @@
-//! Calls that pieces of many requests share.
+//! Tests of `BatchDispatcher`: how pieces of several requests share batch calls.
 
 #[path = "support/batch_bench.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -12,30 +12,30 @@
 
 use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, ROOM, made};
 
-/// A burst: many requests of a few pieces each arrive while the one upstream works. Each in a call
-/// of its own would take a fifth of a second; users would see all but the first few come late.
-/// What waited shares the next call, up to what a call holds.
+/// Guards against late answers in a burst of small requests. A call of its own for each request
+/// would take a fifth of a second, and all but the first few would miss their latency objectives.
+/// Pieces that wait during a call share the next call, up to its maximum size.
 #[test]
-fn what_waits_during_a_call_shares_the_next_one() {
+fn pieces_that_wait_during_a_call_share_the_next_call() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let first = bench.order(2, 900);
     bench.offer(first);
-    assert_eq!(bench.calls[0].items.len(), 2, "a free upstream is not kept waiting");
+    assert_eq!(bench.calls[0].items.len(), 2, "a free upstream gets a call at once");
     for _ in 0..5 {
         let order = bench.order(3, 900);
         bench.offer(order);
     }
-    assert_eq!(bench.calls.len(), 1, "the upstream takes one call at a time");
+    assert_eq!(bench.calls.len(), 1, "the upstream runs only one call at a time");
     bench.advance(210);
     bench.end_call(made);
-    assert_eq!(bench.calls[0].items.len(), 15, "all that waited fits into one call");
+    assert_eq!(bench.calls[0].items.len(), 15, "all waiting pieces fit into one call");
     assert_eq!(bench.settled.len(), 1);
 }
 
-/// A burst is larger than what all upstreams take at once. If each call held whole requests only,
-/// every call would leave places empty, and the backlog of the burst would last that much longer.
+/// Guards against a longer backlog because calls are not full. If a call contained only whole
+/// requests, most calls would be smaller than the maximum size while pieces wait.
 #[test]
-fn calls_are_full_while_more_waits_than_they_hold() {
+fn calls_are_full_while_more_pieces_wait_than_fit() {
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..9 {
         let order = bench.order(3, 900);
@@ -46,10 +46,10 @@
     assert_eq!(bench.calls[0].items.len(), PIECES as usize);
 }
 
-/// Two users' requests wait for the same pool; the one that is needed later came first. In order of
-/// arrival the urgent one would miss its objective for nothing.
+/// Guards against an urgent request that misses its latency objective because a less urgent one
+/// arrived first. Pieces are ordered by due time, not by arrival.
 #[test]
-fn pieces_that_are_needed_first_go_first() {
+fn pieces_with_the_earliest_due_time_go_first() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
     bench.offer(busy);
@@ -65,11 +65,11 @@
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", later.call.0));
 }
 
-/// A burst is over, and requests wait that missed their objectives in it, beside fresh ones that
-/// can still be in time. Served in order of age, each late one would make a fresh one late too, and
-/// users would see nothing but late answers long after the burst.
+/// Guards against late answers long after a burst. Requests that missed their objectives in the
+/// burst wait beside new ones that can still be on time. If the oldest went first, each late
+/// request would make a new one late too.
 #[test]
-fn late_pieces_wait_for_those_that_can_be_in_time() {
+fn late_pieces_wait_for_pieces_that_can_be_on_time() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
     bench.offer(busy);
@@ -82,43 +82,51 @@
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", fresh.call.0));
 }
 
-/// An upstream dies in the middle of a call, without a word. Its pieces would be waited for until
-/// the users' deadlines. The call counts as lost after a few times its length, and the pieces go
-/// to another upstream.
+/// Guards against pieces that wait until the deadlines of their requests because an upstream died
+/// during a call without closing its connection. The call times out after a small multiple of its
+/// expected duration, and the pieces go to another upstream.
 #[test]
-fn pieces_of_a_lost_call_go_to_another_upstream() {
+fn pieces_of_a_timed_out_call_go_to_another_upstream() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "a")]);
     let order = bench.order(4, 2_000);
     let attempt = bench.offer(order);
-    let dead = bench.calls.remove(0);
+    let timed_out_call = bench.calls.remove(0);
     bench.advance(1_500);
-    assert_eq!(bench.cancelled, [dead.batch]);
-    assert_ne!(bench.calls[0].upstream, dead.upstream);
+    assert_eq!(bench.cancelled, [timed_out_call.batch]);
+    assert_ne!(bench.calls[0].upstream, timed_out_call.upstream);
     bench.end_call(made);
     assert!(matches!(&bench.settled[..], [(settled, Ok(results))]
         if *settled == attempt && results.len() == 4));
 }
 
-/// An upstream is full of results that nobody gave up yet. A call that goes there all the same
-/// would take its whole time and come back with nothing, for every request in it.
+/// Guards against calls to an upstream whose memory is full of results that have not been freed.
+/// Such a call would take its full duration and return no result for any request in it.
 #[test]
-fn calls_hold_no_more_than_the_room_for_results() {
+fn calls_fit_into_the_free_result_memory() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let mut order = bench.order(10, 900);
     order.result_bytes = 200_000;
     bench.offer(order);
-    assert_eq!(bench.calls[0].items.len(), 4, "four results of 200 kB fit into 0.9 of a megabyte");
+    assert_eq!(
+        bench.calls[0].items.len(),
+        4,
+        "four results of 200 kB fit into 0.9 of the result memory of 1 MB"
+    );
     bench.advance(250);
     bench.end_call(made);
-    assert!(bench.calls.is_empty(), "the results lie there still");
+    assert!(bench.calls.is_empty(), "the upstream still stores the results of the first call");
     bench.advance(4_100);
-    assert_eq!(bench.calls[0].items.len(), 4, "they have lapsed");
+    assert_eq!(
+        bench.calls[0].items.len(),
+        4,
+        "the results of the first call have expired after their lifetime of 4 s"
+    );
 }
 
-/// One piece of a call fails by chance, as some in a thousand do. The request must not fail with
-/// it, and the other pieces must not be made twice.
+/// Guards against a request that fails with a single piece, and against repeating its other pieces.
+/// Some pieces in a thousand fail by chance.
 #[test]
-fn single_failed_piece_is_made_again_alone() {
+fn single_failed_piece_is_retried_alone() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(5, 2_000);
     bench.offer(order);
@@ -131,26 +139,26 @@
     assert!(matches!(&bench.settled[..], [(_, Ok(results))] if results.len() == 5));
 }
 
-/// Another process has taken over an upstream's address. It refuses the call; the pieces have not
-/// run, and whoever is called next must not be that address again.
+/// Guards against repeated calls to an address that another process has taken over. That process
+/// refuses the call without running its pieces, which must go to another address.
 #[test]
-fn address_of_another_process_is_left_alone() {
+fn address_of_another_process_gets_no_more_calls() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "a")]);
     let order = bench.order(5, 2_000);
     bench.offer(order);
-    let displaced = bench.end_call_as(BatchOutcome::WrongProcess);
-    assert_ne!(bench.calls[0].upstream, displaced.upstream);
+    let refused_call = bench.end_call_as(BatchOutcome::WrongProcess);
+    assert_ne!(bench.calls[0].upstream, refused_call.upstream);
     bench.advance(250);
     bench.end_call(made);
     let order = bench.order(5, 2_000);
     bench.offer(order);
-    assert_ne!(bench.calls[0].upstream, displaced.upstream);
+    assert_ne!(bench.calls[0].upstream, refused_call.upstream);
 }
 
-/// The results of a step are large, and the step that fetches them is done in another zone because
-/// an upstream there happened to be free. Users see no difference, but every byte crosses zones.
+/// Guards against needless traffic between availability zones. A step that fetches large results
+/// must not run in another zone only because an upstream there is free.
 #[test]
-fn pieces_go_to_the_zone_that_is_asked_for_while_that_is_in_time() {
+fn pieces_wait_for_their_preferred_zone_while_they_can_be_on_time() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "b")]);
     let mut order = bench.order(1, 2_000);
     order.zone = Some("b".to_owned());
@@ -159,19 +167,24 @@
     let mut order = bench.order(1, 2_000);
     order.zone = Some("b".to_owned());
     bench.offer(order);
-    assert_eq!(bench.calls.len(), 1, "it can wait for its zone and still be in time");
+    assert_eq!(
+        bench.calls.len(),
+        1,
+        "the pieces can wait for an upstream in zone b and still be on time"
+    );
     let mut order = bench.order(1, 300);
     order.zone = Some("b".to_owned());
     bench.offer(order);
-    assert_eq!(bench.calls[1].upstream, "u1", "it would be late in its own zone");
+    assert_eq!(bench.calls[1].upstream, "u1", "the pieces would be late if they waited for zone b");
 }
 
-/// An upstream turns five times slower, and is as free as the others. Calls that go there at once
-/// end later than if they had waited for a sound one.
+/// Guards against calls to a slow upstream that would end earlier at another one. The slow upstream
+/// takes 755 ms for a call of one piece and the other one 205 ms, so a call that goes to the slow
+/// one at once can end later than a call that waits for the other.
 #[test]
-fn slow_upstream_gets_calls_only_while_the_others_are_busy_for_long() {
+fn slow_upstream_gets_no_call_that_would_end_earlier_elsewhere() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "a")]);
-    let slow = "u1";
+    let slow_upstream = "u1";
     for _ in 0..2 {
         let (order, other) = (bench.order(1, 2_000), bench.order(1, 2_000));
         bench.offer(order);
@@ -184,46 +197,50 @@
     }
     let order = bench.order(PIECES, 2_000);
     bench.offer(order);
-    assert_ne!(bench.calls[0].upstream, slow);
+    assert_ne!(bench.calls[0].upstream, slow_upstream);
     bench.advance(100);
     let order = bench.order(PIECES, 2_000);
     bench.offer(order);
     assert_eq!(
         bench.calls.len(),
         1,
-        "the sound one is free sooner than the slow one would be done"
+        "waiting for the fast upstream ends sooner than a call to the slow one"
     );
 }
 
-/// Every upstream fails every call. Without a bound each piece would be sent again and again, and
-/// the pool would get a multiple of its load just when it can't take any.
+/// Guards against a retry storm when every upstream fails every call. Without a retry budget each
+/// piece would be retried repeatedly, and the pool would receive a multiple of its load during the
+/// failure.
 #[test]
-fn pieces_fail_once_the_retry_budget_is_used_up() {
+fn pieces_fail_once_the_retry_budget_is_exhausted() {
     let mut bench = Bench::with_reserve(&[("u1", "a"), ("u2", "a"), ("u3", "a")], 10.0);
-    let mut first = 0;
-    let mut sent: HashMap<String, usize> = HashMap::new();
+    let mut request_count = 0;
+    let mut sends_by_request: HashMap<String, usize> = HashMap::new();
     for _ in 0..40 {
         let order = bench.order(1, 900);
         bench.offer(order);
-        first += 1;
+        request_count += 1;
         bench.advance(250);
         while !bench.calls.is_empty() {
             let order = bench.end_call_as(BatchOutcome::Broken);
             for item in order.items {
-                *sent.entry(item.request).or_default() += 1;
+                *sends_by_request.entry(item.request).or_default() += 1;
             }
         }
     }
     bench.advance(6_000);
-    assert_eq!(bench.settled.len(), first, "each caller hears of its end");
-    let again: usize = sent.values().map(|times| times - 1).sum();
-    assert!((1..=8 + 8).contains(&again), "{again} pieces of {first} requests were sent again");
+    assert_eq!(bench.settled.len(), request_count, "every attempt has an outcome");
+    let retried: usize = sends_by_request.values().map(|times| times - 1).sum();
+    assert!(
+        (1..=8 + 8).contains(&retried),
+        "expected 1 to 16 retried pieces for {request_count} requests, got {retried}"
+    );
 }
 
-/// The users' time for a request is over while its pieces wait. To make them all the same would
-/// take a place from those who still wait for an answer.
+/// Guards against calls for a request whose deadline has passed while its pieces waited. These
+/// pieces would take capacity from requests that can still be answered.
 #[test]
-fn pieces_without_time_left_are_given_up_at_once() {
+fn expired_pieces_fail_while_they_wait() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
     bench.offer(busy);
@@ -235,11 +252,12 @@
     assert!(bench.settled.contains(&late));
 }
 
-/// The dispatcher of a pool dies, and what it had had made still fills most of an upstream's memory.
-/// The next one fills calls as if it were empty: most pieces come back unmade after the whole time
-/// of their call, and users wait twice as long. It asks first, and sends what finds room.
+/// Guards against oversized calls after a change of dispatcher. Results of the previous dispatcher
+/// still fill most of an upstream's memory. If the new one assumed that it is empty, most pieces
+/// would fail for lack of memory after the full duration of their call, and callers would wait
+/// twice as long. So the new dispatcher queries the free memory first.
 #[test]
-fn dispatcher_that_takes_over_asks_what_lies_at_its_upstreams() {
+fn new_dispatcher_queries_the_free_memory_of_its_upstreams() {
     let mut bench = Bench::new(&[("u1", "a")]);
     bench.free_room = Some(ROOM / 2);
     let mut order = bench.order(10, 900);
@@ -247,31 +265,36 @@
     order.is_resubmission = true;
     bench.offer(order);
     assert_eq!(bench.asked.last().map(String::as_str), Some("u1"));
-    assert_eq!(bench.calls[0].items.len(), 4, "half of the memory is free, nine tenths are used");
+    assert_eq!(
+        bench.calls[0].items.len(),
+        4,
+        "half of the memory is free, and calls may use nine tenths of that"
+    );
 }
 
-/// The same, and the results of the dispatcher before lapse. Their room must be used again.
+/// Guards against memory that stays reserved for expired results of the previous dispatcher.
 #[test]
-fn results_of_the_dispatcher_before_lapse() {
+fn memory_of_results_of_the_previous_dispatcher_is_reused_after_expiry() {
     let mut bench = Bench::new(&[("u1", "a")]);
     bench.free_room = Some(0);
     let mut order = bench.order(2, 9_000);
     order.result_bytes = ROOM / 10;
     bench.offer(order);
-    assert!(bench.calls.is_empty(), "nothing is free");
+    assert!(bench.calls.is_empty(), "the upstream has no free memory for results");
     bench.free_room = None;
     bench.advance(4_050);
-    assert_eq!(bench.calls.len(), 1, "results live four seconds");
+    assert_eq!(bench.calls.len(), 1, "the results have expired after their lifetime of 4 s");
 }
 
-/// An upstream answers no questions, or only late. Its calls must not wait for that.
+/// Guards against an upstream that gets no calls because it answers the query for its free memory
+/// late or not at all.
 #[test]
-fn upstream_that_tells_nothing_gets_its_calls() {
+fn upstream_that_answers_no_memory_query_gets_calls() {
     let mut bench = Bench::new(&[("u1", "a")]);
     bench.free_room = None;
     let order = bench.order(2, 900);
     bench.offer(order);
-    assert!(bench.calls.is_empty(), "the answer is under way");
+    assert!(bench.calls.is_empty(), "the call waits for the answer to the memory query");
     bench.advance(50);
     assert_eq!(bench.calls.len(), 1);
     let order = bench.order(2, 900);
@@ -279,13 +302,13 @@
     bench.tell_room("u1", None);
     bench.advance(210);
     bench.end_call(made);
-    assert_eq!(bench.calls.len(), 1, "the next call goes out at once");
+    assert_eq!(bench.calls.len(), 1, "the next call is sent without another memory query");
 }
 
-/// Questions cost the upstream and the platform something. A dispatcher that goes on working knows
-/// what lies there and asks nothing.
+/// Guards against needless memory queries, which cost the upstream and the platform resources.
+/// A dispatcher that has been running knows which results its upstreams store.
 #[test]
-fn dispatcher_that_goes_on_asks_nothing() {
+fn running_dispatcher_sends_no_memory_queries() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(2, 900);
     bench.offer(order);
@@ -296,13 +319,13 @@
         bench.advance(210);
         bench.end_call(made);
     }
-    assert!(bench.asked.is_empty(), "{:?}", bench.asked);
+    assert!(bench.asked.is_empty(), "upstreams queried without need: {:?}", bench.asked);
 }
 
-/// One workspace floods the pool. Its pieces came first and are needed first; in that order, those
-/// of all other workspaces would be late with it. The others go first.
+/// Guards against a workspace that floods the pool and delays all other workspaces. Its pieces
+/// arrived first and are due first, but pieces of other workspaces must precede them.
 #[test]
-fn pieces_of_a_flood_go_behind_those_of_others() {
+fn pieces_of_a_flooding_workspace_go_last() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let running = bench.order(1, 900);
     bench.offer(running);
@@ -317,14 +340,18 @@
     bench.advance(CALL_MS + PIECE_MS);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items[0].request, name);
-    assert_eq!(bench.calls[0].items.len(), PIECES as usize, "what is left is the flood's");
+    assert_eq!(
+        bench.calls[0].items.len(),
+        PIECES as usize,
+        "pieces of the flood fill the rest of the call"
+    );
 }
 
-/// A burst has filled the calls of the pool, and lasts. A request can be in time by a call that it
-/// has to itself, not by one that is full, as calls are. Put first, it came late all the same, and
-/// made one late that could have been in time: users of both waited for nothing.
+/// Guards against two late requests in place of one. In a long burst all calls are full. A request
+/// that would only be on time in a smaller call of its own is late in a full call even if it goes
+/// first, and it would delay a request that can be on time in a full call.
 #[test]
-fn request_that_needs_a_call_of_its_own_waits_for_those_in_time() {
+fn request_that_is_late_in_a_full_call_goes_last() {
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..40 {
         let order = bench.order(PIECES, 5_000);
@@ -336,43 +363,43 @@
     }
     let busy = bench.order(1, 900);
     bench.offer(busy);
-    let alone = bench.order(PIECES, 200 + CALL_MS + PIECE_MS);
-    let alone = bench.offer(alone);
-    let sure = bench.order(PIECES, 900);
-    let sure = bench.offer(sure);
+    let small_call = bench.order(PIECES, 200 + CALL_MS + PIECE_MS);
+    let small_call = bench.offer(small_call);
+    let on_time = bench.order(PIECES, 900);
+    let on_time = bench.offer(on_time);
     bench.advance(200);
     bench.end_call(made);
-    assert_eq!(bench.calls[0].items[0].request, format!("request-{}", sure.call.0));
+    assert_eq!(bench.calls[0].items[0].request, format!("request-{}", on_time.call.0));
     bench.advance(CALL_MS + PIECE_MS * u64::from(PIECES));
     bench.end_call(made);
-    assert_eq!(bench.calls[0].items[0].request, format!("request-{}", alone.call.0));
+    assert_eq!(bench.calls[0].items[0].request, format!("request-{}", small_call.call.0));
 }
 
-/// Guards against a sound request that is quarantined with one whose pieces crash upstreams, because both are
-/// in the same calls: after two that broke off each has calls of its own.
+/// Guards against the quarantine of a harmless request that shares its calls with a request whose
+/// pieces crash upstreams. After two failed calls each of the requests gets calls of its own.
 #[test]
-fn requests_of_calls_that_broke_off_are_told_apart() {
+fn requests_of_failed_calls_get_separate_calls() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 4_000);
     bench.offer(busy);
-    let shared: Vec<_> = (0..2).map(|_| bench.order(3, 4_000)).collect();
-    let shared: Vec<_> = shared.into_iter().map(|order| bench.offer(order)).collect();
+    let attempts: Vec<_> = (0..2).map(|_| bench.order(3, 4_000)).collect();
+    let attempts: Vec<_> = attempts.into_iter().map(|order| bench.offer(order)).collect();
     bench.advance(210);
     bench.end_call(made);
     for _ in 0..2 {
-        assert_eq!(bench.calls[0].items.len(), 6, "both share a call");
+        assert_eq!(bench.calls[0].items.len(), 6, "both requests share the call");
         bench.end_call_as(BatchOutcome::Broken);
         bench.advance(1_000);
     }
-    let mut alone = Vec::new();
+    let mut call_sizes = Vec::new();
     for _ in 0..2 {
-        alone.push(bench.end_call(made).items.len());
+        call_sizes.push(bench.end_call(made).items.len());
         bench.advance(50);
     }
-    assert_eq!(alone, [3, 3]);
-    let made = bench
+    assert_eq!(call_sizes, [3, 3]);
+    let successes = bench
         .settled
         .iter()
-        .filter(|(attempt, outcome)| shared.contains(attempt) && outcome.is_ok());
-    assert_eq!(made.count(), 2);
+        .filter(|(attempt, outcome)| attempts.contains(attempt) && outcome.is_ok());
+    assert_eq!(successes.count(), 2);
 }
