--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -1,4 +1,5 @@
-//! Upstreams that have just started and take few requests a second from all daemons together.
+//! Tests of cold upstreams: upstreams that have just started and accept only a limited request rate
+//! from all daemons together.
 
 mod support;
 
@@ -21,17 +22,17 @@
 
 use support::virtual_fleet::VirtualFleet;
 
-/// What an engine takes while it is cold.
-const COLD: ColdRules = ColdRules { lasts: Duration::from_secs(3), requests_per_s: 22.0 };
-const LIMITS: ColdLimits = ColdLimits { overshoot: 1.5, slack: 5.0 };
-/// Requests in one second that follow from these.
-const BOUND: u32 = 38;
-/// Pause between two requests of one daemon.
-const REQUEST_PACE: Duration = Duration::from_millis(50);
+/// Duration of a cold start and request rate of a cold engine.
+const COLD_RULES: ColdRules = ColdRules { lasts: Duration::from_secs(3), requests_per_s: 22.0 };
+const COLD_LIMITS: ColdLimits = ColdLimits { overshoot: 1.5, slack: 5.0 };
+/// Maximum number of requests to a cold engine within one second: 22 * 1.5 + 5.
+const MAX_REQUESTS_PER_SECOND: u32 = 38;
+/// Interval between two requests of one daemon.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 fn declarations() -> Declarations {
     let rules = EngineRules { slots: 128, token_memory: 500_000 };
-    let stage = StageRules::published(PoolKind::Engine(rules), None).cold(Some(COLD));
+    let stage = StageRules::published(PoolKind::Engine(rules), None).cold(Some(COLD_RULES));
     DeclarationsBuilder::new("test", Duration::from_secs(1)).stage("reader", stage).build()
 }
 
@@ -58,11 +59,12 @@
     (0..daemons).map(|index| format!("entry-{index}")).collect()
 }
 
-/// The router of the daemon at `index` of `names`, before the engine `old`, which is warm.
+/// Creates the router of the daemon at `index` of `names`, with the warm engine `old` as its only
+/// upstream.
 fn router(names: &[String], index: usize) -> UpstreamRouter {
     let limiter = RateLimiter::default();
     limiter.set_share(RateShare::new(&names[index], names.iter().map(String::as_str)));
-    let router = UpstreamRouter::new("a", index as u64).cold_limits(LIMITS);
+    let router = UpstreamRouter::new("a", index as u64).cold_limits(COLD_LIMITS);
     let router = router.limiter(Arc::new(limiter));
     router.set_daemons(names.len());
     router.reconfigured(&declarations(), &directory(1, &["old"]), MonotonicTime::from_millis(0))
@@ -82,19 +84,19 @@
     }
 }
 
-/// Most of `times` within one second.
-fn most_in_a_second(mut times: Vec<MonotonicTime>) -> usize {
+/// Returns the largest number of `times` that lie within one second.
+fn max_within_one_second(mut times: Vec<MonotonicTime>) -> usize {
     times.sort_unstable();
     let second = Duration::from_secs(1);
-    let from = |index: usize| {
+    let count_from = |index: usize| {
         times[index..].iter().take_while(|each| each.since(times[index]) < second).count()
     };
-    (0..times.len()).map(from).max().unwrap_or_default()
+    (0..times.len()).map(count_from).max().unwrap_or_default()
 }
 
-/// Guards against daemons whose shares come to more than the bound, in fleets of any size.
+/// Guards against rate shares of the daemons whose sum exceeds the limit, in fleets of any size.
 #[test]
-fn shares_of_all_daemons_come_to_the_bound_at_most() {
+fn shares_of_all_daemons_sum_to_at_most_the_limit() {
     for daemons in [1, 3, 6, 20, 37, 38, 39, 74, 195, 410] {
         let names = names(daemons);
         let shares: Vec<RateShare> = names
@@ -103,32 +105,42 @@
             .collect();
         for upstream in 0..100_u64 {
             let hash = upstream.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let sum: u32 = shares.iter().map(|share| share.request_share(hash, BOUND)).sum();
-            assert!(sum <= BOUND, "{daemons} daemons, upstream {upstream}: {sum}");
-            assert!(sum > BOUND / 2, "{daemons} daemons, upstream {upstream}: {sum} only");
+            let sum: u32 =
+                shares.iter().map(|share| share.request_share(hash, MAX_REQUESTS_PER_SECOND)).sum();
+            assert!(
+                sum <= MAX_REQUESTS_PER_SECOND,
+                "{daemons} daemons, upstream {upstream}: shares sum to {sum}, above the limit"
+            );
+            assert!(
+                sum > MAX_REQUESTS_PER_SECOND / 2,
+                "{daemons} daemons, upstream {upstream}: shares sum to {sum}, half the limit or less"
+            );
         }
     }
 }
 
-/// Guards against a daemon that takes a larger share because it knows daemons that others don't.
+/// Guards against a daemon that uses a larger share because it knows more daemons than others.
 #[test]
-fn knowing_more_daemons_never_raises_a_share() {
+fn knowing_more_daemons_never_increases_a_share() {
     let names = names(120);
     for upstream in 0..200_u64 {
         let share = |known: usize| {
             RateShare::new(&names[0], names[..known].iter().map(String::as_str))
-                .request_share(upstream, BOUND)
+                .request_share(upstream, MAX_REQUESTS_PER_SECOND)
         };
         for known in 1..120 {
-            assert!(share(known + 1) <= share(known), "{known} known, upstream {upstream}");
+            assert!(
+                share(known + 1) <= share(known),
+                "share grew from {known} known daemons to one more, upstream {upstream}"
+            );
         }
     }
 }
 
-/// Guards against a herd: every daemon has more requests than it can place, and an engine starts. Each
-/// request is written as late after its choice as it may be, or at once.
+/// Guards against a thundering herd on an engine that starts while every daemon has more requests
+/// than it can send. Each request is written either at once or after the longest possible delay.
 #[test]
-fn longest_delays_of_all_daemons_keep_the_bound() {
+fn delayed_writes_of_all_daemons_stay_within_the_limit() {
     for daemons in [6, 74, 410] {
         let names = names(daemons);
         let mut random = SmallRng::seed_from_u64(daemons as u64);
@@ -140,25 +152,28 @@
             let router = router(&names, index).reconfigured(&declarations(), &list, start);
             let mut now = start;
             for number in 0..50 {
-                now = now + REQUEST_PACE;
+                now = now + REQUEST_INTERVAL;
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
-                if grant.upstream.starts_with("new") && now.since(start) < COLD.lasts {
-                    let late = random.random_bool(0.5);
-                    writes.push(if late { now + CONNECT_TIMEOUT } else { now });
+                if grant.upstream.starts_with("new") && now.since(start) < COLD_RULES.lasts {
+                    let is_delayed = random.random_bool(0.5);
+                    writes.push(if is_delayed { now + CONNECT_TIMEOUT } else { now });
                 }
                 router.release(&grant.upstream, grant.request.call, AttemptReport::Unmeasured, now);
             }
         }
-        let most = most_in_a_second(writes);
-        assert!(most <= BOUND as usize, "{daemons} daemons: {most}");
-        assert!(most > 0, "{daemons} daemons: an engine that nobody calls");
+        let max_requests = max_within_one_second(writes);
+        assert!(
+            max_requests <= MAX_REQUESTS_PER_SECOND as usize,
+            "{daemons} daemons: {max_requests} requests within one second exceed the limit"
+        );
+        assert!(max_requests > 0, "{daemons} daemons: the cold engine got no request");
     }
 }
 
-/// Guards against a request that waits, is handed to a cold engine as soon as that has room, and is not
-/// counted there.
+/// Guards against requests from the queue that are not counted against the limit of a cold engine.
+/// They are granted when a slot becomes free, not when they arrive.
 #[test]
-fn waiting_requests_keep_the_bound() {
+fn queued_requests_stay_within_the_limit() {
     let names = names(74);
     let start = MonotonicTime::from_millis(10_000);
     let mut sent = 0;
@@ -172,36 +187,48 @@
         }
         sent += router.serve_all_waiting(start + Duration::from_millis(900)).len();
     }
-    assert!(sent <= BOUND as usize, "{sent}");
+    assert!(
+        sent <= MAX_REQUESTS_PER_SECOND as usize,
+        "expected at most {MAX_REQUESTS_PER_SECOND} requests, got {sent}"
+    );
 }
 
-/// Guards against requests of a daemon that has just started: others may not know it, or it them.
+/// Guards against requests that exceed the limit because a new daemon takes a share. It may not
+/// know all daemons yet, and the others may not know it.
 #[test]
-fn daemon_that_has_started_sends_nothing_to_cold_upstreams() {
+fn daemon_with_withheld_share_sends_nothing_to_cold_upstreams() {
     let share = RateShare::new("entry-0", std::iter::empty()).withheld(true);
-    assert_eq!(share.request_share(7, BOUND), 0);
+    assert_eq!(share.request_share(7, MAX_REQUESTS_PER_SECOND), 0);
 }
 
-/// Guards against an engine that crashed and starts again under its id and address, before that is
-/// published.
+/// Guards against too many requests to an engine that crashed and restarted under the same id and
+/// address, before the restart is published.
 #[test]
-fn engine_that_failed_may_have_started_again() {
+fn failed_engine_is_limited_as_if_it_had_restarted() {
     let names = names(6);
     let router = router(&names, 0);
     let now = MonotonicTime::from_millis(10_000);
-    let grant = router.acquire(request(1, now), now).ok().flatten().expect("a warm engine");
+    let grant = router
+        .acquire(request(1, now), now)
+        .ok()
+        .flatten()
+        .expect("the warm engine has a free slot");
     router.release(&grant.upstream, grant.request.call, AttemptReport::Failed, now);
     let granted = (2..40).filter(|number| {
         router.acquire(request(*number, now), now).is_ok_and(|grant| grant.is_some())
     });
-    assert!(granted.count() < BOUND as usize / 6, "of its share, one is used up");
-    let later = now + COLD.lasts;
+    assert!(
+        granted.count() < MAX_REQUESTS_PER_SECOND as usize / 6,
+        "the daemon has a sixth of {MAX_REQUESTS_PER_SECOND} requests, and has used one"
+    );
+    let later = now + COLD_RULES.lasts;
     assert!(router.acquire(request(90, later), later).is_ok_and(|grant| grant.is_some()));
 }
 
-/// Guards against limits on engines that were there before a daemon started: it knows of no start.
+/// Guards against limits on engines that were running before the daemon started. The first list of
+/// upstreams is no evidence that any of them has just started.
 #[test]
-fn first_list_names_no_engine_that_may_have_started() {
+fn engines_of_the_first_directory_are_not_limited() {
     let names = names(6);
     let router = router(&names, 0);
     let now = MonotonicTime::from_millis(0);
@@ -211,14 +238,15 @@
     assert_eq!(granted.count(), 40);
 }
 
-/// Guards against an engine that publishes that it is cold again, without another start.
+/// Guards against too many requests to an engine that becomes cold again without a restart, and
+/// publishes it.
 #[test]
-fn engine_that_turns_cold_again_is_spared_by_daemons_and_their_peers() {
+fn engine_that_becomes_cold_again_is_limited_by_daemons_and_their_peers() {
     let mut known = directory(1, &["old"]);
     let now = MonotonicTime::from_millis(10_000);
     let cold = ColdUpstream { name: entry("old").1.name(), remaining: Duration::from_secs(2) };
     assert!(known.record_cold(vec![cold.clone()], now));
-    assert!(!known.record_cold(vec![cold.clone()], now), "that is no news");
+    assert!(!known.record_cold(vec![cold.clone()], now), "a repeated report changes nothing");
     let mut peer = directory(1, &["old"]);
     assert!(peer.merge(known.snapshot(now + Duration::from_secs(1)), now));
     for (list, until) in [(known, 12_000), (peer, 11_000)] {
@@ -231,10 +259,10 @@
     }
 }
 
-/// Guards against a part of the fleet that forgets the daemons which it can't reach, and shares what an
-/// engine takes among the rest.
+/// Guards against a partition in which daemons drop unreachable peers and divide the limit of an
+/// engine among the rest only. The other side of the partition still uses its shares.
 #[test]
-fn daemons_that_cannot_be_reached_keep_their_share() {
+fn unreachable_daemons_keep_their_share() {
     let mut known = KnownDaemons::default();
     let (all, reachable) = (names(74), names(50));
     assert!(known.note(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
@@ -245,35 +273,44 @@
     }
 }
 
-/// Guards against daemons that share by fewer members than there are, once they have settled.
+/// Guards against shares that are too large because a daemon counts fewer daemons than exist, after
+/// the membership has converged.
 #[test]
-fn settled_daemons_know_each_other() {
+fn daemons_know_each_other_after_convergence() {
     for size in [6, 74, 250] {
         let mut fleet = VirtualFleet::new(size);
         fleet.run(Duration::from_millis(4_100));
         for core in &fleet.cores {
-            assert_eq!(core.dump(fleet.now).sharing_daemons, size, "{size} daemons");
+            assert_eq!(
+                core.dump(fleet.now).sharing_daemons,
+                size,
+                "{size} daemons, after the start"
+            );
         }
         for index in 0..size / 2 {
             fleet.restart(index);
         }
         fleet.run(Duration::from_millis(8_500));
         for core in &fleet.cores {
-            assert_eq!(core.dump(fleet.now).sharing_daemons, size, "half of {size} restarted");
+            assert_eq!(
+                core.dump(fleet.now).sharing_daemons,
+                size,
+                "{size} daemons, after half of them restarted"
+            );
         }
     }
 }
 
-/// Guards against engines of zones that were evacuated all at once, and are opened cold: the pool was empty,
-/// but its engines were known.
+/// Guards against too many requests to engines that return cold after the evacuation of all their
+/// availability zones. The daemon knew these engines before the pool became empty.
 #[test]
-fn engines_of_an_emptied_pool_may_have_started_again() {
+fn engines_that_return_to_an_empty_pool_are_limited() {
     let names = names(74);
     let now = MonotonicTime::from_millis(10_000);
-    let empty = router(&names, 0).reconfigured(&declarations(), &directory(2, &[]), now);
-    let opened = empty.reconfigured(&declarations(), &directory(3, &["old"]), now);
+    let emptied = router(&names, 0).reconfigured(&declarations(), &directory(2, &[]), now);
+    let reopened = emptied.reconfigured(&declarations(), &directory(3, &["old"]), now);
     let granted = (0..40).filter(|number| {
-        opened.acquire(request(*number, now), now).is_ok_and(|grant| grant.is_some())
+        reopened.acquire(request(*number, now), now).is_ok_and(|grant| grant.is_some())
     });
     assert!(granted.count() <= 1);
 }
