--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -1,9 +1,9 @@
-//! How old the configuration may be where a request is admitted by it.
+//! Tests of the maximum age of the configuration under which a request is admitted.
 //!
-//! What a user would see: an access key that the operator took away lets requests in for seconds more,
-//! and one that was given is refused. How it comes: a watch of the configuration goes silent, or the
-//! peer that would tell of the change does, or this process gets no processor; the daemon holds what it
-//! knows for the latest. Cause: nothing asked how old that is where a request was judged by it.
+//! Guards against revoked access keys that admit requests for seconds, and against new keys that
+//! are refused. This happens if the watch of the configuration or the peer that reads it falls
+//! silent, or if this process gets no CPU time, while the daemon assumes that its own copy is
+//! current. So a daemon must check the age of its configuration for each request.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -21,29 +21,33 @@
 use forward_daemon::{Daemon, KEY, WITHOUT_KEYS};
 use reader_answer::answer_of_reader;
 
-/// Times from the acknowledgement of a configuration until requests must be judged by it: those that
-/// the users state, and half of the shortest.
-const CONFIGURATION_BOUNDS_MS: [u64; 4] = [1_000, 2_000, 3_000, 4_000];
-/// Longest answer of a platform that is in order.
-const READING: Duration = Duration::from_millis(390);
-/// Longest answer of a peer, after which it counts as lost.
-const ANSWER: Duration = Duration::from_millis(790);
-/// Pause between two requests.
-const REQUEST_PACE: u64 = 10;
+/// Limits on the time from the acknowledgement of a configuration to the first request that must be
+/// handled under it: those that users require, and half of the shortest of these.
+const CONFIGURATION_LIMITS_MS: [u64; 4] = [1_000, 2_000, 3_000, 4_000];
+/// Longest response time of a healthy platform.
+const PLATFORM_RESPONSE_TIME: Duration = Duration::from_millis(390);
+/// Longest response time of a peer. After a longer one, the response counts as lost.
+const PEER_RESPONSE_TIME: Duration = Duration::from_millis(790);
+/// Interval between two requests, in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 10;
 
-/// Sends requests with a key until `until`, and answers readings that take [`READING`]; the key is
-/// gone from those that began after `removal`. Returns when the last request was let in.
-fn last_request_let_in(
+/// Sends requests with an access key until `end`, and answers each read of the platform after
+/// [`PLATFORM_RESPONSE_TIME`]. Reads that begin at `removal` or later find the key revoked. Returns
+/// the time at which the last request was admitted.
+fn last_admission_time(
     daemon: &mut Daemon,
     removal: MonotonicTime,
-    until: MonotonicTime,
+    end: MonotonicTime,
 ) -> Option<MonotonicTime> {
     let mut last = None;
-    while daemon.now < until {
-        daemon.advance(REQUEST_PACE);
-        if let Some(began) = daemon.readings.first().filter(|began| daemon.now >= **began + READING)
+    while daemon.now < end {
+        daemon.advance(REQUEST_INTERVAL_MS);
+        if let Some(read_start) = daemon
+            .readings
+            .first()
+            .filter(|read_start| daemon.now >= **read_start + PLATFORM_RESPONSE_TIME)
         {
-            if *began >= removal {
+            if *read_start >= removal {
                 daemon.configuration = (2, WITHOUT_KEYS.to_owned());
             }
             daemon.publish(&["n1", "n2"], &[]);
@@ -60,73 +64,93 @@
     last
 }
 
-/// The operator takes a key away right after the daemon that reads for this one has read and answered
-/// a heartbeat. That answer is under way for as long as one may be, then that daemon falls silent, and
-/// so has this one's watch. It must notice, read by itself, and have an answer that takes as long as
-/// one may.
+/// Guards against a revoked key that admits requests for longer than the limit, if all delays are
+/// as long as possible. The key is revoked right after the peer that reads the platform has read it
+/// and answered a heartbeat. That answer takes as long as it may, and then the peer and the watch
+/// fall silent. The daemon must notice, and read the platform itself, which takes as long as it
+/// may.
 #[test]
-fn longest_times_of_a_configuration_add_up_to_less_than_the_bound() {
-    for bound in CONFIGURATION_BOUNDS_MS.map(Duration::from_millis) {
-        let worst =
-            worst_time(StalenessBounds { configuration: bound, ..StalenessBounds::default() });
-        assert!(worst < bound, "let in {worst:?} after the key was taken away, {bound:?} allowed");
-        let notice = StalenessBounds {
+fn longest_delays_of_a_configuration_change_stay_within_the_limit() {
+    for bound in CONFIGURATION_LIMITS_MS.map(Duration::from_millis) {
+        let max_delay = max_admission_delay(StalenessBounds {
+            configuration: bound,
+            ..StalenessBounds::default()
+        });
+        assert!(
+            max_delay < bound,
+            "a request was admitted {max_delay:?} after the key was revoked, limit {bound:?}"
+        );
+        let shorter_notice_bounds = StalenessBounds {
             notice: bound,
             configuration: bound * 2,
             evacuation: bound * 2,
             recovery_time: bound * 2,
         };
-        assert!(worst_time(notice) < bound, "the other bound is the shorter one");
+        assert!(
+            max_admission_delay(shorter_notice_bounds) < bound,
+            "the age of the configuration must keep the shorter limit, {bound:?}"
+        );
     }
 }
 
-/// Longest time from the removal of a key to the last request that was let in with it.
-fn worst_time(bounds: StalenessBounds) -> Duration {
+/// Returns the longest time from the revocation of a key to the last request admitted with it.
+fn max_admission_delay(bounds: StalenessBounds) -> Duration {
     let shortest = bounds.configuration.min(bounds.notice).as_millis() as u64;
-    let mut worst = Duration::ZERO;
+    let mut max_delay = Duration::ZERO;
     for offset in 0..50 {
         let mut daemon = Daemon::with_bounds(bounds);
         daemon.publish(&["n1", "n2"], &[]);
-        let known = daemon.core.dump(daemon.now);
-        let position = (known.revision, known.directory_revision);
+        let state = daemon.core.dump(daemon.now);
+        let position = (state.revision, state.directory_revision);
         daemon.feed(answer_of_reader(position, daemon.now));
         daemon.advance(100);
         daemon.feed(answer_of_reader(position, daemon.now));
         daemon.advance(offset * shortest / 200);
-        assert!(daemon.readings.is_empty(), "the peer reads");
+        assert!(
+            daemon.readings.is_empty(),
+            "the daemon must not read the platform while its peer does"
+        );
         let removal = daemon.now;
-        let answered = last_request_let_in(&mut daemon, removal, removal + ANSWER);
+        let last_before_answer =
+            last_admission_time(&mut daemon, removal, removal + PEER_RESPONSE_TIME);
         daemon.feed(answer_of_reader(position, removal));
-        let until = removal + Duration::from_secs(6);
-        let last = last_request_let_in(&mut daemon, removal, until).max(answered);
-        worst = worst.max(last.map_or(Duration::ZERO, |last| last.since(removal)));
+        let end = removal + Duration::from_secs(6);
+        let last = last_admission_time(&mut daemon, removal, end).max(last_before_answer);
+        max_delay = max_delay.max(last.map_or(Duration::ZERO, |last| last.since(removal)));
     }
-    let least = bounds.configuration.min(bounds.notice) / 4;
-    assert!(worst > least, "the change came too early to be missed: {worst:?}");
-    worst
+    let min_expected_delay = bounds.configuration.min(bounds.notice) / 4;
+    assert!(
+        max_delay > min_expected_delay,
+        "expected admissions for over {min_expected_delay:?}, got {max_delay:?}"
+    );
+    max_delay
 }
 
-/// A process gets no processor for three seconds, in which the operator takes a key away. The first
-/// thing that it finds is a request with that key: it must read before it judges.
+/// Guards against a revoked key that admits a request after a pause of the process. The key is
+/// revoked while the process gets no CPU time for three seconds. The first event afterwards is a
+/// request with that key, so the daemon must read the platform before it admits the request.
 #[test]
-fn daemon_that_wakes_reads_before_it_lets_in() {
+fn resumed_daemon_reads_the_platform_before_it_admits() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(100);
     daemon.now = daemon.now + Duration::from_secs(3);
     let call = daemon.submit("/ask/it");
-    assert_eq!(daemon.readings.len(), 1, "what is published is read at once");
+    assert_eq!(daemon.readings.len(), 1, "the daemon must start one read of the platform at once");
     daemon.advance(20);
     daemon.configuration = (2, WITHOUT_KEYS.to_owned());
     daemon.publish(&["n1", "n2"], &[]);
-    assert!(daemon.relays.is_empty(), "let in by a configuration that is 3.1 s old");
+    assert!(
+        daemon.relays.is_empty(),
+        "the request was admitted under a configuration that is 3.1 s old"
+    );
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::NoAccess))));
 }
 
-/// The same, the other way round: a request with a key that was given meanwhile must not be refused by
-/// what was in force before.
+/// Guards against a new key that is refused after a pause of the process. The key is added during
+/// the pause, and the daemon still has the configuration from before it.
 #[test]
-fn daemon_that_wakes_reads_before_it_refuses() {
+fn resumed_daemon_reads_the_platform_before_it_refuses() {
     let mut daemon = Daemon::new();
     daemon.configuration = (2, WITHOUT_KEYS.to_owned());
     daemon.feed(DaemonEvent::ConfigurationWatched(Some(daemon.configuration.clone())));
@@ -134,32 +158,42 @@
     daemon.advance(100);
     daemon.now = daemon.now + Duration::from_secs(3);
     let call = daemon.submit("/ask/it");
-    assert_eq!(daemon.answer(call), None, "refused by a configuration that is 3.1 s old");
+    assert_eq!(
+        daemon.answer(call),
+        None,
+        "the request was refused under a configuration that is 3.1 s old"
+    );
     daemon.advance(20);
     daemon.configuration = (3, "first".to_owned());
     daemon.publish(&["n1", "n2"], &[]);
     assert_eq!(daemon.relays.len(), 1);
 }
 
-/// Time that a request waits for the reading is its own: its deadline runs from when it came.
+/// Guards against a deadline that is extended by the wait for a read of the platform. The deadline
+/// counts from the arrival of the request.
 #[test]
-fn waiting_for_the_reading_uses_the_time_of_the_request() {
+fn wait_for_a_platform_read_counts_against_the_deadline() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(100);
     daemon.now = daemon.now + Duration::from_secs(3);
-    let came = daemon.now;
+    let arrival = daemon.now;
     daemon.submit("/ask/it");
     daemon.advance(300);
     daemon.publish(&["n1", "n2"], &[]);
     let relay = daemon.last_relay();
-    assert!(relay.expires <= came + daemon.deadline, "{:?}", relay.expires.since(came));
+    assert!(
+        relay.expires <= arrival + daemon.deadline,
+        "the request expires {:?} after its arrival",
+        relay.expires.since(arrival)
+    );
 }
 
-/// Two threads: one takes requests while what is published is being read, the other one takes the
-/// answer. A request that was put aside just as the others went on waited until its deadline.
+/// Guards against a held request that waits until its deadline because of a race. One thread
+/// accepts requests and holds them during a read of the platform. The other thread handles the
+/// response and releases the held requests, and can miss one that is added at that moment.
 #[test]
-fn requests_that_are_put_aside_as_others_go_on_are_not_forgotten() {
+fn requests_held_while_others_are_released_are_released_too() {
     const REQUESTS: usize = 12;
     for round in 0..4_000 {
         let mut daemon = Daemon::new();
@@ -187,6 +221,9 @@
             });
             threads.into_iter().map(|thread| thread.join().expect("no thread panics")).sum()
         });
-        assert_eq!(sent, REQUESTS, "round {round}: requests wait, and the list is young");
+        assert_eq!(
+            sent, REQUESTS,
+            "round {round}: requests are still held after the read of the platform"
+        );
     }
 }
