--- a/crates/crocusdale_core/tests/connection_share_test.rs
+++ b/crates/crocusdale_core/tests/connection_share_test.rs
@@ -1,4 +1,4 @@
-//! How many connections to an upstream a daemon keeps.
+//! Tests of the number of idle connections that a daemon keeps open to an upstream.
 
 use std::time::Duration;
 
@@ -6,8 +6,9 @@
 use crocusdale_core::identity::{CallId, MonotonicTime};
 use crocusdale_core::routing::{DirectoryEntry, SlotRequest, UpstreamDirectory, UpstreamRouter};
 
-/// Connections kept to an upstream that takes `declared`, by each of `daemons`.
-fn kept(declared: Option<u32>, daemons: usize) -> usize {
+/// Returns the maximum number of idle connections that each of `daemons` daemons keeps open to an
+/// upstream with a concurrency limit of `declared`. `None` declares no limit.
+fn max_idle_connections_per_daemon(declared: Option<u32>, daemons: usize) -> usize {
     let stage = StageRules::published(PoolKind::Plain, declared);
     let declarations =
         DeclarationsBuilder::new("test", Duration::from_secs(1)).stage("desk", stage).build();
@@ -40,18 +41,26 @@
         home_regions: HomeRegions::default(),
     };
     let grant = router.acquire(request, MonotonicTime::from_millis(0));
-    grant.expect("the pool is there").expect("a place is free").max_idle_connections
+    grant.expect("the pool exists").expect("the upstream has a free slot").max_idle_connections
 }
 
-// Sixty daemons keep a few idle connections each to an upstream that takes a hundred from all. The
-// next that is opened is reset with an order on it that nobody may repeat: its caller never learns
-// whether it ran. What all keep together must leave half of the places free.
+// Guards against connections that an upstream resets because idle connections use up its limit.
+// Sixty daemons with a few idle connections each exhaust an upstream that accepts a hundred in
+// total. A request on the next connection is reset, and if it must not be repeated, its caller
+// never learns whether it ran. All idle connections together may use half of the limit.
 #[test]
-fn idle_connections_leave_room_for_those_in_use() {
+fn idle_connections_use_at_most_half_of_the_declared_limit() {
     for (declared, daemons) in [(100, 60), (180, 60), (48, 6), (96, 6), (480, 83)] {
-        let all = kept(Some(declared), daemons) * daemons;
-        assert!(all <= declared as usize / 2, "{all} of {declared} by {daemons} daemons");
+        let total = max_idle_connections_per_daemon(Some(declared), daemons) * daemons;
+        assert!(
+            total <= declared as usize / 2,
+            "{daemons} daemons keep {total} idle connections, more than half of {declared}"
+        );
     }
-    assert_eq!(kept(Some(48), 6), 4);
-    assert_eq!(kept(None, 60), usize::MAX, "nothing is declared");
+    assert_eq!(max_idle_connections_per_daemon(Some(48), 6), 4);
+    assert_eq!(
+        max_idle_connections_per_daemon(None, 60),
+        usize::MAX,
+        "an upstream without a declared limit has no limit on idle connections"
+    );
 }
