--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -1,4 +1,5 @@
-//! A fleet before plain upstreams, one of which names how many requests a second it takes.
+//! Test support: daemons that forward requests to plain upstreams, one of which announces a limit
+//! on its request rate.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -18,50 +19,52 @@
 use super::forward_daemon::{HOST, KEY, read};
 use super::support::virtual_fleet::VirtualFleet;
 
-/// Length of the windows in which requests to a limited upstream are counted.
-const WINDOW: Duration = Duration::from_secs(4);
-/// Requests in a window, as a multiple of what the named rate allows.
-const OVERSHOOT: f64 = 1.5;
-/// Requests in a window besides.
-const SLACK: f64 = 5.0;
-/// Time from an answer that names a rate until the daemon that passed it on is bound by it.
+/// Length of the sliding window in which requests to the rate-limited upstream are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(4);
+/// Maximum number of requests in a window, as a multiple of the announced rate.
+const MAX_OVERSHOOT: f64 = 1.5;
+/// Number of requests in a window that are allowed in addition.
+const EXTRA_REQUESTS: f64 = 5.0;
+/// Time after a response with a rate limit from which on the daemon that received it must keep the
+/// limit.
 pub const TOLD_BOUND: Duration = Duration::from_millis(500);
-/// Time of an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(20);
-/// Step of the clock.
+/// Response time of the upstreams.
+const RESPONSE_TIME: Duration = Duration::from_millis(20);
+/// Step of the virtual clock.
 const STEP: Duration = Duration::from_millis(10);
-/// Time in which a fleet learns what is published.
-const START: Duration = Duration::from_secs(5);
-/// Name of the upstream that names a rate.
+/// Time after the start in which all daemons learn the published upstreams.
+const STARTUP_TIME: Duration = Duration::from_secs(5);
+/// Identifier of the upstream that announces a rate limit.
 pub const LIMITED: &str = "n1";
 
-/// What happens to an attempt next.
+/// Next event of an attempt.
 enum AttemptStep {
     Arrive(ForwardOrder),
     Answer { order: ForwardOrder, rate: Option<RequestRate>, written: MonotonicTime },
 }
 
-/// A request that reached the upstream.
+/// Arrival of a request at the rate-limited upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamArrival {
     pub at: MonotonicTime,
     pub daemon: usize,
 }
 
-/// Daemons with callers, before the upstream [`LIMITED`] and others.
+/// Daemons that receive requests at random, and forward them to [`LIMITED`] and other upstreams.
 pub struct LimitedUpstream {
     pub fleet: VirtualFleet,
-    /// Rate that the upstream names now.
+    /// Rate limit that the upstream announces in each response, or `None` for no limit.
     pub rate: Option<RequestRate>,
-    /// Whether each request is written as late after its choice as it may be.
+    /// Whether each request is written [`CONNECT_TIMEOUT`] after its upstream was chosen, which is
+    /// the longest possible delay.
     pub writes_are_late: bool,
-    /// Requests that reached the upstream.
+    /// Requests that have arrived at the rate-limited upstream.
     pub arrivals: Vec<UpstreamArrival>,
-    /// When an answer first named a rate, and to which daemons.
+    /// Time of the first response with a rate limit, by the index of the daemon that received it.
     pub told: HashMap<usize, MonotonicTime>,
-    /// Requests that callers send a second, over all daemons.
+    /// Requests per second that callers send to all daemons together.
     pub load: f64,
-    /// Name of the upstream's life.
+    /// Name of the upstream's first process.
     name: String,
     random: SmallRng,
     steps: BTreeMap<(MonotonicTime, u64), (usize, AttemptStep)>,
@@ -70,13 +73,13 @@
 }
 
 impl LimitedUpstream {
-    /// A fleet of `size` daemons before [`LIMITED`] and `others` further upstreams.
+    /// Creates `size` daemons that use [`LIMITED`] and `others` further upstreams.
     pub fn new(size: usize, others: usize, seed: u64) -> Self {
         let mut fleet = VirtualFleet::with_reader(size, 3, StalenessBounds::default(), read);
         let names = std::iter::once(LIMITED.to_owned());
         let names = names.chain((0..others).map(|index| format!("m{index}")));
         fleet.published = (2, names.map(|id| (2, entry(&id))).collect());
-        fleet.run(START);
+        fleet.run(STARTUP_TIME);
         Self {
             fleet,
             rate: None,
@@ -92,23 +95,23 @@
         }
     }
 
-    /// Names `per_second` from now on.
+    /// Lets the upstream announce a limit of `per_second` requests per second from now on.
     pub fn name_rate(&mut self, per_second: f64) {
         self.rate = RequestRate::from_per_second(per_second);
     }
 
-    /// Has an answer of the upstream tell `daemon`.
+    /// Lets `daemon` receive `notice` in a response of the upstream.
     pub fn tell(&mut self, daemon: usize, notice: UpstreamNotice) {
         let (upstream, sent) = (self.name.clone(), self.fleet.now);
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
     }
 
-    /// Daemons that know that the upstream names a rate.
+    /// Number of daemons that know of the upstream's rate limit.
     pub fn knowing(&self) -> usize {
         self.fleet.cores.iter().filter(|core| core.is_limited(&self.name)).count()
     }
 
-    /// Ends the upstream and starts it again under its id.
+    /// Restarts the upstream under the same identifier.
     pub fn start_again(&mut self) {
         let (revision, entries) = &mut self.fleet.published;
         *revision += 1;
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Lets callers send requests for `time`.
+    /// Advances the virtual clock by `time`, in which callers send requests at the rate `load`.
     pub fn run(&mut self, time: Duration) {
         let end = self.fleet.now + time;
         while self.fleet.now < end {
@@ -129,12 +132,12 @@
                 let daemon = self.random.random_range(0..self.size);
                 self.submit(daemon);
             }
-            self.take_relays();
+            self.schedule_relays();
             self.advance(self.fleet.now + STEP);
         }
     }
 
-    /// A caller's request to `daemon`.
+    /// Submits a request to `daemon`.
     pub fn submit(&mut self, daemon: usize) {
         self.sequence += 1;
         let path = format!("/ask/{}", self.sequence);
@@ -160,7 +163,8 @@
         self.fleet.submit(daemon, request);
     }
 
-    /// Most requests in a window that ends at `from` or later, of those that `counts` holds for.
+    /// Largest number of requests in a window that ends at `from` or later. Only requests for which
+    /// `counts` returns true are counted.
     pub fn most_in_a_window(
         &self,
         from: MonotonicTime,
@@ -171,28 +175,29 @@
         times.sort_unstable();
         let ends = times.iter().filter(|end| **end >= from);
         let within = |end: &MonotonicTime| {
-            times.iter().filter(|at| **at <= *end && end.since(**at) < WINDOW).count()
+            times.iter().filter(|at| **at <= *end && end.since(**at) < RATE_WINDOW).count()
         };
         ends.map(within).max().unwrap_or_default()
     }
 
-    /// Requests in a window ending at `from` or later, of daemons that had been told in time.
+    /// Largest number of requests in a window that ends at `from` or later. Only requests of
+    /// daemons that had known the rate limit for [`TOLD_BOUND`] are counted.
     pub fn most_of_told(&self, from: MonotonicTime) -> usize {
         self.most_in_a_window(from, |arrival| {
             self.told.get(&arrival.daemon).is_some_and(|told| *told + TOLD_BOUND <= arrival.at)
         })
     }
 
-    /// Requests that reached the upstream a second, from `from` to now.
+    /// Requests per second that have arrived at the upstream since `from`.
     pub fn used(&self, from: MonotonicTime) -> f64 {
         let count = self.arrivals.iter().filter(|arrival| arrival.at >= from).count();
         count as f64 / self.fleet.now.since(from).as_secs_f64()
     }
 
-    fn take_relays(&mut self) {
+    fn schedule_relays(&mut self) {
         for (daemon, at, order) in std::mem::take(&mut self.fleet.relays) {
-            let late = if self.writes_are_late { CONNECT_TIMEOUT } else { Duration::ZERO };
-            self.push(at + late, daemon, AttemptStep::Arrive(order));
+            let write_delay = if self.writes_are_late { CONNECT_TIMEOUT } else { Duration::ZERO };
+            self.schedule(at + write_delay, daemon, AttemptStep::Arrive(order));
         }
     }
 
@@ -206,7 +211,7 @@
                     self.answer(daemon, &order, rate, written);
                 }
             }
-            self.take_relays();
+            self.schedule_relays();
         }
         self.fleet.run(until.since_start());
     }
@@ -218,7 +223,7 @@
         }
         let rate = self.rate.filter(|_| is_limited);
         let answer = AttemptStep::Answer { order, rate, written: at };
-        self.push(at + ANSWER_TIME, daemon, answer);
+        self.schedule(at + RESPONSE_TIME, daemon, answer);
     }
 
     fn answer(
@@ -243,18 +248,18 @@
         }
     }
 
-    fn push(&mut self, at: MonotonicTime, daemon: usize, step: AttemptStep) {
+    fn schedule(&mut self, at: MonotonicTime, daemon: usize, step: AttemptStep) {
         self.sequence += 1;
         self.steps.insert((at, self.sequence), (daemon, step));
     }
 }
 
-/// Requests in a window that a rate of `per_second` allows.
+/// Maximum number of requests in a window at a rate limit of `per_second`.
 pub fn allowed(per_second: f64) -> usize {
-    (per_second * WINDOW.as_secs_f64() * OVERSHOOT + SLACK) as usize
+    (per_second * RATE_WINDOW.as_secs_f64() * MAX_OVERSHOOT + EXTRA_REQUESTS) as usize
 }
 
-/// Published entry of the upstream `id`.
+/// Builds the published entry of the upstream `id`.
 pub fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
         id: id.to_owned(),
