--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -1,4 +1,5 @@
-//! Daemons without a VM list, in virtual time.
+//! Test support: a fleet of daemons on a virtual clock, which find each other through seed
+//! addresses instead of a VM list.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -18,38 +19,38 @@
 
 use super::{DECLARATIONS, vm_index, vm_name};
 
-/// One way between two daemons.
-const ONE_WAY: Duration = Duration::from_millis(2);
-/// Processes of a fleet start within this time of each other.
+/// Network latency between two daemons, one way.
+const ONE_WAY_LATENCY: Duration = Duration::from_millis(2);
+/// Time within which all daemons of a fleet start, in milliseconds.
 pub const START_SPREAD_MS: u64 = 300;
-/// Number of the first life of each process.
+/// Incarnation number of the first process of each daemon.
 pub const FIRST_LIFE: u64 = 1_000;
-/// Time of an answer of the platform: peers answer sooner.
-const PLATFORM_TIME: Duration = Duration::from_millis(40);
-/// Longest answer of a platform that is slow.
-const SLOW_PLATFORM_TIME: Duration = Duration::from_millis(390);
-/// Time after which an unreachable peer is given up.
-const SILENCE: Duration = Duration::from_millis(800);
-/// Longest look at an upstream: the time in which an ending process closes its sockets, and the patience
-/// with a connection that is opened.
-const LATE_PROBE: Duration = Duration::from_millis(310);
-/// Longest time for which a question is under way whose answer still counts.
+/// Response time of the platform. Peers respond faster.
+const PLATFORM_RESPONSE_TIME: Duration = Duration::from_millis(40);
+/// Longest response time of a slow platform.
+const MAX_PLATFORM_RESPONSE_TIME: Duration = Duration::from_millis(390);
+/// Time after which a heartbeat to an unreachable peer fails.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Longest duration of a probe of an upstream: the time in which an exiting process closes its
+/// sockets, and the connect timeout.
+const MAX_PROBE_TIME: Duration = Duration::from_millis(310);
+/// Longest latency of a heartbeat whose answer still counts.
 pub const LATE_QUESTION: Duration = Duration::from_millis(790);
-/// Time for which the platform holds a watch without news.
-const HOLD: Duration = Duration::from_secs(10);
-/// Availability zones, unless a test says otherwise.
-const ZONES: usize = 3;
-/// Seeds that each process knows.
-const SEEDS: usize = 3;
+/// Time after which the platform answers a watch of the configuration without a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Default number of availability zones.
+const DEFAULT_ZONE_COUNT: usize = 3;
+/// Number of seed addresses that each daemon knows.
+const SEED_COUNT: usize = 3;
 
 enum Delivery {
     Start,
     Timer(TimerKey),
-    Ask { from: usize, message: Box<ExchangeMessage>, sent: MonotonicTime },
+    Heartbeat { from: usize, message: Box<ExchangeMessage>, sent: MonotonicTime },
     Event(DaemonEvent),
 }
 
-/// Daemons that find each other through seeds; the platform answers at once.
+/// Daemons that find each other through seed addresses, with a simulated platform and network.
 pub struct VirtualFleet {
     pub now: MonotonicTime,
     pub cores: Vec<DaemonCore>,
@@ -58,51 +59,53 @@
     reader: DeclarationReader,
     queue: BTreeMap<(MonotonicTime, u64), (usize, Delivery)>,
     sequence: u64,
-    /// Records that were told, of all daemons.
+    /// Total number of member records that daemons have sent to each other.
     pub records: usize,
-    /// Published upstreams, and the revision of the last change.
+    /// Revision of the last change, and the published upstreams with the revision of each entry.
     pub published: (u64, Vec<(u64, DirectoryEntry)>),
-    /// Evacuated availability zones that the platform publishes, with the revisions of their requests.
+    /// Evacuated availability zones that the platform publishes, with the revision of each request.
     pub evacuations: Vec<(u64, String)>,
-    /// Times that the store came back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     pub era: u64,
-    /// Readings of what is published.
+    /// Number of reads of the list of published upstreams.
     pub reads: usize,
-    /// Watches of the configuration, each held for [`HOLD`].
+    /// Number of watches of the configuration that daemons have started.
     pub watches: usize,
-    /// Daemons that reach no other daemon, and are reached by none.
+    /// Daemons that are partitioned from all other daemons.
     pub cut_off: HashSet<usize>,
-    /// Daemons whose reads fail.
+    /// Daemons whose reads of the platform fail.
     pub turned_away: HashSet<usize>,
-    /// Draws how long answers of peers and of the platform are under way, if they are slow.
+    /// Random generator of response times. `None` means that peers and the platform respond in
+    /// their usual times.
     pub slowness: Option<SmallRng>,
-    /// Whether each question to a peer is under way for as long as a call of one may take.
+    /// Whether each heartbeat takes [`LATE_QUESTION`] to arrive, and each probe of an upstream
+    /// takes its longest duration.
     pub questions_are_late: bool,
-    /// Whether only daemons that read the platform hear and tell of crashes, so that nothing spreads by
-    /// the chance of heartbeats.
+    /// Whether only daemons that read the platform send and receive crash records and rate limits.
+    /// Otherwise random heartbeats could spread them faster than in the worst case.
     only_readers_tell: bool,
     readers: HashSet<usize>,
-    /// Upstreams that take no connections any more.
+    /// Upstreams that no longer accept connections.
     pub ended: HashSet<String>,
-    /// Entries of upstreams that daemons have told each other.
+    /// Total number of upstream entries that daemons have fetched from each other.
     pub told_entries: u64,
-    /// Requests that were passed to upstreams, by which daemon and when.
+    /// Requests that were forwarded to upstreams, with the daemon and the time of forwarding.
     pub relays: Vec<(usize, MonotonicTime, ForwardOrder)>,
-    /// Final answers, and the daemons that gave them.
+    /// Final answers, with the daemon that gave each of them and its call.
     pub answers: Vec<(usize, CallId, FinalAnswer)>,
 }
 
 impl VirtualFleet {
     pub fn new(size: usize) -> Self {
-        Self::in_zones(size, ZONES, StalenessBounds::default())
+        Self::in_zones(size, DEFAULT_ZONE_COUNT, StalenessBounds::default())
     }
 
-    /// A fleet in `zones` availability zones.
+    /// Creates a fleet in `zones` availability zones.
     pub fn in_zones(size: usize, zones: usize, bounds: StalenessBounds) -> Self {
         Self::with_reader(size, zones, bounds, Declarations::check)
     }
 
-    /// A fleet whose daemons read their configuration by `reader`.
+    /// Creates a fleet whose daemons parse their configuration with `reader`.
     pub fn with_reader(
         size: usize,
         zones: usize,
@@ -138,13 +141,15 @@
             answers: Vec::new(),
         };
         for index in 0..size {
-            // A fixed scatter over the spread: 7 is coprime to it.
+            // Distributes the start times over the spread. 7 is coprime to it, so that all offsets
+            // occur.
             let at = now + Duration::from_millis(index as u64 * 7 % START_SPREAD_MS);
             fleet.push(at, index, Delivery::Start);
         }
         fleet
     }
 
+    /// Advances the virtual clock to `until`, which counts from the start of the clock.
     pub fn run(&mut self, until: Duration) {
         let until = MonotonicTime::from_start(until);
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
@@ -155,19 +160,19 @@
         self.now = until;
     }
 
-    /// Ends a process and starts another one on its VM, at once.
+    /// Stops a daemon and starts a new process on its VM at once.
     pub fn restart(&mut self, index: usize) {
         self.restart_as(index, FIRST_LIFE + 1);
     }
 
-    /// Ends a process and starts another one on its VM, at once, which numbers its life `life`.
+    /// Stops a daemon and starts a new process with the incarnation `life` on its VM at once.
     pub fn restart_as(&mut self, index: usize, life: u64) {
         self.queue.retain(|_, (owner, _)| *owner != index);
         self.cores[index] = core(index, life, self.zones, self.bounds, self.reader, self.now);
         self.push(self.now, index, Delivery::Start);
     }
 
-    /// Members, itself included, that the daemon that knows fewest takes to serve.
+    /// Smallest number of members that any daemon regards as alive, itself included.
     pub fn fewest_known(&self) -> usize {
         let known = |core: &DaemonCore| {
             let members = core.dump(self.now).members;
@@ -176,7 +181,7 @@
         self.cores.iter().map(known).min().unwrap_or_default()
     }
 
-    /// Lives of the daemon `index`, as the others know it.
+    /// Incarnation of the daemon `index` that each other daemon knows, or 0 if it knows none.
     pub fn lives_of(&self, index: usize) -> Vec<u64> {
         let others = self.cores.iter().enumerate().filter(|(each, _)| *each != index);
         let known = |core: &DaemonCore| {
@@ -187,7 +192,7 @@
         others.map(|(_, core)| known(core)).collect()
     }
 
-    /// Daemons that know of the last change of the published upstreams.
+    /// Number of daemons that know the last change of the published upstreams.
     pub fn informed(&self) -> usize {
         let known = |core: &&DaemonCore| {
             let list = core.published_upstreams(self.now);
@@ -196,22 +201,24 @@
         self.cores.iter().filter(known).count()
     }
 
-    /// From now on only daemons that read the platform for others hear and tell of crashes.
+    /// From now on, only daemons that read the platform for others send and receive crash records
+    /// and rate limits.
     pub fn tell_by_readers_only(&mut self) {
-        // All daemons read when they start, and any may when answers are late.
+        // Records for one second which daemons read the platform. Earlier reads don't count: all
+        // daemons read it when they start, and any daemon may read it when answers are late.
         self.readers.clear();
         self.run(self.now.since_start() + Duration::from_secs(1));
         self.only_readers_tell = true;
     }
 
-    /// Gives a caller's request to a daemon.
+    /// Submits a caller's request to a daemon.
     pub fn submit(&mut self, index: usize, request: CallerRequest) -> CallId {
         let call = self.cores[index].open_call(&request.key);
         self.feed(index, DaemonEvent::Submitted { call, request: Box::new(request) });
         call
     }
 
-    /// Gives an event to a daemon.
+    /// Lets a daemon handle an event, and executes the resulting commands.
     pub fn feed(&mut self, index: usize, event: DaemonEvent) {
         self.deliver(index, Delivery::Event(event));
     }
@@ -225,14 +232,14 @@
                 core.handle(DaemonEvent::Timer(timer), self.now, &mut commands);
             }
             Delivery::Event(event) => core.handle(event, self.now, &mut commands),
-            Delivery::Ask { from, mut message, sent } => {
-                let is_mute = self.only_readers_tell && !self.readers.contains(&index);
-                if is_mute {
+            Delivery::Heartbeat { from, mut message, sent } => {
+                let is_filtered = self.only_readers_tell && !self.readers.contains(&index);
+                if is_filtered {
                     message.crashes.clear();
                     message.limits.clear();
                 }
                 let mut reply = core.exchange(&message, self.now, &mut commands);
-                if is_mute {
+                if is_filtered {
                     reply.crashes.clear();
                     reply.limits.clear();
                 }
@@ -241,25 +248,29 @@
                     message: Box::new(reply),
                     sent,
                 });
-                let delay = self.delay(ONE_WAY, SILENCE);
+                let delay = self.delay(ONE_WAY_LATENCY, HEARTBEAT_TIMEOUT);
                 self.push(self.now + delay, from, event);
             }
         }
         for command in commands {
-            self.carry_out(index, command);
+            self.execute(index, command);
         }
     }
 
-    fn carry_out(&mut self, index: usize, command: Command) {
+    fn execute(&mut self, index: usize, command: Command) {
         match command {
             Command::SetTimer { timer, at } => self.push(at, index, Delivery::Timer(timer)),
             Command::PingSeed { address, message } => {
                 let to = (0..self.cores.len()).find(|each| peer_address(*each) == address);
-                self.ask(index, to.expect("seeds are daemons"), message);
+                self.send_heartbeat(
+                    index,
+                    to.expect("each seed address belongs to a daemon"),
+                    message,
+                );
             }
             Command::SendHeartbeat { vm, message } => {
                 let to = vm_index(&vm);
-                self.ask(index, to, message);
+                self.send_heartbeat(index, to, message);
             }
             Command::ReadDirectory => {
                 self.reads += 1;
@@ -279,36 +290,36 @@
                         configuration,
                     }
                 };
-                let delay = self.delay(PLATFORM_TIME, SLOW_PLATFORM_TIME);
+                let delay = self.delay(PLATFORM_RESPONSE_TIME, MAX_PLATFORM_RESPONSE_TIME);
                 self.push(self.now + delay, index, Delivery::Event(event));
             }
             Command::WatchConfiguration { .. } => {
                 self.watches += 1;
                 let event = DaemonEvent::ConfigurationWatched(None);
-                self.push(self.now + HOLD, index, Delivery::Event(event));
+                self.push(self.now + WATCH_TIMEOUT, index, Delivery::Event(event));
             }
             Command::FetchDirectory { vm, known } => {
                 let to = vm_index(&vm);
-                let reached = self.reaches(index, to);
-                let list = reached.then(|| self.cores[to].published_since(known, self.now));
-                let told = list.as_ref().map_or(0, |list| list.entries.len());
-                self.told_entries += told as u64;
+                let is_reachable = self.can_reach(index, to);
+                let list = is_reachable.then(|| self.cores[to].published_since(known, self.now));
+                let entry_count = list.as_ref().map_or(0, |list| list.entries.len());
+                self.told_entries += entry_count as u64;
                 let event = Delivery::Event(DaemonEvent::DirectoryFetched(list));
-                self.push(self.now + ONE_WAY * 2, index, event);
+                self.push(self.now + ONE_WAY_LATENCY * 2, index, event);
             }
             Command::FetchConfiguration { vm, known } => {
                 let to = vm_index(&vm);
                 let newer = || self.cores[to].configuration_after(known);
-                let fetched = self.reaches(index, to).then(newer).flatten();
+                let fetched = self.can_reach(index, to).then(newer).flatten();
                 let fetched = fetched.map(|(revision, text)| (revision, text.to_string()));
                 let event = Delivery::Event(DaemonEvent::ConfigurationFetched(fetched));
-                self.push(self.now + ONE_WAY * 2, index, event);
+                self.push(self.now + ONE_WAY_LATENCY * 2, index, event);
             }
             Command::ProbeUpstream { upstream, .. } => {
-                let late = self.questions_are_late;
+                let is_late = self.questions_are_late;
                 let has_ended = self.ended.contains(&upstream);
                 let probed = DaemonEvent::UpstreamProbed { upstream, has_ended };
-                let time = if late { LATE_PROBE } else { ONE_WAY };
+                let time = if is_late { MAX_PROBE_TIME } else { ONE_WAY_LATENCY };
                 self.push(self.now + time, index, Delivery::Event(probed));
             }
             Command::Relay(order) => self.relays.push((index, self.now, order)),
@@ -317,25 +328,25 @@
         }
     }
 
-    /// Time of an answer that usually takes `usual`, and less than `most` if answers are slow.
+    /// Response time: `usual`, or a random time from `usual` to below `most` if responses are slow.
     fn delay(&mut self, usual: Duration, most: Duration) -> Duration {
         let Some(random) = &mut self.slowness else { return usual };
         random.random_range(usual..most)
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         !self.cut_off.contains(&from) && !self.cut_off.contains(&to)
     }
 
-    fn ask(&mut self, from: usize, to: usize, message: Box<ExchangeMessage>) {
-        if !self.reaches(from, to) {
+    fn send_heartbeat(&mut self, from: usize, to: usize, message: Box<ExchangeMessage>) {
+        if !self.can_reach(from, to) {
             let failed = Delivery::Event(DaemonEvent::HeartbeatFailed(vm_name(to)));
-            self.push(self.now + SILENCE, from, failed);
+            self.push(self.now + HEARTBEAT_TIMEOUT, from, failed);
             return;
         }
-        let question = Delivery::Ask { from, message, sent: self.now };
-        let way = if self.questions_are_late { LATE_QUESTION } else { ONE_WAY };
-        self.push(self.now + way, to, question);
+        let question = Delivery::Heartbeat { from, message, sent: self.now };
+        let latency = if self.questions_are_late { LATE_QUESTION } else { ONE_WAY_LATENCY };
+        self.push(self.now + latency, to, question);
     }
 
     fn push(&mut self, at: MonotonicTime, index: usize, delivery: Delivery) {
@@ -362,7 +373,7 @@
     let published = DiscoverySettings {
         place,
         regions: RegionMap::default(),
-        seeds: (0..SEEDS).map(peer_address).collect(),
+        seeds: (0..SEED_COUNT).map(peer_address).collect(),
         reader,
         retries: RetryLimits::default(),
         grace: Duration::from_secs(8),
@@ -374,6 +385,7 @@
 }
 
 fn peer_address(index: usize) -> SocketAddr {
-    let [high, low] = u16::try_from(index).expect("a small fleet").to_be_bytes();
+    let [high, low] =
+        u16::try_from(index).expect("the daemon index fits into 16 bits").to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 7_000))
 }
