--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon that passes callers' own requests on, with every message in the hands of a test.
+//! Test support: one daemon that forwards callers' requests, with simulated upstreams and platform.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,12 +25,14 @@
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
+/// Host name of all routes in the configuration.
 pub const HOST: &str = "mail.example";
-/// Text of a configuration in which the key of [`Daemon::submit`] is gone.
+/// Text of a configuration in which the access key [`KEY`] is revoked.
 pub const WITHOUT_KEYS: &str = "without keys";
-/// The key.
+/// Access key of the requests that [`Daemon::submit`] sends.
 pub const KEY: &str = "secret";
 
+/// Returns the fixed declarations under test, without [`KEY`] if `text` is [`WITHOUT_KEYS`].
 pub fn read(_: &str, text: &str) -> Result<Declarations, Vec<ConfigurationError>> {
     let stage = |kind| StageRules::published(kind, None);
     let batch = BatchRules {
@@ -85,7 +87,7 @@
     PipelineRules {
         name: repeat.to_string(),
         when: LabelSelector::default(),
-        plan: StagePlan::new(steps).expect("steps need earlier ones only"),
+        plan: StagePlan::new(steps).expect("each step depends only on earlier steps"),
         repeatable: repeat.is_repeatable(),
         forward: Some(ForwardRules {
             repeat,
@@ -100,7 +102,7 @@
     }
 }
 
-/// One daemon on a virtual clock, with every message in the hands of the test.
+/// One daemon on a virtual clock, with the commands that it has issued.
 pub struct Daemon {
     pub core: DaemonCore,
     pub now: MonotonicTime,
@@ -108,24 +110,24 @@
     pub sequence: u64,
     pub relays: Vec<ForwardOrder>,
     pub batches: Vec<BatchOrder>,
-    /// Results that upstreams were told to give up.
+    /// Results that the daemon has freed at their upstreams.
     pub freed: Vec<ResultHandle>,
-    /// Addresses of upstreams that were not told.
+    /// Addresses of the upstreams that were excluded from freeing results.
     pub spared: Vec<SocketAddr>,
     pub passed_on: Vec<AttemptId>,
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(CallId, FinalAnswer)>,
-    /// When readings of the published upstreams were begun that the test has not answered.
+    /// Start times of the reads of the platform that the test has not answered.
     pub readings: Vec<MonotonicTime>,
-    /// Upstreams of the pool "scan".
+    /// Published upstreams of the pool `scan`.
     pub stages: Vec<String>,
-    /// Upstreams that the daemon wants looked at.
+    /// Upstreams that the daemon has requested to probe.
     pub probes: Vec<String>,
     /// Evacuated availability zones that the platform publishes.
     pub evacuated: Vec<String>,
-    /// Upstreams that are cold, as the platform publishes them.
+    /// Cold upstreams that the platform publishes.
     pub cold: Vec<ColdUpstream>,
-    /// Deadline of the requests to come.
+    /// Deadline of new requests.
     pub deadline: Duration,
     /// Revision and text of the configuration that the platform publishes.
     pub configuration: (u64, String),
@@ -140,7 +142,7 @@
         Self::named("entry-a1", bounds)
     }
 
-    /// The daemon on `vm`, in its seventh life.
+    /// Creates the daemon on `vm`, with the incarnation number 7, and starts it until it is ready.
     pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
@@ -191,12 +193,14 @@
         daemon
     }
 
-    /// Publishes plain upstreams, some of which leave, beside two of each other pool.
+    /// Publishes the upstreams `plain` of the pool `notify`, those of the other pools, and which of
+    /// all these are leaving.
     pub fn publish(&mut self, plain: &[&str], leaving: &[&str]) {
-        // What answers a reading of long ago is as old as that, and the daemon reads again.
+        // An answer is as old as the read that it belongs to. If that is too old, the daemon reads
+        // again.
         loop {
             self.readings.clear();
-            let answer = self.answer_with(plain, leaving);
+            let answer = self.directory_read_event(plain, leaving);
             self.feed(answer);
             self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
             if self.readings.is_empty() {
@@ -205,18 +209,19 @@
         }
     }
 
-    /// Lets the daemon begin a reading, and returns the answer, in which no upstream leaves.
+    /// Lets the daemon start a read of the platform, and returns the answer to it, in which no
+    /// upstream is leaving.
     pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
         self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
-        assert_eq!(self.readings.len(), 1, "what is published is being read");
-        self.answer_with(plain, &[])
+        assert_eq!(self.readings.len(), 1, "the daemon must start one read of the platform");
+        self.directory_read_event(plain, &[])
     }
 
-    fn answer_with(&self, plain: &[&str], leaving: &[&str]) -> DaemonEvent {
-        let others = [("k1", "rank"), ("r1", "reader"), ("r2", "reader")];
+    fn directory_read_event(&self, plain: &[&str], leaving: &[&str]) -> DaemonEvent {
+        let other_upstreams = [("k1", "rank"), ("r1", "reader"), ("r2", "reader")];
         let stages = self.stages.iter().map(|id| (id.as_str(), "scan"));
         let plain = plain.iter().map(|id| (*id, "notify"));
-        let entries = plain.chain(stages).chain(others).map(|(id, pool)| {
+        let entries = plain.chain(stages).chain(other_upstreams).map(|(id, pool)| {
             let entry = DirectoryEntry {
                 started_at_ms: None,
                 id: id.to_owned(),
@@ -270,18 +275,18 @@
     }
 
     pub fn advance(&mut self, millis: u64) {
-        let until = self.now + Duration::from_millis(millis);
-        while let Some((rank, timer)) =
-            self.timers.first_key_value().map(|(rank, timer)| (*rank, *timer))
+        let end = self.now + Duration::from_millis(millis);
+        while let Some((queue_position, timer)) =
+            self.timers.first_key_value().map(|(queue_position, timer)| (*queue_position, *timer))
         {
-            if rank.0 > until {
+            if queue_position.0 > end {
                 break;
             }
-            self.timers.remove(&rank);
-            self.now = self.now.max(rank.0);
+            self.timers.remove(&queue_position);
+            self.now = self.now.max(queue_position.0);
             self.feed(DaemonEvent::Timer(timer));
         }
-        self.now = until;
+        self.now = end;
     }
 
     pub fn submit(&mut self, path: &str) -> CallId {
@@ -294,7 +299,7 @@
         call
     }
 
-    /// A request that has not come yet.
+    /// Builds a request and its call without submitting it.
     pub fn request(&mut self, path: &str, access: Option<&str>) -> (CallId, Box<CallerRequest>) {
         self.sequence += 1;
         let key = RequestKey::new("", format!("try-{}", self.sequence));
@@ -339,7 +344,7 @@
     }
 
     pub fn last_relay(&self) -> ForwardOrder {
-        self.relays.last().expect("the request was sent on").clone()
+        self.relays.last().expect("a request was forwarded").clone()
     }
 
     pub fn answer(&self, call: CallId) -> Option<(OutcomeKind, Option<RefusalReason>)> {
