--- a/crates/crocusdale_core/tests/support/reader_answer.rs
+++ b/crates/crocusdale_core/tests/support/reader_answer.rs
@@ -1,4 +1,4 @@
-//! Answers of a peer that reads what is published for the daemon under test.
+//! Test support: heartbeat answers of a peer that reads the platform for the daemon under test.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
     ExchangeMessage, MemberCapacity, MemberPlace, MemberRecord, MemberStatus,
 };
 
-/// The peer: its name ranks before that of the daemon under test.
-const READER: &str = "entry-a2";
+/// VM name of the peer. Its hash ranks before that of the daemon under test, so the peer reads.
+const READER_VM: &str = "entry-a2";
 
-/// Link of a peer that is as large as the daemon under test.
-const LARGE_LINK_MBPS: f64 = 1_000.0;
+/// Network bandwidth of a peer as large as the daemon under test. A peer with less than half of it
+/// would not be chosen as the reader.
+const READER_LINK_MBPS: f64 = 1_000.0;
 
 fn reader_record(link_mbps: f64) -> MemberRecord {
     let address = "127.0.0.1:2".parse().expect("an address");
@@ -22,18 +23,19 @@
         peer: address,
         capacity: MemberCapacity::new(1.0, link_mbps),
     };
-    let mut record = MemberRecord::new(InstanceId::new(READER, 8), Some(place));
+    let mut record = MemberRecord::new(InstanceId::new(READER_VM, 8), Some(place));
     record.status = MemberStatus::Alive;
     record
 }
 
-/// What the peer answers to a question that was sent at `sent`: it has just read, and found the
-/// configuration and the list of upstreams to stand at the revisions of `position`.
+/// Builds the peer's answer to a heartbeat that was sent at `sent`. The peer has just read the
+/// platform and found the revisions `known` of the configuration and of the list of upstreams.
 pub fn answer_of_reader(known: (u64, u64), sent: MonotonicTime) -> DaemonEvent {
-    answer_over_link(known, sent, LARGE_LINK_MBPS)
+    answer_over_link(known, sent, READER_LINK_MBPS)
 }
 
-/// The same of a peer whose link carries `link_mbps` megabits a second.
+/// Builds the answer as [`answer_of_reader`] does, for a peer with a network bandwidth of
+/// `link_mbps` megabits per second.
 pub fn answer_over_link(
     (revision, directory): (u64, u64),
     sent: MonotonicTime,
