--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with its upstreams in the hands of a test.
+//! Test support: a batch dispatcher whose upstreams are simulated by the test.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,10 +14,15 @@
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory};
 
+/// Name of the pool under test.
 pub const POOL: &str = "rerank";
+/// Fixed duration of a call, in milliseconds.
 pub const CALL_MS: u64 = 200;
+/// Additional duration of a call per piece, in milliseconds.
 pub const PIECE_MS: u64 = 5;
+/// Maximum number of pieces in a call.
 pub const PIECES: u32 = 20;
+/// Memory for results of each upstream, in bytes.
 pub const ROOM: u64 = 1_000_000;
 
 pub fn rules() -> BatchRules {
@@ -48,18 +53,18 @@
     }
 }
 
-/// A desk with the upstreams `ids`, each in the zone behind its colon.
+/// A dispatcher on a virtual clock, with the actions that it has requested.
 pub struct Bench {
     pub dispatcher: BatchDispatcher,
     pub now: MonotonicTime,
     pub calls: Vec<BatchOrder>,
     pub settled: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
     pub cancelled: Vec<BatchId>,
-    /// Upstreams that were asked how much of their memory is free.
+    /// Upstreams that were queried for their free memory.
     pub asked: Vec<String>,
-    /// What they answer at once, or nothing.
+    /// Free memory that upstreams report at once, in bytes. `None` leaves the query unanswered.
     pub free_room: Option<u64>,
-    /// Results of other pools that were given up.
+    /// Results of other pools that were freed after their use as inputs.
     pub fetched: Vec<ResultHandle>,
     pub next: u64,
 }
@@ -87,7 +92,8 @@
             window: Duration::from_secs(10),
         });
         bench.publish(upstreams);
-        // A process begins without retries, as the one before it may have spent them.
+        // A new process starts with an empty retry budget, because its predecessor may have used
+        // up the retries. First attempts fill the budget.
         for _ in 0..100 {
             let order = bench.order(1, 900);
             bench.offer(order);
@@ -105,10 +111,10 @@
         let mut directory = UpstreamDirectory::default();
         let entries = upstreams.iter().map(|(id, zone)| (1, entry(id, zone))).collect();
         directory.replace(1, entries, None);
-        let mut steps = Vec::new();
-        let away = HashMap::new();
-        self.dispatcher.reconfigure(&declarations(), &directory, &away, self.now, &mut steps);
-        self.take(steps);
+        let mut actions = Vec::new();
+        let backoffs = HashMap::new();
+        self.dispatcher.reconfigure(&declarations(), &directory, &backoffs, self.now, &mut actions);
+        self.take(actions);
     }
 
     pub fn order(&mut self, pieces: u32, due_ms: u64) -> PieceOrder {
@@ -133,15 +139,15 @@
     }
 
     pub fn offer(&mut self, order: PieceOrder) -> AttemptId {
-        let (attempt, mut steps) = (order.attempt, Vec::new());
-        self.dispatcher.submit(order, 0, self.now, &mut steps);
-        self.take(steps);
+        let (attempt, mut actions) = (order.attempt, Vec::new());
+        self.dispatcher.submit(order, 0, self.now, &mut actions);
+        self.take(actions);
         attempt
     }
 
-    pub fn take(&mut self, steps: Vec<DispatchAction>) {
-        for step in steps {
-            match step {
+    pub fn take(&mut self, actions: Vec<DispatchAction>) {
+        for action in actions {
+            match action {
                 DispatchAction::Call(order) => self.calls.push(order),
                 DispatchAction::Cancel(batch) => self.cancelled.push(batch),
                 DispatchAction::ReportOutcome { attempt, outcome, .. } => {
@@ -160,37 +166,38 @@
     }
 
     pub fn tell_room(&mut self, upstream: &str, free: Option<u64>) {
-        let mut steps = Vec::new();
-        self.dispatcher.record_free_memory(upstream, free, self.now, &mut steps);
-        self.take(steps);
+        let mut actions = Vec::new();
+        self.dispatcher.record_free_memory(upstream, free, self.now, &mut actions);
+        self.take(actions);
     }
 
     pub fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = (self.now + Duration::from_millis(50)).min(end);
-            let mut steps = Vec::new();
-            self.dispatcher.run_cycle(self.now, &mut steps);
-            self.take(steps);
+            let mut actions = Vec::new();
+            self.dispatcher.run_cycle(self.now, &mut actions);
+            self.take(actions);
         }
     }
 
-    /// Ends the oldest call, with every piece made unless `outcome` says otherwise.
+    /// Ends the oldest call. `outcome` returns the outcome of each piece by its position in the
+    /// call.
     pub fn end_call(&mut self, outcome: impl Fn(usize) -> ItemOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
         let items = (0..order.items.len()).map(outcome).collect();
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         let outcome = BatchOutcome::Answered(items);
-        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
-        self.take(steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut actions);
+        self.take(actions);
         order
     }
 
     pub fn end_call_as(&mut self, outcome: BatchOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
-        let mut steps = Vec::new();
-        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
-        self.take(steps);
+        let mut actions = Vec::new();
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut actions);
+        self.take(actions);
         order
     }
 }
