--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A few cores in virtual time, with every message in the hands of the test.
+//! Test support: a few daemon cores on a virtual clock. The test decides when each message between
+//! them is delivered.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -20,11 +21,13 @@
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder};
 use serde_json::value::RawValue;
 
-/// Life of a key in these tests, in milliseconds.
+/// Lifetime of a request key in [`DECLARATIONS`], in milliseconds.
 pub const KEY_LIFE_MS: u64 = 10_000;
-/// Longest deadline in these tests, in milliseconds.
+/// Longest request deadline in [`DECLARATIONS`], in milliseconds.
 pub const DEADLINE_MS: u64 = 2_000;
 
+/// Configuration of the daemons under test: two upstreams, one workspace and two pipelines, of
+/// which only `read` may be repeated.
 pub const DECLARATIONS: &str = "\
 [deployment]
 name = test
@@ -57,7 +60,7 @@
 stages = work
 ";
 
-/// A message between two daemons that has been sent and not yet been dealt with.
+/// A message between two daemons that has been sent and not yet been delivered.
 #[derive(Clone, Debug)]
 pub enum Message {
     Register { call: CallId, witness: String, key: RequestKey, witnesses: WitnessSet, bury: bool },
@@ -67,38 +70,38 @@
     RecordOutcome { witness: String, key: RequestKey, body: Vec<u8> },
 }
 
-/// A message with the daemon that sent it or that it goes to.
+/// A pending message, with the daemon that sent the query.
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    /// Daemon that asked; replies go back to it.
+    /// Index of the daemon that sent the query and receives the reply.
     pub asker: usize,
-    /// Life of the daemon that asked.
+    /// Incarnation of that daemon. A reply to an earlier incarnation is dropped.
     pub life: u64,
     pub message: Message,
 }
 
-/// One daemon and what it wants done.
+/// One daemon with its pending timers.
 pub struct Node {
     pub core: DaemonCore,
     pub life: u64,
     timers: BTreeMap<(MonotonicTime, u64), TimerKey>,
-    /// Until then it takes no step.
+    /// Whether the daemon is paused: its timers don't fire, and queries to it get no answer.
     pub paused: bool,
 }
 
-/// Several daemons on one virtual clock.
+/// Several daemons on one virtual clock. Messages wait in `network` until the test delivers them.
 pub struct CoreFleet {
     pub now: MonotonicTime,
     pub nodes: Vec<Node>,
     pub network: Vec<Envelope>,
-    /// Attempts that were sent and not answered.
+    /// Unanswered attempts, with the index and the incarnation of the daemon that sent them.
     pub attempts: Vec<(usize, u64, JsonCallOrder)>,
-    /// Times that each key was run.
+    /// Number of runs of each request key.
     pub runs: HashMap<RequestKey, u32>,
-    /// Final answers by key.
+    /// Final answers to callers, with the request key, in the order in which they were given.
     pub answers: Vec<(RequestKey, FinalAnswer)>,
     calls: HashMap<(usize, u64, CallId), RequestKey>,
-    /// Declarations that restarted daemons take.
+    /// Configuration that restarted daemons read.
     pub declarations: String,
     pub roster: VmRoster,
     sequence: u64,
@@ -106,7 +109,8 @@
 }
 
 impl CoreFleet {
-    /// `count` daemons over three zones that have run for longer than a key lives.
+    /// Creates `count` daemons in three availability zones that have run for longer than the
+    /// lifetime of a key.
     pub fn new(count: usize) -> Self {
         let vms = (0..count).map(entry).collect();
         let mut fleet = Self {
@@ -123,69 +127,73 @@
             lives: 0,
         };
         for index in 0..count {
-            let node = fleet.fresh_node(index);
+            let node = fleet.new_node(index);
             fleet.nodes.push(node);
-            fleet.inform(index);
+            fleet.configure(index);
         }
         fleet.advance(KEY_LIFE_MS + 1);
         fleet
     }
 
-    fn fresh_node(&mut self, index: usize) -> Node {
+    fn new_node(&mut self, index: usize) -> Node {
         self.lives += 1;
         let own = InstanceId::new(vm_name(index), self.lives);
         let core = DaemonCoreBuilder::new(own, zone(index)).seed(self.lives).build(self.now);
         Node { core, life: self.lives, timers: BTreeMap::new(), paused: false }
     }
 
-    /// Gives the daemon the VM list and the declarations.
-    fn inform(&mut self, index: usize) {
+    /// Gives the VM list and the configuration to a daemon.
+    fn configure(&mut self, index: usize) {
         let roster = self.roster.clone();
         self.feed(index, DaemonEvent::VmListRead(Some(roster)));
         let text = self.declarations.clone();
         self.feed(index, DaemonEvent::ConfigurationWatched(Some((1, text))));
-        // Nobody answers heartbeats here; a daemon is ready once it has asked everybody.
+        // No peer answers heartbeats here. A daemon becomes ready once it has tried all peers.
         for peer in self.roster.vms.clone() {
             self.feed(index, DaemonEvent::HeartbeatFailed(peer.name));
         }
         self.feed(index, DaemonEvent::Timer(TimerKey::Housekeeping));
     }
 
-    /// Gives the VM list in use to one daemon.
+    /// Gives the VM list `roster` to one daemon.
     pub fn give_roster(&mut self, index: usize, roster: VmRoster) {
         self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
 
-    /// Ends a daemon and starts another one on its VM.
+    /// Stops a daemon and starts a new one on its VM.
     pub fn restart(&mut self, index: usize) {
-        self.nodes[index] = self.fresh_node(index);
-        self.inform(index);
+        self.nodes[index] = self.new_node(index);
+        self.configure(index);
     }
 
-    /// Lets time pass; timers of daemons that aren't paused fire.
+    /// Advances the virtual clock. Due timers of daemons that aren't paused fire.
     pub fn advance(&mut self, millis: u64) {
-        let until = self.now + Duration::from_millis(millis);
+        let end = self.now + Duration::from_millis(millis);
         loop {
-            let due = self.nodes.iter().enumerate().filter(|(_, node)| !node.paused);
-            let due = due.filter_map(|(index, node)| {
-                node.timers.first_key_value().map(|(rank, timer)| (rank.0, index, *rank, *timer))
+            let due_timers = self.nodes.iter().enumerate().filter(|(_, node)| !node.paused);
+            let due_timers = due_timers.filter_map(|(index, node)| {
+                node.timers.first_key_value().map(|(queue_position, timer)| {
+                    (queue_position.0, index, *queue_position, *timer)
+                })
             });
-            let Some((at, index, rank, timer)) = due.min_by_key(|each| (each.0, each.1)) else {
+            let Some((at, index, queue_position, timer)) =
+                due_timers.min_by_key(|each| (each.0, each.1))
+            else {
                 break;
             };
-            if at > until {
+            if at > end {
                 break;
             }
             self.now = self.now.max(at);
-            self.nodes[index].timers.remove(&rank);
+            self.nodes[index].timers.remove(&queue_position);
             self.feed(index, DaemonEvent::Timer(timer));
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// Ends a daemon and starts another one on its VM, which can't read the configuration.
+    /// Stops a daemon and starts a new one on its VM, which has the VM list but no configuration.
     pub fn restart_without_configuration(&mut self, index: usize) {
-        self.nodes[index] = self.fresh_node(index);
+        self.nodes[index] = self.new_node(index);
         let roster = self.roster.clone();
         self.feed(index, DaemonEvent::VmListRead(Some(roster)));
     }
@@ -198,7 +206,8 @@
         self.feed(index, DaemonEvent::Submitted { call, request: Box::new(request) });
     }
 
-    /// Asks a daemon what became of a key.
+    /// Asks a daemon for the outcome of a key. `None` as its age means that the caller gives no
+    /// age.
     pub fn inquire(&mut self, index: usize, key: &RequestKey, age_ms: Option<u64>) {
         let call = self.nodes[index].core.open_call(key);
         self.calls.insert((index, self.nodes[index].life, call), key.clone());
@@ -206,13 +215,14 @@
         self.feed(index, DaemonEvent::Inquired { call, key: key.clone(), age });
     }
 
-    /// Delivers the message at `position`, and takes it out unless it is to come again.
+    /// Delivers the message at `position`. If `again` is set, it stays pending and can be delivered
+    /// another time.
     pub fn deliver(&mut self, position: usize, again: bool) {
         let envelope =
             if again { self.network[position].clone() } else { self.network.remove(position) };
         let (asker, life) = (envelope.asker, envelope.life);
         match envelope.message {
-            // Nothing runs yet on a VM that is new in the list.
+            // No daemon runs yet on a VM that was added to the list.
             Message::RecordOutcome { witness, .. } if vm_index(&witness) >= self.nodes.len() => {}
             Message::Register { call, witness, .. } if vm_index(&witness) >= self.nodes.len() => {
                 let message = Message::RegisterReply { call, witness, reply: None };
@@ -253,7 +263,7 @@
         }
     }
 
-    /// Delivers messages, in order, until none is left.
+    /// Delivers the pending messages in order until there are none. Panics after 10 000 messages.
     pub fn settle(&mut self) {
         for _ in 0..10_000 {
             if self.network.is_empty() {
@@ -261,10 +271,11 @@
             }
             self.deliver(0, false);
         }
-        panic!("messages never end");
+        panic!("messages are still pending after 10000 deliveries");
     }
 
-    /// Answers the open attempt at `position`.
+    /// Answers the open attempt at `position` with `event`. The answer is dropped if the daemon has
+    /// restarted since.
     pub fn answer_attempt(
         &mut self,
         position: usize,
@@ -277,27 +288,27 @@
         }
     }
 
-    /// Kinds of the final answers about `key`.
+    /// Kinds of the final answers for `key`, in the order in which they were given.
     pub fn kinds(&self, key: &RequestKey) -> Vec<OutcomeKind> {
         let own = self.answers.iter().filter(|(each, _)| each == key);
         own.map(|(_, answer)| answer.kind).collect()
     }
 
-    /// Times that `key` was run.
+    /// Number of runs of `key`.
     pub fn run_count(&self, key: &RequestKey) -> u32 {
         self.runs.get(key).copied().unwrap_or_default()
     }
 
-    /// Gives an event to a daemon.
+    /// Lets a daemon handle an event, and executes the resulting commands.
     pub fn feed(&mut self, index: usize, event: DaemonEvent) {
         let mut commands = Vec::new();
         self.nodes[index].core.handle(event, self.now, &mut commands);
         for command in commands {
-            self.carry_out(index, command);
+            self.execute(index, command);
         }
     }
 
-    fn carry_out(&mut self, index: usize, command: Command) {
+    fn execute(&mut self, index: usize, command: Command) {
         let life = self.nodes[index].life;
         let mut send = |message| self.network.push(Envelope { asker: index, life, message });
         match command {
@@ -331,7 +342,7 @@
     }
 }
 
-/// A request for the job `job`.
+/// Builds a request that the pipeline for `job` serves.
 pub fn request(key: &RequestKey, job: &str, repeatable: bool) -> CallerRequest {
     CallerRequest {
         key: key.clone(),
@@ -345,7 +356,7 @@
     }
 }
 
-/// A whole answer to `attempt`.
+/// Builds a complete answer to `attempt`.
 pub fn whole_answer(attempt: AttemptId) -> AttemptEvent {
     let answer = RawValue::from_string("\"done\"".into()).expect("JSON");
     AttemptEvent::Answered { echo: Some(attempt), answer }
@@ -360,16 +371,16 @@
 }
 
 pub fn vm_index(name: &str) -> usize {
-    name.trim_start_matches("vm-").parse().expect("a name of these tests")
+    name.trim_start_matches("vm-").parse().expect("the name of a test VM is vm- and a number")
 }
 
 fn zone(index: usize) -> String {
     format!("z{}", index % 3)
 }
 
-/// Entry of the VM list for daemon `index`.
+/// Builds the VM list entry of the daemon `index`.
 pub fn entry(index: usize) -> VmEntry {
-    let port = u16::try_from(index).expect("a small number") + 1_000;
+    let port = u16::try_from(index).expect("the daemon index fits into a port number") + 1_000;
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     VmEntry {
         name: vm_name(index),
