--- a/crates/crocusdale_core/tests/claim_model_test.rs
+++ b/crates/crocusdale_core/tests/claim_model_test.rs
@@ -35,7 +35,7 @@
     DropMessage(usize),
     /// An upstream answers one open attempt.
     Answer(usize),
-    /// This daemon processes no timer and no message until it is resumed.
+    /// This daemon is paused: its timers don't fire, and queries to it get no answer.
     Pause(usize),
     /// This daemon is resumed after a pause.
     Resume(usize),
