--- a/crates/crocusdale_core/src/daemon/request_flow.rs
+++ b/crates/crocusdale_core/src/daemon/request_flow.rs
@@ -126,14 +126,17 @@
         let own_witnesses = WitnessSet::choose(key, snapshot.history.current());
         if snapshot.declarations.is_none()
             || !own_witnesses.contains(&self.own_instance.vm)
-            || !own_witnesses.agrees_with(witnesses)
+            || !own_witnesses.shares_quorum_with(witnesses)
         {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(WITNESS_MISMATCH_RETRY_AFTER);
         }
-        if let Some(abstention) =
-            snapshot.history.abstention(&self.own_instance.vm, key, now, snapshot.key_life)
-        {
+        if let Some(abstention) = snapshot.history.remaining_abstention(
+            &self.own_instance.vm,
+            key,
+            now,
+            snapshot.key_life,
+        ) {
             out.push(Command::Count(CounterName::WitnessAbstentions));
             return RegisterReply::Abstains(abstention);
         }
@@ -356,8 +359,8 @@
                 self.router().confirm_running(&upstream, &life)
             }
             ShardAction::RecordProcess { upstream, process: life, is_leaving: true } => {
-                let news = LeavingUpstream { upstream, life };
-                lock(&self.fleet).view.take_leaving_upstream(&news, now);
+                let news = LeavingUpstream { upstream, process: life };
+                lock(&self.fleet).view.add_leaving_upstream(&news, now);
                 self.mark_leaving(&[news], now, out);
             }
         }
--- a/crates/crocusdale_core/src/membership/exchange_message.rs
+++ b/crates/crocusdale_core/src/membership/exchange_message.rs
@@ -11,12 +11,13 @@
     /// Name of the upstream.
     pub upstream: String,
     /// Identifier of the upstream's current process, as the upstream reported it.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub process: String,
 }
 
 /// Version and age of a daemon's list of published upstreams, as it reports them to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DirectoryNews {
+pub struct DirectoryVersion {
     /// Store position of the last change in the list.
     pub changed: StorePosition,
     /// Age of the list, as in [`ExchangeMessage::directory_age`].
--- a/crates/crocusdale_core/src/membership/member_gossip.rs
+++ b/crates/crocusdale_core/src/membership/member_gossip.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom as _;
 
 use super::member_view::PeerState;
-use super::{DirectoryNews, ExchangeMessage, LeavingUpstream, MemberRecord, MemberView};
+use super::{DirectoryVersion, ExchangeMessage, LeavingUpstream, MemberRecord, MemberView};
 use crate::identity::{InstanceId, stable_hash};
 
 /// Maximum number of member records in an ordinary message, apart from recent failures.
@@ -31,7 +31,7 @@
         &mut self,
         partner: &str,
         position: (u64, u64),
-        directory: DirectoryNews,
+        directory: DirectoryVersion,
     ) -> ExchangeMessage {
         let mut records = Vec::new();
         records.extend(self.disputed_record(partner).cloned());
@@ -54,7 +54,7 @@
             leaving_upstreams: self.take_leaving_upstreams(),
             directory: directory.changed,
             directory_age: directory.age,
-            known_members: self.asks_for_all.then(|| self.digest()),
+            known_members: self.requests_full_sync.then(|| self.digest()),
             // The daemon core fills in crash records and rate limits.
             crash_summary: 0,
             crashes: Vec::new(),
@@ -65,12 +65,12 @@
 
     /// Builds the reply to a member that requests all records. `known` is the digest of its own
     /// records. If the digests are equal, the reply is an ordinary message.
-    pub fn welcome(
+    pub fn full_sync_message(
         &mut self,
         partner: &str,
         known: u64,
         position: (u64, u64),
-        directory: DirectoryNews,
+        directory: DirectoryVersion,
     ) -> ExchangeMessage {
         let mut message = self.message(partner, position, directory);
         if self.own.place.is_some() && known != self.digest() {
@@ -91,7 +91,7 @@
     /// Guards against callers that are sent to crashed daemons long after many have crashed at
     /// once: the ordinary record limit would delay the report about each of them.
     fn recent_failures(&mut self, partner: &str, sent: &[MemberRecord]) -> Vec<MemberRecord> {
-        if self.asks_for_all {
+        if self.requests_full_sync {
             // Replies to requests for all records already contain the failures.
             return Vec::new();
         }
@@ -115,18 +115,18 @@
     }
 
     /// Sets whether messages request all member records that this daemon lacks.
-    pub fn ask_for_all(&mut self, asks: bool) {
-        self.asks_for_all = asks;
+    pub fn set_full_sync(&mut self, is_enabled: bool) {
+        self.requests_full_sync = is_enabled;
     }
 
     /// Digest of all member records, including this daemon's own. It does not depend on their
     /// order.
     fn digest(&self) -> u64 {
         let record_hash = |record: &MemberRecord| {
-            let life = record.instance.incarnation.to_string();
+            let incarnation = record.instance.incarnation.to_string();
             let status_text =
                 format!("{}/{}/{}", record.generation, record.refutation, record.status);
-            stable_hash(&[&record.instance.vm, &life, &status_text])
+            stable_hash(&[&record.instance.vm, &incarnation, &status_text])
         };
         self.records().chain([&self.own]).fold(0, |digest, record| digest ^ record_hash(record))
     }
@@ -158,8 +158,8 @@
     fn take_leaving_upstreams(&mut self) -> Vec<LeavingUpstream> {
         let upstreams = self.leaving_upstreams.iter_mut();
         let entries = upstreams.filter_map(|(upstream, notice)| {
-            let (upstream, life) = (upstream.clone(), notice.process.clone());
-            notice.remaining_sends.use_send().then_some(LeavingUpstream { upstream, life })
+            let (upstream, process) = (upstream.clone(), notice.process.clone());
+            notice.remaining_sends.use_send().then_some(LeavingUpstream { upstream, process })
         });
         entries.take(MAX_LEAVING_ENTRIES).collect()
     }
--- a/crates/crocusdale_core/src/pipeline/request_plan.rs
+++ b/crates/crocusdale_core/src/pipeline/request_plan.rs
@@ -4,7 +4,7 @@
 use super::{CallerRequest, FinalOutcome, ForwardHead, OutcomeKind, RefusalReason, RequestContent};
 use crate::admission::AdmissionPermit;
 use crate::configuration::{
-    Declarations, ForwardRules, HomeRegions, LabelSet, PipelineRules, PlanStep, PoolKind,
+    AllowedRegions, Declarations, ForwardRules, LabelSet, PipelineRules, PlanStep, PoolKind,
     StageRules, StepWork, WeightedPool, WorkspaceRules,
 };
 use crate::identity::{MonotonicTime, RequestDigest, RequestKey};
@@ -49,7 +49,7 @@
     /// released.
     pub permit: AdmissionPermit,
     /// Regions in which upstreams may process the request.
-    pub home_regions: HomeRegions,
+    pub allowed_regions: AllowedRegions,
     /// Expected queueing delay of each step on top of [`Self::step_time`], by position, from the
     /// load of the pools when the request started. Missing entries count as zero.
     pub queueing_delays: Vec<Duration>,
@@ -107,7 +107,7 @@
             needs_claim: !repeatable,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            home_regions: HomeRegions::default(),
+            allowed_regions: AllowedRegions::default(),
             queueing_delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
@@ -131,7 +131,7 @@
             None
         } else {
             let access_workspace =
-                head.access.as_deref().and_then(|key| declarations.workspace_of_access(key));
+                head.access.as_deref().and_then(|key| declarations.workspace_for_access_key(key));
             let Some(workspace) = access_workspace else {
                 let detail = "the access key is missing or unknown";
                 return refuse(&request.key, RefusalReason::NoAccess, detail);
@@ -142,8 +142,8 @@
         let timeout = request.deadline.min(forward.timeout).min(MAX_DEADLINE);
         let level = rules.and_then(|rules| rules.level).unwrap_or(forward.level);
         let labels = rules.map(|rules: &WorkspaceRules| rules.labels.clone()).unwrap_or_default();
-        let homes = rules.map(|rules| rules.homes.clone()).unwrap_or_default();
-        let homes = forward.homes.and(&homes);
+        let allowed_regions = rules.map(|rules| rules.allowed_regions.clone()).unwrap_or_default();
+        let allowed_regions = forward.allowed_regions.and(&allowed_regions);
         let objective = now + forward.objective;
         let repeatable = pipeline.repeatable;
         let mut pipeline = pipeline.clone();
@@ -161,7 +161,7 @@
             needs_claim: false,
             is_flood: false,
             permit: AdmissionPermit::default(),
-            home_regions: homes,
+            allowed_regions,
             queueing_delays: Vec::new(),
             declarations: Arc::clone(declarations),
             labels,
@@ -211,7 +211,8 @@
     #[must_use]
     pub fn latest_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let time_after = plan.way_after(position, |step, position| self.step_time(position, step));
+        let time_after = plan
+            .critical_path_time_after(position, |step, position| self.step_time(position, step));
         MonotonicTime::from_start(self.deadline.since_start().saturating_sub(time_after))
     }
 
@@ -221,7 +222,7 @@
     #[must_use]
     pub fn target_end(&self, position: usize) -> MonotonicTime {
         let plan = &self.pipeline.plan;
-        let time_after = plan.way_after(position, |step, position| {
+        let time_after = plan.critical_path_time_after(position, |step, position| {
             let delay = self.queueing_delays.get(position).copied().unwrap_or_default();
             self.step_time(position, step) + delay
         });
--- a/crates/crocusdale_core/tests/address_order_test.rs
+++ b/crates/crocusdale_core/tests/address_order_test.rs
@@ -8,21 +8,21 @@
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
 use crocusdale_core::membership::{
     AddressOrder, ExchangeMessage, MemberRecord, MemberStatus, MemberView, MemberViewBuilder,
-    VmRoster,
+    VmList,
 };
 use support::{entry, vm_name};
 
 const DAEMONS: usize = 6;
 
-fn roster() -> VmRoster {
-    VmRoster { revision: 1, vms: (0..DAEMONS).map(entry).collect() }
+fn roster() -> VmList {
+    VmList { revision: 1, vms: (0..DAEMONS).map(entry).collect() }
 }
 
 /// Builds the member view of daemon 0, in which every other daemon has the status `status`.
 fn view(status: MemberStatus) -> MemberView {
     let now = MonotonicTime::from_millis(0);
     let mut view = MemberViewBuilder::new(InstanceId::new(vm_name(0), 1)).build();
-    view.take_roster(&roster(), now);
+    view.update_peers(&roster(), now);
     view.become_ready();
     for index in 1..DAEMONS {
         let instance = InstanceId::new(vm_name(index), 1);
@@ -42,7 +42,7 @@
             limits: Vec::new(),
             crashes: Vec::new(),
         };
-        view.take_message(&message, now);
+        view.merge_message(&message, now);
     }
     view
 }
@@ -91,7 +91,7 @@
 fn only_daemons_of_the_callers_region_are_listed_while_it_has_any() {
     let regions = LabelSet::parse("z0=lakes, z1=lakes, z2=coast").expect("labels");
     let regions = RegionMap::from(regions);
-    let answer = |view: &MemberView, roster: &VmRoster, zone: &str| {
+    let answer = |view: &MemberView, roster: &VmList, zone: &str| {
         let order = AddressOrder::new(roster, view, Duration::ZERO).regions(&regions);
         order.answer("caller", zone).addresses
     };
@@ -103,7 +103,7 @@
     assert_eq!(coast, [caller(2), caller(5)]);
     assert_eq!(answer(&view, &all, "z0").len(), 4);
     let lakes =
-        VmRoster { revision: 2, vms: all.vms.into_iter().filter(|vm| vm.zone != "z2").collect() };
+        VmList { revision: 2, vms: all.vms.into_iter().filter(|vm| vm.zone != "z2").collect() };
     assert_eq!(
         answer(&view, &lakes, "z2").len(),
         4,
--- a/crates/crocusdale_core/tests/cold_upstream_test.rs
+++ b/crates/crocusdale_core/tests/cold_upstream_test.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crocusdale_core::configuration::{
-    ColdRules, Declarations, DeclarationsBuilder, EngineRules, HomeRegions, PoolKind, StageRules,
+    AllowedRegions, ColdRules, Declarations, DeclarationsBuilder, EngineRules, PoolKind, StageRules,
 };
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest};
 use crocusdale_core::membership::KnownDaemons;
@@ -23,7 +23,7 @@
 use support::virtual_fleet::VirtualFleet;
 
 /// Duration of a cold start and request rate of a cold engine.
-const COLD_RULES: ColdRules = ColdRules { lasts: Duration::from_secs(3), requests_per_s: 22.0 };
+const COLD_RULES: ColdRules = ColdRules { duration: Duration::from_secs(3), requests_per_s: 22.0 };
 const COLD_LIMITS: ColdLimits = ColdLimits { overshoot: 1.5, slack: 5.0 };
 /// Maximum number of requests to a cold engine within one second: 22 * 1.5 + 5.
 const MAX_REQUESTS_PER_SECOND: u32 = 38;
@@ -80,7 +80,7 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        home_regions: HomeRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -154,7 +154,7 @@
             for number in 0..50 {
                 now = now + REQUEST_INTERVAL;
                 let Ok(Some(grant)) = router.acquire(request(number, now), now) else { continue };
-                if grant.upstream.starts_with("new") && now.since(start) < COLD_RULES.lasts {
+                if grant.upstream.starts_with("new") && now.since(start) < COLD_RULES.duration {
                     let is_delayed = random.random_bool(0.5);
                     writes.push(if is_delayed { now + CONNECT_TIMEOUT } else { now });
                 }
@@ -221,7 +221,7 @@
         granted.count() < MAX_REQUESTS_PER_SECOND as usize / 6,
         "the daemon has a sixth of {MAX_REQUESTS_PER_SECOND} requests, and has used one"
     );
-    let later = now + COLD_RULES.lasts;
+    let later = now + COLD_RULES.duration;
     assert!(router.acquire(request(90, later), later).is_ok_and(|grant| grant.is_some()));
 }
 
@@ -265,10 +265,10 @@
 fn unreachable_daemons_keep_their_share() {
     let mut known = KnownDaemons::default();
     let (all, reachable) = (names(74), names(50));
-    assert!(known.note(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
+    assert!(known.update(all.iter().map(String::as_str), MonotonicTime::from_millis(0)));
     for second in 1..500 {
         let now = MonotonicTime::from_millis(second * 1_000);
-        known.note(reachable.iter().map(String::as_str), now);
+        known.update(reachable.iter().map(String::as_str), now);
         assert_eq!(known.names().count(), 74, "after {second} s");
     }
 }
