--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -23,7 +23,7 @@
 };
 
 use forward_daemon::{Daemon, read};
-use limited_upstream::{LIMITED, LimitedUpstream, allowed};
+use limited_upstream::{LIMITED, RateLimitedFleet, max_allowed_requests};
 use support::vm_name;
 
 /// Rates that upstreams name, in requests a second.
@@ -89,15 +89,15 @@
 #[test]
 fn limited_upstream_gets_what_it_takes_from_all_daemons_together() {
     for (size, per_second) in [(6, 1.0), (6, 4.0), (74, 1.0)] {
-        let mut upstream = LimitedUpstream::new(size, 2, 1);
+        let mut upstream = RateLimitedFleet::new(size, 2, 1);
         upstream.load = 60.0;
         upstream.run(Duration::from_secs(2));
-        upstream.name_rate(per_second);
+        upstream.announce_rate(per_second);
         let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(15));
-        let most = upstream.most_of_told(bound_from);
+        let most = upstream.max_of_informed(bound_from);
         assert!(
-            most <= allowed(per_second),
+            most <= max_allowed_requests(per_second),
             "{size} daemons, {per_second} a second: {most} requests in a window"
         );
     }
@@ -118,14 +118,20 @@
             let quotas: Vec<RateQuota> = shares.iter().filter_map(quota).collect();
             let most = |quota: &RateQuota| f64::from(quota.depth) + quota.per_second * longest;
             let sum: usize = quotas.iter().map(|quota| most(quota).floor() as usize).sum();
-            assert!(sum <= allowed(per_second), "{size} daemons, {per_second} a second: {sum}");
+            assert!(
+                sum <= max_allowed_requests(per_second),
+                "{size} daemons, {per_second} a second: {sum}"
+            );
             let used: f64 = quotas.iter().map(|quota| quota.per_second).sum();
             assert!(used > 0.999 * per_second, "{size} daemons, {per_second} a second: {used}");
             let sole = RateQuota::new(rate(per_second), hash, &shares[0], RateUse::Sole);
             // Before and after a change of the dispatcher.
             let sole = sole.expect("a dispatcher has a quota");
             let sum = 2.0 * f64::from(sole.depth) + sole.per_second * longest;
-            assert!(sum.floor() as usize <= allowed(per_second), "dispatcher, {per_second}: {sum}");
+            assert!(
+                sum.floor() as usize <= max_allowed_requests(per_second),
+                "dispatcher, {per_second}: {sum}"
+            );
         }
     }
 }
@@ -156,12 +162,12 @@
     for (size, seeds) in [(6, 12), (60, 3), (410, 1)] {
         let mut worst = Duration::ZERO;
         for seed in 0..seeds {
-            let mut upstream = LimitedUpstream::new(size, 2, seed);
+            let mut upstream = RateLimitedFleet::new(size, 2, seed);
             upstream.fleet.tell_by_readers_only();
             upstream.fleet.questions_are_late = true;
-            upstream.tell(seed as usize % size, limited(1.0));
+            upstream.deliver_notice(seed as usize % size, limited(1.0));
             let told = upstream.fleet.now;
-            while upstream.knowing() < size {
+            while upstream.informed_daemons() < size {
                 upstream.run(Duration::from_millis(10));
                 assert!(upstream.fleet.now.since(told) < Duration::from_secs(20));
             }
@@ -180,19 +186,19 @@
     for (size, per_second, load) in
         [(3, 1.0, 60.0), (6, 1.0, 60.0), (6, 0.3, 60.0), (74, 2.0, 150.0), (410, 1.0, 400.0)]
     {
-        let mut upstream = LimitedUpstream::new(size, 2, 3);
+        let mut upstream = RateLimitedFleet::new(size, 2, 3);
         upstream.load = load;
         upstream.fleet.tell_by_readers_only();
         upstream.fleet.questions_are_late = true;
         upstream.writes_are_late = true;
         upstream.run(Duration::from_secs(1));
-        upstream.name_rate(per_second);
+        upstream.announce_rate(per_second);
         let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(14));
-        let told = upstream.most_of_told(bound_from);
-        assert!(told <= allowed(per_second), "{size} daemons: {told} of those told");
-        let all = upstream.most_in_a_window(bound_from, |arrival| arrival.at >= bound_from);
-        assert!(all <= allowed(per_second), "{size} daemons: {all}");
+        let told = upstream.max_of_informed(bound_from);
+        assert!(told <= max_allowed_requests(per_second), "{size} daemons: {told} of those told");
+        let all = upstream.max_in_window(bound_from, |arrival| arrival.at >= bound_from);
+        assert!(all <= max_allowed_requests(per_second), "{size} daemons: {all}");
     }
 }
 
@@ -201,13 +207,13 @@
 #[test]
 fn rate_that_an_upstream_names_is_used() {
     for (size, load) in [(3, 30.0), (6, 30.0), (74, 200.0), (410, 600.0)] {
-        let mut upstream = LimitedUpstream::new(size, 0, 5);
+        let mut upstream = RateLimitedFleet::new(size, 0, 5);
         upstream.load = load;
-        upstream.name_rate(1.0);
+        upstream.announce_rate(1.0);
         upstream.run(Duration::from_secs(8));
         let from = upstream.fleet.now;
         upstream.run(Duration::from_secs(20));
-        let used = upstream.used(from);
+        let used = upstream.arrival_rate(from);
         assert!((0.9..=1.1).contains(&used), "{size} daemons: {used} a second");
     }
 }
@@ -215,18 +221,18 @@
 /// Guards against the loss of the whole rate where daemons are cut off, restart, or are new.
 #[test]
 fn rate_is_used_while_some_daemons_are_away() {
-    let mut upstream = LimitedUpstream::new(12, 2, 5);
+    let mut upstream = RateLimitedFleet::new(12, 2, 5);
     upstream.load = 100.0;
-    upstream.name_rate(2.0);
+    upstream.announce_rate(2.0);
     upstream.run(Duration::from_secs(5));
     upstream.fleet.cut_off.extend([0, 1]);
     upstream.fleet.restart(2);
     let bound_from = upstream.fleet.now;
     upstream.run(Duration::from_secs(20));
-    let used = upstream.used(bound_from);
+    let used = upstream.arrival_rate(bound_from);
     assert!((1.0..=2.2).contains(&used), "{used} a second");
-    let all = upstream.most_in_a_window(bound_from + LIMIT_WINDOW, |_| true);
-    assert!(all <= allowed(2.0), "{all}");
+    let all = upstream.max_in_window(bound_from + LIMIT_WINDOW, |_| true);
+    assert!(all <= max_allowed_requests(2.0), "{all}");
 }
 
 /// Guards against an upstream that is spared for good: those that may not call it can't hear that it takes
@@ -234,31 +240,35 @@
 #[test]
 fn all_daemons_learn_that_a_limit_has_ended() {
     for (size, load) in [(6, 60.0), (74, 200.0)] {
-        let mut upstream = LimitedUpstream::new(size, 2, 7);
+        let mut upstream = RateLimitedFleet::new(size, 2, 7);
         upstream.load = load;
-        upstream.name_rate(1.0);
+        upstream.announce_rate(1.0);
         upstream.run(Duration::from_secs(10));
-        assert_eq!(upstream.knowing(), size);
+        assert_eq!(upstream.informed_daemons(), size);
         upstream.rate = None;
         upstream.run(Duration::from_secs(10));
-        assert_eq!(upstream.knowing(), 0, "{size} daemons");
+        assert_eq!(upstream.informed_daemons(), 0, "{size} daemons");
         let from = upstream.fleet.now;
         upstream.run(Duration::from_secs(5));
-        assert!(upstream.used(from) > load / 6.0, "{size} daemons: {}", upstream.used(from));
+        assert!(
+            upstream.arrival_rate(from) > load / 6.0,
+            "{size} daemons: {}",
+            upstream.arrival_rate(from)
+        );
     }
 }
 
 /// Guards against a process that starts again and has heard nothing.
 #[test]
 fn daemon_that_starts_again_knows_the_rate_before_it_serves() {
-    let mut upstream = LimitedUpstream::new(6, 2, 1);
-    upstream.tell(3, limited(1.0));
+    let mut upstream = RateLimitedFleet::new(6, 2, 1);
+    upstream.deliver_notice(3, limited(1.0));
     upstream.run(Duration::from_secs(3));
     upstream.fleet.restart(0);
     while !upstream.fleet.cores[0].is_ready() {
         upstream.run(Duration::from_millis(10));
     }
-    assert_eq!(upstream.knowing(), 6);
+    assert_eq!(upstream.informed_daemons(), 6);
 }
 
 /// Guards against an answer that was begun before the upstream named a rate and comes after the one that
@@ -427,14 +437,18 @@
 /// Guards against a limit of the process that had the id before.
 #[test]
 fn upstream_that_starts_again_has_said_nothing() {
-    let mut upstream = LimitedUpstream::new(6, 1, 1);
-    upstream.tell(0, limited(0.0));
+    let mut upstream = RateLimitedFleet::new(6, 1, 1);
+    upstream.deliver_notice(0, limited(0.0));
     upstream.run(Duration::from_secs(3));
-    assert_eq!(upstream.knowing(), 6);
-    upstream.start_again();
+    assert_eq!(upstream.informed_daemons(), 6);
+    upstream.restart_upstream();
     upstream.run(Duration::from_secs(3));
     upstream.load = 60.0;
     let from = upstream.fleet.now;
     upstream.run(Duration::from_secs(5));
-    assert!(upstream.used(from) > 10.0, "{LIMITED} in its next life: {}", upstream.used(from));
+    assert!(
+        upstream.arrival_rate(from) > 10.0,
+        "{LIMITED} in its next life: {}",
+        upstream.arrival_rate(from)
+    );
 }
--- a/crates/crocusdale_core/tests/support/limited_upstream.rs
+++ b/crates/crocusdale_core/tests/support/limited_upstream.rs
@@ -27,7 +27,7 @@
 const EXTRA_REQUESTS: f64 = 5.0;
 /// Time after a response with a rate limit from which on the daemon that received it must keep the
 /// limit.
-pub const TOLD_BOUND: Duration = Duration::from_millis(500);
+pub const NOTICE_DELAY: Duration = Duration::from_millis(500);
 /// Response time of the upstreams.
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
 /// Step of the virtual clock.
@@ -51,7 +51,7 @@
 }
 
 /// Daemons that receive requests at random, and forward them to [`LIMITED`] and other upstreams.
-pub struct LimitedUpstream {
+pub struct RateLimitedFleet {
     pub fleet: VirtualFleet,
     /// Rate limit that the upstream announces in each response, or `None` for no limit.
     pub rate: Option<RequestRate>,
@@ -61,7 +61,7 @@
     /// Requests that have arrived at the rate-limited upstream.
     pub arrivals: Vec<UpstreamArrival>,
     /// Time of the first response with a rate limit, by the index of the daemon that received it.
-    pub told: HashMap<usize, MonotonicTime>,
+    pub informed_at: HashMap<usize, MonotonicTime>,
     /// Requests per second that callers send to all daemons together.
     pub load: f64,
     /// Name of the upstream's first process.
@@ -72,7 +72,7 @@
     size: usize,
 }
 
-impl LimitedUpstream {
+impl RateLimitedFleet {
     /// Creates `size` daemons that use [`LIMITED`] and `others` further upstreams.
     pub fn new(size: usize, others: usize, seed: u64) -> Self {
         let mut fleet = VirtualFleet::with_reader(size, 3, StalenessBounds::default(), read);
@@ -85,7 +85,7 @@
             rate: None,
             writes_are_late: false,
             arrivals: Vec::new(),
-            told: HashMap::new(),
+            informed_at: HashMap::new(),
             load: 0.0,
             name: entry(LIMITED).name(),
             random: SmallRng::seed_from_u64(seed),
@@ -96,23 +96,23 @@
     }
 
     /// Lets the upstream announce a limit of `per_second` requests per second from now on.
-    pub fn name_rate(&mut self, per_second: f64) {
+    pub fn announce_rate(&mut self, per_second: f64) {
         self.rate = RequestRate::from_per_second(per_second);
     }
 
     /// Lets `daemon` receive `notice` in a response of the upstream.
-    pub fn tell(&mut self, daemon: usize, notice: UpstreamNotice) {
+    pub fn deliver_notice(&mut self, daemon: usize, notice: UpstreamNotice) {
         let (upstream, sent) = (self.name.clone(), self.fleet.now);
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
     }
 
     /// Number of daemons that know of the upstream's rate limit.
-    pub fn knowing(&self) -> usize {
+    pub fn informed_daemons(&self) -> usize {
         self.fleet.cores.iter().filter(|core| core.is_limited(&self.name)).count()
     }
 
     /// Restarts the upstream under the same identifier.
-    pub fn start_again(&mut self) {
+    pub fn restart_upstream(&mut self) {
         let (revision, entries) = &mut self.fleet.published;
         *revision += 1;
         for (written, entry) in entries.iter_mut().filter(|(_, entry)| entry.id == LIMITED) {
@@ -165,7 +165,7 @@
 
     /// Largest number of requests in a window that ends at `from` or later. Only requests for which
     /// `counts` returns true are counted.
-    pub fn most_in_a_window(
+    pub fn max_in_window(
         &self,
         from: MonotonicTime,
         counts: impl Fn(&UpstreamArrival) -> bool,
@@ -181,15 +181,17 @@
     }
 
     /// Largest number of requests in a window that ends at `from` or later. Only requests of
-    /// daemons that had known the rate limit for [`TOLD_BOUND`] are counted.
-    pub fn most_of_told(&self, from: MonotonicTime) -> usize {
-        self.most_in_a_window(from, |arrival| {
-            self.told.get(&arrival.daemon).is_some_and(|told| *told + TOLD_BOUND <= arrival.at)
+    /// daemons that had known the rate limit for [`NOTICE_DELAY`] are counted.
+    pub fn max_of_informed(&self, from: MonotonicTime) -> usize {
+        self.max_in_window(from, |arrival| {
+            self.informed_at
+                .get(&arrival.daemon)
+                .is_some_and(|told| *told + NOTICE_DELAY <= arrival.at)
         })
     }
 
     /// Requests per second that have arrived at the upstream since `from`.
-    pub fn used(&self, from: MonotonicTime) -> f64 {
+    pub fn arrival_rate(&self, from: MonotonicTime) -> f64 {
         let count = self.arrivals.iter().filter(|arrival| arrival.at >= from).count();
         count as f64 / self.fleet.now.since(from).as_secs_f64()
     }
@@ -239,7 +241,7 @@
             ..UpstreamNotice::default()
         };
         if rate.is_some() {
-            self.told.entry(daemon).or_insert(self.fleet.now);
+            self.informed_at.entry(daemon).or_insert(self.fleet.now);
         }
         self.fleet.feed(daemon, DaemonEvent::UpstreamNoticed { upstream, notice, sent });
         let head = ResponseHead { status: 200, execution: ExecutionStatus::Ran };
@@ -255,7 +257,7 @@
 }
 
 /// Maximum number of requests in a window at a rate limit of `per_second`.
-pub fn allowed(per_second: f64) -> usize {
+pub fn max_allowed_requests(per_second: f64) -> usize {
     (per_second * RATE_WINDOW.as_secs_f64() * MAX_OVERSHOOT + EXTRA_REQUESTS) as usize
 }
 
