--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -10,7 +10,7 @@
 use crocusdale_core::batching::{BatchOutcome, ItemOutcome};
 use crocusdale_core::pipeline::PieceFault;
 
-use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, ROOM, made};
+use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, RESULT_MEMORY_BYTES, made};
 
 /// Guards against late answers in a burst of small requests. A call of its own for each request
 /// would take a fifth of a second, and all but the first few would miss their latency objectives.
@@ -259,9 +259,9 @@
 #[test]
 fn new_dispatcher_queries_the_free_memory_of_its_upstreams() {
     let mut bench = Bench::new(&[("u1", "a")]);
-    bench.free_room = Some(ROOM / 2);
+    bench.free_memory = Some(RESULT_MEMORY_BYTES / 2);
     let mut order = bench.order(10, 900);
-    order.result_bytes = ROOM / 10;
+    order.result_bytes = RESULT_MEMORY_BYTES / 10;
     order.is_resubmission = true;
     bench.offer(order);
     assert_eq!(bench.asked.last().map(String::as_str), Some("u1"));
@@ -276,12 +276,12 @@
 #[test]
 fn memory_of_results_of_the_previous_dispatcher_is_reused_after_expiry() {
     let mut bench = Bench::new(&[("u1", "a")]);
-    bench.free_room = Some(0);
+    bench.free_memory = Some(0);
     let mut order = bench.order(2, 9_000);
-    order.result_bytes = ROOM / 10;
+    order.result_bytes = RESULT_MEMORY_BYTES / 10;
     bench.offer(order);
     assert!(bench.calls.is_empty(), "the upstream has no free memory for results");
-    bench.free_room = None;
+    bench.free_memory = None;
     bench.advance(4_050);
     assert_eq!(bench.calls.len(), 1, "the results have expired after their lifetime of 4 s");
 }
@@ -291,7 +291,7 @@
 #[test]
 fn upstream_that_answers_no_memory_query_gets_calls() {
     let mut bench = Bench::new(&[("u1", "a")]);
-    bench.free_room = None;
+    bench.free_memory = None;
     let order = bench.order(2, 900);
     bench.offer(order);
     assert!(bench.calls.is_empty(), "the call waits for the answer to the memory query");
@@ -299,7 +299,7 @@
     assert_eq!(bench.calls.len(), 1);
     let order = bench.order(2, 900);
     bench.offer(order);
-    bench.tell_room("u1", None);
+    bench.report_free_memory("u1", None);
     bench.advance(210);
     bench.end_call(made);
     assert_eq!(bench.calls.len(), 1, "the next call is sent without another memory query");
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -23,7 +23,7 @@
 /// Maximum number of pieces in a call.
 pub const PIECES: u32 = 20;
 /// Memory for results of each upstream, in bytes.
-pub const ROOM: u64 = 1_000_000;
+pub const RESULT_MEMORY_BYTES: u64 = 1_000_000;
 
 pub fn rules() -> BatchRules {
     BatchRules {
@@ -31,7 +31,7 @@
         pieces: PIECES,
         call_time: Duration::from_millis(CALL_MS),
         piece_time: Duration::from_millis(PIECE_MS),
-        result_bytes: ROOM,
+        result_bytes: RESULT_MEMORY_BYTES,
         result_lifetime: Duration::from_secs(4),
     }
 }
@@ -63,7 +63,7 @@
     /// Upstreams that were queried for their free memory.
     pub asked: Vec<String>,
     /// Free memory that upstreams report at once, in bytes. `None` leaves the query unanswered.
-    pub free_room: Option<u64>,
+    pub free_memory: Option<u64>,
     /// Results of other pools that were freed after their use as inputs.
     pub fetched: Vec<ResultHandle>,
     pub next: u64,
@@ -82,7 +82,7 @@
             settled: Vec::new(),
             cancelled: Vec::new(),
             asked: Vec::new(),
-            free_room: Some(ROOM),
+            free_memory: Some(RESULT_MEMORY_BYTES),
             fetched: Vec::new(),
             next: 0,
         };
@@ -157,15 +157,15 @@
                 DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
                 DispatchAction::QueryFreeMemory { upstream, .. } => {
                     self.asked.push(upstream.clone());
-                    if self.free_room.is_some() {
-                        self.tell_room(&upstream, self.free_room);
+                    if self.free_memory.is_some() {
+                        self.report_free_memory(&upstream, self.free_memory);
                     }
                 }
             }
         }
     }
 
-    pub fn tell_room(&mut self, upstream: &str, free: Option<u64>) {
+    pub fn report_free_memory(&mut self, upstream: &str, free: Option<u64>) {
         let mut actions = Vec::new();
         self.dispatcher.record_free_memory(upstream, free, self.now, &mut actions);
         self.take(actions);
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -94,7 +94,7 @@
         }
     }
     let mut order = bench.order(8, 900);
-    order.result_bytes = batch_bench::ROOM / 10;
+    order.result_bytes = batch_bench::RESULT_MEMORY_BYTES / 10;
     bench.offer(order);
     assert!(bench.calls.is_empty(), "the failing one rests");
     republish(&mut bench, born("u1", 2_000));
