--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -264,7 +264,7 @@
     order.result_bytes = RESULT_MEMORY_BYTES / 10;
     order.is_resubmission = true;
     bench.offer(order);
-    assert_eq!(bench.asked.last().map(String::as_str), Some("u1"));
+    assert_eq!(bench.memory_queries.last().map(String::as_str), Some("u1"));
     assert_eq!(
         bench.calls[0].items.len(),
         4,
@@ -312,14 +312,18 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(2, 900);
     bench.offer(order);
-    bench.asked.clear();
+    bench.memory_queries.clear();
     for _ in 0..30 {
         let order = bench.order(2, 900);
         bench.offer(order);
         bench.advance(210);
         bench.end_call(made);
     }
-    assert!(bench.asked.is_empty(), "upstreams queried without need: {:?}", bench.asked);
+    assert!(
+        bench.memory_queries.is_empty(),
+        "upstreams queried without need: {:?}",
+        bench.memory_queries
+    );
 }
 
 /// Guards against a workspace that floods the pool and delays all other workspaces. Its pieces
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -61,7 +61,7 @@
     pub settled: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
     pub cancelled: Vec<BatchId>,
     /// Upstreams that were queried for their free memory.
-    pub asked: Vec<String>,
+    pub memory_queries: Vec<String>,
     /// Free memory that upstreams report at once, in bytes. `None` leaves the query unanswered.
     pub free_memory: Option<u64>,
     /// Results of other pools that were freed after their use as inputs.
@@ -81,7 +81,7 @@
             calls: Vec::new(),
             settled: Vec::new(),
             cancelled: Vec::new(),
-            asked: Vec::new(),
+            memory_queries: Vec::new(),
             free_memory: Some(RESULT_MEMORY_BYTES),
             fetched: Vec::new(),
             next: 0,
@@ -156,7 +156,7 @@
                 DispatchAction::FreeResults { .. } | DispatchAction::ProbeUpstream { .. } => {}
                 DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
                 DispatchAction::QueryFreeMemory { upstream, .. } => {
-                    self.asked.push(upstream.clone());
+                    self.memory_queries.push(upstream.clone());
                     if self.free_memory.is_some() {
                         self.report_free_memory(&upstream, self.free_memory);
                     }
