--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -29,7 +29,7 @@
     bench.advance(210);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items.len(), 15, "all waiting pieces fit into one call");
-    assert_eq!(bench.settled.len(), 1);
+    assert_eq!(bench.outcomes.len(), 1);
 }
 
 /// Guards against a longer backlog because calls are not full. If a call contained only whole
@@ -95,7 +95,7 @@
     assert_eq!(bench.cancelled, [timed_out_call.batch]);
     assert_ne!(bench.calls[0].upstream, timed_out_call.upstream);
     bench.end_call(made);
-    assert!(matches!(&bench.settled[..], [(settled, Ok(results))]
+    assert!(matches!(&bench.outcomes[..], [(settled, Ok(results))]
         if *settled == attempt && results.len() == 4));
 }
 
@@ -136,7 +136,7 @@
     assert_eq!(bench.calls[0].items[0].piece, 3);
     bench.advance(250);
     bench.end_call(|_| made(30));
-    assert!(matches!(&bench.settled[..], [(_, Ok(results))] if results.len() == 5));
+    assert!(matches!(&bench.outcomes[..], [(_, Ok(results))] if results.len() == 5));
 }
 
 /// Guards against repeated calls to an address that another process has taken over. That process
@@ -229,7 +229,7 @@
         }
     }
     bench.advance(6_000);
-    assert_eq!(bench.settled.len(), request_count, "every attempt has an outcome");
+    assert_eq!(bench.outcomes.len(), request_count, "every attempt has an outcome");
     let retried: usize = sends_by_request.values().map(|times| times - 1).sum();
     assert!(
         (1..=8 + 8).contains(&retried),
@@ -249,7 +249,7 @@
     let attempt = bench.offer(order);
     bench.advance(100);
     let late = (attempt, Err(PieceFault::Late));
-    assert!(bench.settled.contains(&late));
+    assert!(bench.outcomes.contains(&late));
 }
 
 /// Guards against oversized calls after a change of dispatcher. Results of the previous dispatcher
@@ -402,7 +402,7 @@
     }
     assert_eq!(call_sizes, [3, 3]);
     let successes = bench
-        .settled
+        .outcomes
         .iter()
         .filter(|(attempt, outcome)| attempts.contains(attempt) && outcome.is_ok());
     assert_eq!(successes.count(), 2);
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -26,9 +26,9 @@
     order.expires = bench.now + Duration::from_millis(1_000);
     let unservable = bench.offer(order);
     bench.advance(100);
-    let given_up: Vec<_> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
+    let given_up: Vec<_> = bench.outcomes.iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(given_up, [unservable], "0.9 s before its time is over, and nobody else");
-    assert!(matches!(bench.settled[0].1, Err(PieceFault::Late)));
+    assert!(matches!(bench.outcomes[0].1, Err(PieceFault::Late)));
 }
 
 /// The same request with enough time: it is late, and must still be served after the others.
@@ -43,7 +43,7 @@
     bench.end_call(made);
     bench.advance(CALL_MS + PIECE_MS);
     bench.end_call(made);
-    assert!(bench.settled.iter().any(|(attempt, outcome)| *attempt == late && outcome.is_ok()));
+    assert!(bench.outcomes.iter().any(|(attempt, outcome)| *attempt == late && outcome.is_ok()));
 }
 
 /// A caller is refused in a burst and told to come back. If that is sooner than the queue is made, it
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -34,14 +34,14 @@
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
-    let moved: Vec<AttemptId> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
+    let moved: Vec<AttemptId> = bench.outcomes.iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(moved, waiting);
-    assert!(bench.settled.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
-    bench.settled.clear();
+    assert!(bench.outcomes.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
+    bench.outcomes.clear();
     bench.advance(220);
     bench.end_call(made);
-    assert_eq!(bench.settled.len(), 1);
-    assert_eq!(bench.settled[0].0, called);
+    assert_eq!(bench.outcomes.len(), 1);
+    assert_eq!(bench.outcomes[0].0, called);
     assert!(bench.calls.is_empty() && bench.dispatcher.is_idle());
 }
 
@@ -56,7 +56,7 @@
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty());
+    assert!(bench.outcomes.is_empty());
     bench.advance(1_500);
     assert_eq!(bench.calls.len(), 1, "this dispatcher tries again itself");
 }
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -58,7 +58,7 @@
     pub dispatcher: BatchDispatcher,
     pub now: MonotonicTime,
     pub calls: Vec<BatchOrder>,
-    pub settled: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
+    pub outcomes: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
     pub cancelled: Vec<BatchId>,
     /// Upstreams that were queried for their free memory.
     pub memory_queries: Vec<String>,
@@ -79,7 +79,7 @@
             dispatcher: BatchDispatcher::default(),
             now: MonotonicTime::from_millis(10_000),
             calls: Vec::new(),
-            settled: Vec::new(),
+            outcomes: Vec::new(),
             cancelled: Vec::new(),
             memory_queries: Vec::new(),
             free_memory: Some(RESULT_MEMORY_BYTES),
@@ -103,7 +103,7 @@
             }
         }
         bench.advance(5_000);
-        bench.settled.clear();
+        bench.outcomes.clear();
         bench
     }
 
@@ -151,7 +151,7 @@
                 DispatchAction::Call(order) => self.calls.push(order),
                 DispatchAction::Cancel(batch) => self.cancelled.push(batch),
                 DispatchAction::ReportOutcome { attempt, outcome, .. } => {
-                    self.settled.push((attempt, outcome));
+                    self.outcomes.push((attempt, outcome));
                 }
                 DispatchAction::FreeResults { .. } | DispatchAction::ProbeUpstream { .. } => {}
                 DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -75,10 +75,13 @@
     let outcome = BatchOutcome::Answered((0..4).map(made).collect());
     bench.dispatcher.handle_outcome(ended.batch, outcome, bench.now, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty(), "results that are gone were settled");
+    assert!(bench.outcomes.is_empty(), "results that are gone were settled");
     bench.advance(200);
     bench.end_call(made);
-    assert_eq!(bench.settled.pop().map(|(each, made)| (each, made.is_ok())), Some((attempt, true)));
+    assert_eq!(
+        bench.outcomes.pop().map(|(each, made)| (each, made.is_ok())),
+        Some((attempt, true))
+    );
 }
 
 /// The life before had failed call after call, was slow, and its memory was full of results. The
@@ -103,7 +106,7 @@
         Some(12),
         "what waits and what failed"
     );
-    let failed = bench.settled.iter().filter(|(_, end)| *end == Err(PieceFault::Failed)).count();
+    let failed = bench.outcomes.iter().filter(|(_, end)| *end == Err(PieceFault::Failed)).count();
     assert_eq!(failed, 0);
 }
 
