--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -26,11 +26,11 @@
     let order = order_with_inputs(&mut bench, 2);
     bench.offer(order);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "the call may not have begun yet");
+    assert!(bench.freed_inputs.is_empty(), "the call may not have begun yet");
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert_eq!(bench.calls.len(), 1, "the call goes on");
-    assert_eq!(bench.fetched, [ResultHandle::new("10.0.0.1:9/1")]);
+    assert_eq!(bench.freed_inputs, [ResultHandle::new("10.0.0.1:9/1")]);
 }
 
 /// A request has more pieces than one call holds. Its inputs are needed again by its second call:
@@ -42,11 +42,11 @@
     bench.offer(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "one piece still waits");
+    assert!(bench.freed_inputs.is_empty(), "one piece still waits");
     bench.end_call(made);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert_eq!(bench.fetched.len(), 1);
+    assert_eq!(bench.freed_inputs.len(), 1);
 }
 
 /// Two steps need the same results. The first one to fetch them must leave them to the other.
@@ -58,7 +58,7 @@
     bench.offer(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty());
+    assert!(bench.freed_inputs.is_empty());
 }
 
 fn free_unneeded_results(bench: &mut Bench) {
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -65,7 +65,7 @@
     /// Free memory that upstreams report at once, in bytes. `None` leaves the query unanswered.
     pub free_memory: Option<u64>,
     /// Results of other pools that were freed after their use as inputs.
-    pub fetched: Vec<ResultHandle>,
+    pub freed_inputs: Vec<ResultHandle>,
     pub next: u64,
 }
 
@@ -83,7 +83,7 @@
             cancelled: Vec::new(),
             memory_queries: Vec::new(),
             free_memory: Some(RESULT_MEMORY_BYTES),
-            fetched: Vec::new(),
+            freed_inputs: Vec::new(),
             next: 0,
         };
         bench.dispatcher.set_retries(RetryLimits {
@@ -154,7 +154,7 @@
                     self.outcomes.push((attempt, outcome));
                 }
                 DispatchAction::FreeResults { .. } | DispatchAction::ProbeUpstream { .. } => {}
-                DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
+                DispatchAction::FreeInputs { results, .. } => self.freed_inputs.extend(results),
                 DispatchAction::QueryFreeMemory { upstream, .. } => {
                     self.memory_queries.push(upstream.clone());
                     if self.free_memory.is_some() {
