--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -19,11 +19,11 @@
 fn pieces_that_wait_during_a_call_share_the_next_call() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let first = bench.order(2, 900);
-    bench.offer(first);
+    bench.submit_pieces(first);
     assert_eq!(bench.calls[0].items.len(), 2, "a free upstream gets a call at once");
     for _ in 0..5 {
         let order = bench.order(3, 900);
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     assert_eq!(bench.calls.len(), 1, "the upstream runs only one call at a time");
     bench.advance(210);
@@ -39,7 +39,7 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..9 {
         let order = bench.order(3, 900);
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     bench.advance(220);
     bench.end_call(made);
@@ -52,11 +52,11 @@
 fn pieces_with_the_earliest_due_time_go_first() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
-    bench.offer(busy);
+    bench.submit_pieces(busy);
     let later = bench.order(PIECES, 3_000);
-    let later = bench.offer(later);
+    let later = bench.submit_pieces(later);
     let sooner = bench.order(PIECES, 700);
-    let sooner = bench.offer(sooner);
+    let sooner = bench.submit_pieces(sooner);
     bench.advance(200);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", sooner.call.0));
@@ -72,12 +72,12 @@
 fn late_pieces_wait_for_pieces_that_can_be_on_time() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
-    bench.offer(busy);
+    bench.submit_pieces(busy);
     let late = bench.order(PIECES, 100);
-    bench.offer(late);
+    bench.submit_pieces(late);
     bench.advance(200);
     let fresh = bench.order(PIECES, 700);
-    let fresh = bench.offer(fresh);
+    let fresh = bench.submit_pieces(fresh);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", fresh.call.0));
 }
@@ -89,7 +89,7 @@
 fn pieces_of_a_timed_out_call_go_to_another_upstream() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "a")]);
     let order = bench.order(4, 2_000);
-    let attempt = bench.offer(order);
+    let attempt = bench.submit_pieces(order);
     let timed_out_call = bench.calls.remove(0);
     bench.advance(1_500);
     assert_eq!(bench.cancelled, [timed_out_call.batch]);
@@ -106,7 +106,7 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     let mut order = bench.order(10, 900);
     order.result_bytes = 200_000;
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_eq!(
         bench.calls[0].items.len(),
         4,
@@ -129,7 +129,7 @@
 fn single_failed_piece_is_retried_alone() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(5, 2_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.advance(250);
     bench.end_call(|index| if index == 3 { ItemOutcome::Failed } else { made(index) });
     assert_eq!(bench.calls[0].items.len(), 1);
@@ -145,13 +145,13 @@
 fn address_of_another_process_gets_no_more_calls() {
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "a")]);
     let order = bench.order(5, 2_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     let refused_call = bench.end_call_as(BatchOutcome::WrongProcess);
     assert_ne!(bench.calls[0].upstream, refused_call.upstream);
     bench.advance(250);
     bench.end_call(made);
     let order = bench.order(5, 2_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_ne!(bench.calls[0].upstream, refused_call.upstream);
 }
 
@@ -162,11 +162,11 @@
     let mut bench = Bench::new(&[("u1", "a"), ("u2", "b")]);
     let mut order = bench.order(1, 2_000);
     order.zone = Some("b".to_owned());
-    bench.offer(order.clone());
+    bench.submit_pieces(order.clone());
     assert_eq!(bench.calls[0].upstream, "u2");
     let mut order = bench.order(1, 2_000);
     order.zone = Some("b".to_owned());
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_eq!(
         bench.calls.len(),
         1,
@@ -174,7 +174,7 @@
     );
     let mut order = bench.order(1, 300);
     order.zone = Some("b".to_owned());
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_eq!(bench.calls[1].upstream, "u1", "the pieces would be late if they waited for zone b");
 }
 
@@ -187,8 +187,8 @@
     let slow_upstream = "u1";
     for _ in 0..2 {
         let (order, other) = (bench.order(1, 2_000), bench.order(1, 2_000));
-        bench.offer(order);
-        bench.offer(other);
+        bench.submit_pieces(order);
+        bench.submit_pieces(other);
         bench.calls.sort_by(|left, right| right.upstream.cmp(&left.upstream));
         bench.advance(205);
         bench.end_call(made);
@@ -196,11 +196,11 @@
         bench.end_call(made);
     }
     let order = bench.order(PIECES, 2_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_ne!(bench.calls[0].upstream, slow_upstream);
     bench.advance(100);
     let order = bench.order(PIECES, 2_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_eq!(
         bench.calls.len(),
         1,
@@ -218,7 +218,7 @@
     let mut sends_by_request: HashMap<String, usize> = HashMap::new();
     for _ in 0..40 {
         let order = bench.order(1, 900);
-        bench.offer(order);
+        bench.submit_pieces(order);
         request_count += 1;
         bench.advance(250);
         while !bench.calls.is_empty() {
@@ -243,10 +243,10 @@
 fn expired_pieces_fail_while_they_wait() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 900);
-    bench.offer(busy);
+    bench.submit_pieces(busy);
     let mut order = bench.order(1, 100);
     order.expires = bench.now + Duration::from_millis(250);
-    let attempt = bench.offer(order);
+    let attempt = bench.submit_pieces(order);
     bench.advance(100);
     let late = (attempt, Err(PieceFault::Late));
     assert!(bench.outcomes.contains(&late));
@@ -263,7 +263,7 @@
     let mut order = bench.order(10, 900);
     order.result_bytes = RESULT_MEMORY_BYTES / 10;
     order.is_resubmission = true;
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert_eq!(bench.memory_queries.last().map(String::as_str), Some("u1"));
     assert_eq!(
         bench.calls[0].items.len(),
@@ -279,7 +279,7 @@
     bench.free_memory = Some(0);
     let mut order = bench.order(2, 9_000);
     order.result_bytes = RESULT_MEMORY_BYTES / 10;
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert!(bench.calls.is_empty(), "the upstream has no free memory for results");
     bench.free_memory = None;
     bench.advance(4_050);
@@ -293,12 +293,12 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     bench.free_memory = None;
     let order = bench.order(2, 900);
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert!(bench.calls.is_empty(), "the call waits for the answer to the memory query");
     bench.advance(50);
     assert_eq!(bench.calls.len(), 1);
     let order = bench.order(2, 900);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.report_free_memory("u1", None);
     bench.advance(210);
     bench.end_call(made);
@@ -311,11 +311,11 @@
 fn running_dispatcher_sends_no_memory_queries() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(2, 900);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.memory_queries.clear();
     for _ in 0..30 {
         let order = bench.order(2, 900);
-        bench.offer(order);
+        bench.submit_pieces(order);
         bench.advance(210);
         bench.end_call(made);
     }
@@ -332,15 +332,15 @@
 fn pieces_of_a_flooding_workspace_go_last() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let running = bench.order(1, 900);
-    bench.offer(running);
+    bench.submit_pieces(running);
     for _ in 0..PIECES {
         let mut order = bench.order(1, 900);
         order.is_flood = true;
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     let other = bench.order(1, 1_500);
     let name = other.request.clone();
-    bench.offer(other);
+    bench.submit_pieces(other);
     bench.advance(CALL_MS + PIECE_MS);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items[0].request, name);
@@ -359,18 +359,18 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..40 {
         let order = bench.order(PIECES, 5_000);
-        bench.offer(order);
+        bench.submit_pieces(order);
         while !bench.calls.is_empty() {
             bench.advance(CALL_MS + PIECE_MS * u64::from(PIECES));
             bench.end_call(made);
         }
     }
     let busy = bench.order(1, 900);
-    bench.offer(busy);
+    bench.submit_pieces(busy);
     let small_call = bench.order(PIECES, 200 + CALL_MS + PIECE_MS);
-    let small_call = bench.offer(small_call);
+    let small_call = bench.submit_pieces(small_call);
     let on_time = bench.order(PIECES, 900);
-    let on_time = bench.offer(on_time);
+    let on_time = bench.submit_pieces(on_time);
     bench.advance(200);
     bench.end_call(made);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", on_time.call.0));
@@ -385,9 +385,9 @@
 fn requests_of_failed_calls_get_separate_calls() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let busy = bench.order(1, 4_000);
-    bench.offer(busy);
+    bench.submit_pieces(busy);
     let attempts: Vec<_> = (0..2).map(|_| bench.order(3, 4_000)).collect();
-    let attempts: Vec<_> = attempts.into_iter().map(|order| bench.offer(order)).collect();
+    let attempts: Vec<_> = attempts.into_iter().map(|order| bench.submit_pieces(order)).collect();
     bench.advance(210);
     bench.end_call(made);
     for _ in 0..2 {
--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -24,7 +24,7 @@
 fn inputs_are_given_up_once_they_are_fetched() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, 2);
-    bench.offer(order);
+    bench.submit_pieces(order);
     free_unneeded_results(&mut bench);
     assert!(bench.freed_inputs.is_empty(), "the call may not have begun yet");
     bench.advance(FETCHED_MS);
@@ -39,7 +39,7 @@
 fn inputs_of_pieces_that_wait_are_kept() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, PIECES + 1);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert!(bench.freed_inputs.is_empty(), "one piece still waits");
@@ -55,7 +55,7 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     let mut order = order_with_inputs(&mut bench, 2);
     order.inputs_pool = None;
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert!(bench.freed_inputs.is_empty());
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -20,11 +20,11 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..7 {
         let order = bench.order(PIECES, 6_000);
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     let mut order = bench.order(1, 0);
     order.expires = bench.now + Duration::from_millis(1_000);
-    let unservable = bench.offer(order);
+    let unservable = bench.submit_pieces(order);
     bench.advance(100);
     let given_up: Vec<_> = bench.outcomes.iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(given_up, [unservable], "0.9 s before its time is over, and nobody else");
@@ -36,9 +36,9 @@
 fn late_pieces_with_time_left_are_made() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(PIECES, 6_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     let late = bench.order(1, 0);
-    let late = bench.offer(late);
+    let late = bench.submit_pieces(late);
     bench.advance(FULL_MS);
     bench.end_call(made);
     bench.advance(CALL_MS + PIECE_MS);
@@ -55,7 +55,7 @@
     assert_eq!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after(), Duration::ZERO);
     for _ in 0..7 {
         let order = bench.order(PIECES, 6_000);
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     bench.advance(50);
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
@@ -77,11 +77,11 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..7 {
         let order = bench.order(PIECES, 6_000);
-        bench.offer(order);
+        bench.submit_pieces(order);
     }
     let mut unservable = bench.order(1, 0);
     unservable.expires = bench.now + Duration::from_millis(1_000);
-    bench.offer(unservable);
+    bench.submit_pieces(unservable);
     bench.advance(100);
     assert!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after() > Duration::from_secs(2));
     while !bench.calls.is_empty() {
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -24,11 +24,11 @@
 fn waiting_pieces_move_and_called_ones_stay() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let called = bench.order(PIECES, 900);
-    let called = bench.offer(called);
+    let called = bench.submit_pieces(called);
     let waiting: Vec<AttemptId> = (0..3)
         .map(|_| {
             let order = bench.order(4, 900);
-            bench.offer(order)
+            bench.submit_pieces(order)
         })
         .collect();
     let mut steps = Vec::new();
@@ -51,7 +51,7 @@
 fn pieces_that_were_in_a_call_are_not_new_elsewhere() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.end_call_as(crocusdale_core::batching::BatchOutcome::Broken);
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -96,7 +96,7 @@
         // up the retries. First attempts fill the budget.
         for _ in 0..100 {
             let order = bench.order(1, 900);
-            bench.offer(order);
+            bench.submit_pieces(order);
             bench.advance(CALL_MS + PIECE_MS);
             while !bench.calls.is_empty() {
                 bench.end_call(made);
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn offer(&mut self, order: PieceOrder) -> AttemptId {
+    pub fn submit_pieces(&mut self, order: PieceOrder) -> AttemptId {
         let (attempt, mut actions) = (order.attempt, Vec::new());
         self.dispatcher.submit(order, 0, self.now, &mut actions);
         self.take(actions);
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -63,7 +63,7 @@
 fn call_of_an_ended_life_is_lost_at_once() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
-    let attempt = bench.offer(order);
+    let attempt = bench.submit_pieces(order);
     let ended = bench.calls.remove(0);
     bench.advance(50);
     republish(&mut bench, born("u1", 2_000));
@@ -91,14 +91,14 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..4 {
         let order = bench.order(1, 500);
-        bench.offer(order);
+        bench.submit_pieces(order);
         while !bench.calls.is_empty() {
             bench.end_call_as(BatchOutcome::Broken);
         }
     }
     let mut order = bench.order(8, 900);
     order.result_bytes = batch_bench::RESULT_MEMORY_BYTES / 10;
-    bench.offer(order);
+    bench.submit_pieces(order);
     assert!(bench.calls.is_empty(), "the failing one rests");
     republish(&mut bench, born("u1", 2_000));
     assert_eq!(
