--- a/crates/crocusdale_core/tests/batch_pool_test.rs
+++ b/crates/crocusdale_core/tests/batch_pool_test.rs
@@ -10,7 +10,7 @@
 use crocusdale_core::batching::{BatchOutcome, ItemOutcome};
 use crocusdale_core::pipeline::PieceFault;
 
-use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, RESULT_MEMORY_BYTES, made};
+use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, RESULT_MEMORY_BYTES, successful_item};
 
 /// Guards against late answers in a burst of small requests. A call of its own for each request
 /// would take a fifth of a second, and all but the first few would miss their latency objectives.
@@ -27,7 +27,7 @@
     }
     assert_eq!(bench.calls.len(), 1, "the upstream runs only one call at a time");
     bench.advance(210);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items.len(), 15, "all waiting pieces fit into one call");
     assert_eq!(bench.outcomes.len(), 1);
 }
@@ -42,7 +42,7 @@
         bench.submit_pieces(order);
     }
     bench.advance(220);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items.len(), PIECES as usize);
 }
 
@@ -58,10 +58,10 @@
     let sooner = bench.order(PIECES, 700);
     let sooner = bench.submit_pieces(sooner);
     bench.advance(200);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", sooner.call.0));
     bench.advance(300);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", later.call.0));
 }
 
@@ -78,7 +78,7 @@
     bench.advance(200);
     let fresh = bench.order(PIECES, 700);
     let fresh = bench.submit_pieces(fresh);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", fresh.call.0));
 }
 
@@ -94,7 +94,7 @@
     bench.advance(1_500);
     assert_eq!(bench.cancelled, [timed_out_call.batch]);
     assert_ne!(bench.calls[0].upstream, timed_out_call.upstream);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert!(matches!(&bench.outcomes[..], [(settled, Ok(results))]
         if *settled == attempt && results.len() == 4));
 }
@@ -113,7 +113,7 @@
         "four results of 200 kB fit into 0.9 of the result memory of 1 MB"
     );
     bench.advance(250);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert!(bench.calls.is_empty(), "the upstream still stores the results of the first call");
     bench.advance(4_100);
     assert_eq!(
@@ -131,11 +131,11 @@
     let order = bench.order(5, 2_000);
     bench.submit_pieces(order);
     bench.advance(250);
-    bench.end_call(|index| if index == 3 { ItemOutcome::Failed } else { made(index) });
+    bench.end_call(|index| if index == 3 { ItemOutcome::Failed } else { successful_item(index) });
     assert_eq!(bench.calls[0].items.len(), 1);
     assert_eq!(bench.calls[0].items[0].piece, 3);
     bench.advance(250);
-    bench.end_call(|_| made(30));
+    bench.end_call(|_| successful_item(30));
     assert!(matches!(&bench.outcomes[..], [(_, Ok(results))] if results.len() == 5));
 }
 
@@ -149,7 +149,7 @@
     let refused_call = bench.end_call_as(BatchOutcome::WrongProcess);
     assert_ne!(bench.calls[0].upstream, refused_call.upstream);
     bench.advance(250);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     let order = bench.order(5, 2_000);
     bench.submit_pieces(order);
     assert_ne!(bench.calls[0].upstream, refused_call.upstream);
@@ -191,9 +191,9 @@
         bench.submit_pieces(other);
         bench.calls.sort_by(|left, right| right.upstream.cmp(&left.upstream));
         bench.advance(205);
-        bench.end_call(made);
+        bench.end_call(successful_item);
         bench.advance(550);
-        bench.end_call(made);
+        bench.end_call(successful_item);
     }
     let order = bench.order(PIECES, 2_000);
     bench.submit_pieces(order);
@@ -301,7 +301,7 @@
     bench.submit_pieces(order);
     bench.report_free_memory("u1", None);
     bench.advance(210);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls.len(), 1, "the next call is sent without another memory query");
 }
 
@@ -317,7 +317,7 @@
         let order = bench.order(2, 900);
         bench.submit_pieces(order);
         bench.advance(210);
-        bench.end_call(made);
+        bench.end_call(successful_item);
     }
     assert!(
         bench.memory_queries.is_empty(),
@@ -342,7 +342,7 @@
     let name = other.request.clone();
     bench.submit_pieces(other);
     bench.advance(CALL_MS + PIECE_MS);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, name);
     assert_eq!(
         bench.calls[0].items.len(),
@@ -362,7 +362,7 @@
         bench.submit_pieces(order);
         while !bench.calls.is_empty() {
             bench.advance(CALL_MS + PIECE_MS * u64::from(PIECES));
-            bench.end_call(made);
+            bench.end_call(successful_item);
         }
     }
     let busy = bench.order(1, 900);
@@ -372,10 +372,10 @@
     let on_time = bench.order(PIECES, 900);
     let on_time = bench.submit_pieces(on_time);
     bench.advance(200);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", on_time.call.0));
     bench.advance(CALL_MS + PIECE_MS * u64::from(PIECES));
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.calls[0].items[0].request, format!("request-{}", small_call.call.0));
 }
 
@@ -389,7 +389,7 @@
     let attempts: Vec<_> = (0..2).map(|_| bench.order(3, 4_000)).collect();
     let attempts: Vec<_> = attempts.into_iter().map(|order| bench.submit_pieces(order)).collect();
     bench.advance(210);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     for _ in 0..2 {
         assert_eq!(bench.calls[0].items.len(), 6, "both requests share the call");
         bench.end_call_as(BatchOutcome::Broken);
@@ -397,7 +397,7 @@
     }
     let mut call_sizes = Vec::new();
     for _ in 0..2 {
-        call_sizes.push(bench.end_call(made).items.len());
+        call_sizes.push(bench.end_call(successful_item).items.len());
         bench.advance(50);
     }
     assert_eq!(call_sizes, [3, 3]);
--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "no test file uses all of it")]
 mod batch_bench;
 
-use batch_bench::{Bench, PIECES, made};
+use batch_bench::{Bench, PIECES, successful_item};
 use crocusdale_core::pipeline::{PieceOrder, PieceSource, ResultHandle};
 
 /// Time after which a call has fetched its inputs, and some more.
@@ -43,7 +43,7 @@
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert!(bench.freed_inputs.is_empty(), "one piece still waits");
-    bench.end_call(made);
+    bench.end_call(successful_item);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert_eq!(bench.freed_inputs.len(), 1);
--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, POOL, made};
+use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, POOL, successful_item};
 use crocusdale_core::pipeline::PieceFault;
 
 /// Time of a full call.
@@ -40,9 +40,9 @@
     let late = bench.order(1, 0);
     let late = bench.submit_pieces(late);
     bench.advance(FULL_MS);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     bench.advance(CALL_MS + PIECE_MS);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert!(bench.outcomes.iter().any(|(attempt, outcome)| *attempt == late && outcome.is_ok()));
 }
 
@@ -86,7 +86,7 @@
     assert!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after() > Duration::from_secs(2));
     while !bench.calls.is_empty() {
         bench.advance(FULL_MS);
-        bench.end_call(made);
+        bench.end_call(successful_item);
     }
     bench.advance(50);
     assert_eq!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after(), Duration::ZERO);
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use batch_bench::{Bench, PIECES, made};
+use batch_bench::{Bench, PIECES, successful_item};
 use crocusdale_core::identity::AttemptId;
 use crocusdale_core::pipeline::{
     AttemptEvent, ExecutionStatus, OutcomeKind, PieceFault, RefusalReason,
@@ -39,7 +39,7 @@
     assert!(bench.outcomes.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
     bench.outcomes.clear();
     bench.advance(220);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(bench.outcomes.len(), 1);
     assert_eq!(bench.outcomes[0].0, called);
     assert!(bench.calls.is_empty() && bench.dispatcher.is_idle());
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -99,7 +99,7 @@
             bench.submit_pieces(order);
             bench.advance(CALL_MS + PIECE_MS);
             while !bench.calls.is_empty() {
-                bench.end_call(made);
+                bench.end_call(successful_item);
             }
         }
         bench.advance(5_000);
@@ -202,6 +202,6 @@
     }
 }
 
-pub fn made(index: usize) -> ItemOutcome {
+pub fn successful_item(index: usize) -> ItemOutcome {
     ItemOutcome::Made(ResultHandle::new(&format!("127.0.0.1:9000/{index}")))
 }
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use batch_bench::{Bench, declarations, entry, made};
+use batch_bench::{Bench, declarations, entry, successful_item};
 use crocusdale_core::batching::BatchOutcome;
 use crocusdale_core::configuration::{AllowedRegions, DeclarationsBuilder, PoolKind, StageRules};
 use crocusdale_core::identity::{CallId, MonotonicTime};
@@ -72,14 +72,14 @@
     assert_eq!((upstream.as_str(), process.as_str()), ("u1 born 2000", "u1"));
     assert_eq!(bench.calls[0].items.len(), 4);
     let mut steps = Vec::new();
-    let outcome = BatchOutcome::Answered((0..4).map(made).collect());
+    let outcome = BatchOutcome::Answered((0..4).map(successful_item).collect());
     bench.dispatcher.handle_outcome(ended.batch, outcome, bench.now, &mut steps);
     bench.take(steps);
     assert!(bench.outcomes.is_empty(), "results that are gone were settled");
     bench.advance(200);
-    bench.end_call(made);
+    bench.end_call(successful_item);
     assert_eq!(
-        bench.outcomes.pop().map(|(each, made)| (each, made.is_ok())),
+        bench.outcomes.pop().map(|(each, successful_item)| (each, successful_item.is_ok())),
         Some((attempt, true))
     );
 }
