--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -57,7 +57,7 @@
             last = Some(daemon.now);
         }
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/crashing_piece_test.rs
+++ b/crates/crocusdale_core/tests/crashing_piece_test.rs
@@ -61,7 +61,7 @@
             }
         }
         for relay in std::mem::take(&mut self.daemon.relays) {
-            self.daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            self.daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             self.daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         self.daemon.advance(100);
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -22,10 +22,10 @@
     let first = daemon.last_relay();
     assert!(first.needs_new_connection, "a kept connection may close just as the order is written");
     assert_eq!(first.workspace.as_deref(), Some("letters"));
-    daemon.headed(first.attempt, 503, ExecutionStatus::Declined);
+    daemon.receive_head(first.attempt, 503, ExecutionStatus::Declined);
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
-    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 200, ExecutionStatus::Ran);
     assert_eq!(daemon.passed_on, [second.attempt]);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
@@ -53,11 +53,11 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 500, ExecutionStatus::Ran);
+    daemon.receive_head(first.attempt, 500, ExecutionStatus::Ran);
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     assert!(daemon.cancelled.contains(&first.attempt));
-    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -69,9 +69,9 @@
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2", "n3"], &[]);
     daemon.submit("/ask/7");
-    daemon.headed(daemon.last_relay().attempt, 500, ExecutionStatus::Ran);
+    daemon.receive_head(daemon.last_relay().attempt, 500, ExecutionStatus::Ran);
     let second = daemon.last_relay();
-    daemon.headed(second.attempt, 500, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 2, "two attempts are declared");
     assert_eq!(daemon.passed_on, [second.attempt]);
 }
@@ -85,7 +85,7 @@
     let first = daemon.last_relay();
     let other = if first.upstream == "n1" { "n2" } else { "n1" };
     daemon.publish(&["n1", "n2"], &[other]);
-    daemon.headed(first.attempt, 500, ExecutionStatus::Ran);
+    daemon.receive_head(first.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 1);
     assert_eq!(daemon.passed_on, [first.attempt]);
 }
@@ -100,7 +100,7 @@
     daemon.make_pieces();
     let first = daemon.last_relay();
     assert_eq!(first.inputs.len(), 3);
-    daemon.headed(first.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::StreamStarted);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     assert_eq!(daemon.relays.len(), 1, "an engine would refuse it without its inputs");
@@ -109,7 +109,7 @@
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     assert_eq!(second.inputs.len(), 3);
-    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -123,11 +123,11 @@
     daemon.advance(220);
     daemon.make_pieces();
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     let second = daemon.last_relay();
     assert_ne!(second.attempt, first.attempt);
-    daemon.headed(second.attempt, 500, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.passed_on, [first.attempt]);
     assert_eq!(
         daemon.answer(call),
@@ -230,9 +230,9 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
-    daemon.headed(first.attempt, 421, ExecutionStatus::WrongProcess);
+    daemon.receive_head(first.attempt, 421, ExecutionStatus::WrongProcess);
     let second = daemon.last_relay();
-    daemon.headed(second.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(second.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     let (_, answer) = daemon.answers.iter().find(|(each, _)| *each == call).expect("answered");
     let stage = &answer.stages[0];
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -40,7 +40,7 @@
     daemon.advance(800);
     assert_eq!(daemon.batches.len(), 1, "there is room again");
     daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -75,7 +75,7 @@
     let mut asked = Vec::new();
     for relay in std::mem::take(&mut daemon.relays) {
         asked.push(relay.upstream.clone());
-        daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+        daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
         daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
     }
     asked
@@ -392,7 +392,7 @@
             }
             for relay in std::mem::take(&mut daemon.relays) {
                 asked.push(relay.upstream.clone());
-                daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+                daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
                 // It is cut, and goes on at another engine.
                 let cut = crocusdale_core::pipeline::BreakReason::Cut;
                 daemon.attempt(relay.attempt, AttemptEvent::Broken(cut));
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -57,7 +57,7 @@
         let to_leaving = daemon.relays.iter().filter(|relay| relay.upstream == "n1");
         last = last.max(to_leaving.map(|relay| relay.write_by).max());
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -77,7 +77,7 @@
     assert_eq!(daemon.answer(call), None);
     daemon.advance(110);
     daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
     let call = daemon.submit("/digest/8");
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -25,7 +25,7 @@
 fn answer_relays(daemon: &mut Daemon) {
     while !daemon.relays.is_empty() {
         for relay in std::mem::take(&mut daemon.relays) {
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
--- a/crates/crocusdale_core/tests/process_pause_test.rs
+++ b/crates/crocusdale_core/tests/process_pause_test.rs
@@ -60,7 +60,7 @@
     daemon.feed(DaemonEvent::Timer(TimerKey::Housekeeping));
     assert_eq!(daemon.batches.len(), 1, "the pieces were called for again");
     daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -86,7 +86,7 @@
         daemon.submit("/ask/1");
         let order = daemon.last_relay();
         paused(&mut daemon, pause);
-        daemon.headed(order.attempt, 200, ExecutionStatus::Ran);
+        daemon.receive_head(order.attempt, 200, ExecutionStatus::Ran);
         daemon.attempt(order.attempt, AttemptEvent::ResponseForwarded);
         let learned = daemon.core.dump(daemon.now).upstreams;
         let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
@@ -101,7 +101,7 @@
     daemon.submit("/ask/1");
     let order = daemon.last_relay();
     daemon.advance(600);
-    daemon.headed(order.attempt, 200, ExecutionStatus::Ran);
+    daemon.receive_head(order.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(order.attempt, AttemptEvent::ResponseForwarded);
     let learned = daemon.core.dump(daemon.now).upstreams;
     let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -331,7 +331,7 @@
         self.feed(DaemonEvent::Attempt { attempt, event });
     }
 
-    pub fn headed(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
+    pub fn receive_head(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
         self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -52,7 +52,7 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             asked.push((relay.upstream.clone(), relay.write_by));
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         daemon.advance(100);
@@ -108,7 +108,7 @@
             if relay.upstream == "n1" {
                 last = last.max(relay.write_by);
             }
-            daemon.headed(relay.attempt, 503, ExecutionStatus::Declined);
+            daemon.receive_head(relay.attempt, 503, ExecutionStatus::Declined);
         }
         let asked = ask(&mut daemon, 30);
         assert_eq!(count_of(&asked, "n1"), 0, "{notice_of:?}");
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -116,7 +116,7 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
