--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -26,7 +26,7 @@
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     daemon.receive_head(second.attempt, 200, ExecutionStatus::Ran);
-    assert_eq!(daemon.passed_on, [second.attempt]);
+    assert_eq!(daemon.released_answers, [second.attempt]);
     daemon.attempt(second.attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
@@ -73,7 +73,7 @@
     let second = daemon.last_relay();
     daemon.receive_head(second.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 2, "two attempts are declared");
-    assert_eq!(daemon.passed_on, [second.attempt]);
+    assert_eq!(daemon.released_answers, [second.attempt]);
 }
 
 /// A question fails, and the only other upstream has just left. The failure that was kept back is
@@ -87,7 +87,7 @@
     daemon.publish(&["n1", "n2"], &[other]);
     daemon.receive_head(first.attempt, 500, ExecutionStatus::Ran);
     assert_eq!(daemon.relays.len(), 1);
-    assert_eq!(daemon.passed_on, [first.attempt]);
+    assert_eq!(daemon.released_answers, [first.attempt]);
 }
 
 /// A digest's engine dies in the middle of its stream. Another engine goes on; the pieces whose
@@ -128,7 +128,7 @@
     let second = daemon.last_relay();
     assert_ne!(second.attempt, first.attempt);
     daemon.receive_head(second.attempt, 500, ExecutionStatus::Ran);
-    assert_eq!(daemon.passed_on, [first.attempt]);
+    assert_eq!(daemon.released_answers, [first.attempt]);
     assert_eq!(
         daemon.answer(call),
         Some((OutcomeKind::Failed, Some(RefusalReason::UpstreamError)))
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -428,7 +428,7 @@
     // Eight seconds, of which a dispatcher waits two for the one before it.
     assert!((4..=8).contains(&calls), "{calls} calls in 8 s");
     assert!(others > 20, "the other one works: {others}");
-    assert!(!daemon.spared.is_empty(), "it is not told of results");
+    assert!(!daemon.excluded_addresses.is_empty(), "it is not told of results");
 }
 
 /// Name of the limited upstream of a single daemon.
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -113,8 +113,8 @@
     /// Results that the daemon has freed at their upstreams.
     pub freed: Vec<ResultHandle>,
     /// Addresses of the upstreams that were excluded from freeing results.
-    pub spared: Vec<SocketAddr>,
-    pub passed_on: Vec<AttemptId>,
+    pub excluded_addresses: Vec<SocketAddr>,
+    pub released_answers: Vec<AttemptId>,
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(CallId, FinalAnswer)>,
     /// Start times of the reads of the platform that the test has not answered.
@@ -171,8 +171,8 @@
             relays: Vec::new(),
             batches: Vec::new(),
             freed: Vec::new(),
-            spared: Vec::new(),
-            passed_on: Vec::new(),
+            excluded_addresses: Vec::new(),
+            released_answers: Vec::new(),
             cancelled: Vec::new(),
             answers: Vec::new(),
             readings: Vec::new(),
@@ -258,9 +258,9 @@
                 Command::CallBatch(order) => self.batches.push(order),
                 Command::FreeResults { results, excluded } => {
                     self.freed.extend(results);
-                    self.spared.extend(excluded);
+                    self.excluded_addresses.extend(excluded);
                 }
-                Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
+                Command::ReleaseAnswer { attempt, .. } => self.released_answers.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
                 Command::Reply { call, answer } => self.answers.push((call, answer)),
                 Command::ProbeUpstream { upstream, .. } => self.probes.push(upstream),
