--- a/crates/crocusdale_core/tests/crashing_piece_test.rs
+++ b/crates/crocusdale_core/tests/crashing_piece_test.rs
@@ -57,7 +57,7 @@
                 self.replace_crashed(&order.upstream);
             } else {
                 self.daemon.batches.insert(0, order);
-                self.daemon.make_pieces();
+                self.daemon.complete_batch();
             }
         }
         for relay in std::mem::take(&mut self.daemon.relays) {
--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -97,7 +97,7 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     daemon.advance(220);
-    daemon.make_pieces();
+    daemon.complete_batch();
     let first = daemon.last_relay();
     assert_eq!(first.inputs.len(), 3);
     daemon.receive_head(first.attempt, 200, ExecutionStatus::Ran);
@@ -105,7 +105,7 @@
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
     assert_eq!(daemon.relays.len(), 1, "an engine would refuse it without its inputs");
     daemon.advance(5_00);
-    daemon.make_pieces();
+    daemon.complete_batch();
     let second = daemon.last_relay();
     assert_ne!(second.upstream, first.upstream);
     assert_eq!(second.inputs.len(), 3);
@@ -121,7 +121,7 @@
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     daemon.advance(220);
-    daemon.make_pieces();
+    daemon.complete_batch();
     let first = daemon.last_relay();
     daemon.receive_head(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
@@ -218,7 +218,7 @@
     for daemon in [&mut first, &mut second] {
         daemon.submit("/digest/7");
         daemon.advance(220);
-        daemon.make_pieces();
+        daemon.complete_batch();
     }
     assert_eq!(first.last_relay().upstream, second.last_relay().upstream);
 }
@@ -250,12 +250,12 @@
         let mut daemon = Daemon::new();
         daemon.submit(path);
         daemon.advance(110);
-        daemon.make_pieces();
+        daemon.complete_batch();
         daemon.advance(110);
         assert_eq!(daemon.batches.len(), 1, "the second step is under way");
         daemon.advance(100);
         assert_eq!(daemon.freed.len(), given_up, "{path}");
-        daemon.make_pieces();
+        daemon.complete_batch();
         daemon.advance(100);
         assert!(daemon.freed.len() >= 3, "{path}: nobody needs them any more");
     }
--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -39,7 +39,7 @@
     assert!(daemon.batches.is_empty(), "the pool is still full");
     daemon.advance(800);
     assert_eq!(daemon.batches.len(), 1, "there is room again");
-    daemon.make_pieces();
+    daemon.complete_batch();
     daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -388,7 +388,7 @@
         daemon.submit("/digest/it");
         for _ in 0..10 {
             while !daemon.batches.is_empty() {
-                daemon.make_pieces();
+                daemon.complete_batch();
             }
             for relay in std::mem::take(&mut daemon.relays) {
                 asked.push(relay.upstream.clone());
@@ -419,7 +419,7 @@
         while let Some(batch) = daemon.batches.first() {
             calls += usize::from(batch.upstream == "s1");
             others += usize::from(batch.upstream == "s2");
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
         // The dispatcher before it may call it for two seconds more.
         assert!(calls == 0 || round >= 10, "called in round {round}");
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -76,7 +76,7 @@
     daemon.attempt(attempt(1), moved());
     assert_eq!(daemon.answer(call), None);
     daemon.advance(110);
-    daemon.make_pieces();
+    daemon.complete_batch();
     daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -103,7 +103,7 @@
             called.insert(order.upstream.clone());
         }
         while !daemon.batches.is_empty() {
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
         answer_relays(&mut daemon);
         daemon.advance(200);
@@ -129,7 +129,7 @@
     daemon.publish(&["n1"], &[]);
     for _ in 0..20 {
         while !daemon.batches.is_empty() {
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
         answer_relays(&mut daemon);
         daemon.advance(100);
--- a/crates/crocusdale_core/tests/process_pause_test.rs
+++ b/crates/crocusdale_core/tests/process_pause_test.rs
@@ -38,7 +38,7 @@
         daemon.advance(QUESTION_MS);
         let open = daemon.batches[0].upstream.clone();
         paused(&mut daemon, pause);
-        daemon.make_pieces();
+        daemon.complete_batch();
         for request in 2..4 {
             daemon.submit(&format!("/digest/{request}"));
             daemon.advance(QUESTION_MS);
@@ -59,7 +59,7 @@
     paused(&mut daemon, 3_000);
     daemon.feed(DaemonEvent::Timer(TimerKey::Housekeeping));
     assert_eq!(daemon.batches.len(), 1, "the pieces were called for again");
-    daemon.make_pieces();
+    daemon.complete_batch();
     daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -335,7 +335,7 @@
         self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
-    pub fn make_pieces(&mut self) {
+    pub fn complete_batch(&mut self) {
         let order = self.batches.remove(0);
         let items = (0..order.items.len())
             .map(|index| ItemOutcome::Made(ResultHandle::new(&format!("127.0.0.1:9/{index}"))));
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -128,7 +128,7 @@
         daemon.advance(50);
         while !daemon.batches.is_empty() {
             assert_ne!(daemon.batches[0].upstream, "s1");
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
     }
 }
@@ -165,7 +165,7 @@
         daemon.advance(50);
         assert!(daemon.batches.iter().all(|batch| batch.upstream != "s1"));
         while !daemon.batches.is_empty() {
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
     }
 }
@@ -197,7 +197,7 @@
     daemon.submit("/tell/it");
     daemon.submit("/digest/it");
     while !daemon.batches.is_empty() {
-        daemon.make_pieces();
+        daemon.complete_batch();
     }
     daemon.advance(1_000);
     assert!(daemon.relays.is_empty());
