--- a/crates/crocusdale_core/tests/fleet_start_test.rs
+++ b/crates/crocusdale_core/tests/fleet_start_test.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use support::virtual_fleet::{FIRST_LIFE, START_SPREAD_MS, VirtualFleet};
+use support::virtual_fleet::{FIRST_INCARNATION, START_SPREAD_MS, VirtualFleet};
 
 // All processes of a large fleet are killed and start again within 0.3 s. Each is ready at once and
 // knows a few others; until it knows all, it sends its pieces to other dispatchers than they do, a
@@ -14,7 +14,7 @@
     for size in [6, 83, 100, 250] {
         let mut fleet = VirtualFleet::new(size);
         fleet.run(Duration::from_millis(2_000));
-        assert_eq!(fleet.fewest_known(), size, "of {size}");
+        assert_eq!(fleet.min_known_members(), size, "of {size}");
     }
 }
 
@@ -40,7 +40,7 @@
     fleet.run(Duration::from_millis(10_400));
     assert!(fleet.cores[50].is_ready());
     fleet.run(Duration::from_millis(11_500));
-    assert_eq!(fleet.fewest_known(), 100);
+    assert_eq!(fleet.min_known_members(), 100);
 }
 
 // The time of day of a VM jumps back, and its process is killed and starts again. The new process
@@ -51,11 +51,11 @@
     for size in [6, 83] {
         let mut fleet = VirtualFleet::new(size);
         fleet.run(Duration::from_secs(10));
-        fleet.restart_as(3, FIRST_LIFE - 400);
+        fleet.restart_as(3, FIRST_INCARNATION - 400);
         fleet.run(Duration::from_secs(13));
-        assert_eq!(fleet.fewest_known(), size);
-        let lives = fleet.lives_of(3);
-        assert!(lives.iter().all(|life| *life == FIRST_LIFE - 400), "{lives:?}");
+        assert_eq!(fleet.min_known_members(), size);
+        let lives = fleet.known_incarnations(3);
+        assert!(lives.iter().all(|life| *life == FIRST_INCARNATION - 400), "{lives:?}");
     }
 }
 
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -24,7 +24,7 @@
 /// Time within which all daemons of a fleet start, in milliseconds.
 pub const START_SPREAD_MS: u64 = 300;
 /// Incarnation number of the first process of each daemon.
-pub const FIRST_LIFE: u64 = 1_000;
+pub const FIRST_INCARNATION: u64 = 1_000;
 /// Response time of the platform. Peers respond faster.
 const PLATFORM_RESPONSE_TIME: Duration = Duration::from_millis(40);
 /// Longest response time of a slow platform.
@@ -113,7 +113,7 @@
         reader: DeclarationReader,
     ) -> Self {
         let now = MonotonicTime::from_millis(0);
-        let start = |index| core(index, FIRST_LIFE, zones, bounds, reader, now);
+        let start = |index| core(index, FIRST_INCARNATION, zones, bounds, reader, now);
         let cores = (0..size).map(start).collect();
         let mut fleet = Self {
             now,
@@ -162,7 +162,7 @@
 
     /// Stops a daemon and starts a new process on its VM at once.
     pub fn restart(&mut self, index: usize) {
-        self.restart_as(index, FIRST_LIFE + 1);
+        self.restart_as(index, FIRST_INCARNATION + 1);
     }
 
     /// Stops a daemon and starts a new process with the incarnation `life` on its VM at once.
@@ -173,7 +173,7 @@
     }
 
     /// Smallest number of members that any daemon regards as alive, itself included.
-    pub fn fewest_known(&self) -> usize {
+    pub fn min_known_members(&self) -> usize {
         let known = |core: &DaemonCore| {
             let members = core.dump(self.now).members;
             1 + members.iter().filter(|each| each.status == MemberStatus::Alive).count()
@@ -182,7 +182,7 @@
     }
 
     /// Incarnation of the daemon `index` that each other daemon knows, or 0 if it knows none.
-    pub fn lives_of(&self, index: usize) -> Vec<u64> {
+    pub fn known_incarnations(&self, index: usize) -> Vec<u64> {
         let others = self.cores.iter().enumerate().filter(|(each, _)| *each != index);
         let known = |core: &DaemonCore| {
             let members = core.dump(self.now).members;
@@ -193,7 +193,7 @@
     }
 
     /// Number of daemons that know the last change of the published upstreams.
-    pub fn informed(&self) -> usize {
+    pub fn informed_daemons(&self) -> usize {
         let known = |core: &&DaemonCore| {
             let list = core.published_upstreams(self.now);
             list.entries.iter().any(|each| each.write_position == self.published.0.into())
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -65,7 +65,7 @@
     assert!(calls * 3 <= 20 * 40, "{} readings and {} watches in 20 s", fleet.reads, fleet.watches);
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(30) + bound);
-    assert_eq!(fleet.informed(), 195);
+    assert_eq!(fleet.informed_daemons(), 195);
 }
 
 // An upstream gives notice. Most daemons don't read the list themselves; all must know in time.
@@ -75,7 +75,7 @@
         let mut fleet = settled_fleet(size);
         fleet.published = (2, vec![(2, entry(true))]);
         fleet.run(Duration::from_secs(10) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), size);
+        assert_eq!(fleet.informed_daemons(), size);
     }
 }
 
@@ -89,7 +89,7 @@
         fleet.run(Duration::from_millis(10_000 + wait_ms));
         fleet.published = (2, vec![(2, entry(true))]);
         fleet.run(Duration::from_millis(10_000 + wait_ms) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), 40, "cut off {wait_ms} ms before the notice");
+        assert_eq!(fleet.informed_daemons(), 40, "cut off {wait_ms} ms before the notice");
     }
 }
 
@@ -102,7 +102,7 @@
     fleet.run(Duration::from_secs(13));
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(13) + NOTICE_TIME);
-    assert_eq!(fleet.informed(), 40);
+    assert_eq!(fleet.informed_daemons(), 40);
 }
 
 // The platform is away for everybody, and all daemons ask it again and again until it is back. That
