--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -63,18 +63,39 @@
 /// A message between two daemons that has been sent and not yet been delivered.
 #[derive(Clone, Debug)]
 pub enum Message {
-    Register { call: CallId, witness: String, key: RequestKey, witnesses: WitnessSet, bury: bool },
-    RegisterReply { call: CallId, witness: String, reply: Option<RegisterReply> },
-    AskHolder { call: CallId, key: RequestKey, holder: InstanceId },
-    HolderReply { call: CallId, reply: Option<HolderReply> },
-    RecordOutcome { witness: String, key: RequestKey, body: Vec<u8> },
+    Register {
+        call: CallId,
+        witness: String,
+        key: RequestKey,
+        witnesses: WitnessSet,
+        is_tombstone: bool,
+    },
+    RegisterReply {
+        call: CallId,
+        witness: String,
+        reply: Option<RegisterReply>,
+    },
+    AskHolder {
+        call: CallId,
+        key: RequestKey,
+        holder: InstanceId,
+    },
+    HolderReply {
+        call: CallId,
+        reply: Option<HolderReply>,
+    },
+    RecordOutcome {
+        witness: String,
+        key: RequestKey,
+        body: Vec<u8>,
+    },
 }
 
 /// A pending message, with the daemon that sent the query.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     /// Index of the daemon that sent the query and receives the reply.
-    pub asker: usize,
+    pub sender: usize,
     /// Incarnation of that daemon. A reply to an earlier incarnation is dropped.
     pub life: u64,
     pub message: Message,
@@ -220,45 +241,45 @@
     pub fn deliver(&mut self, position: usize, again: bool) {
         let envelope =
             if again { self.network[position].clone() } else { self.network.remove(position) };
-        let (asker, life) = (envelope.asker, envelope.life);
+        let (sender, life) = (envelope.sender, envelope.life);
         match envelope.message {
             // No daemon runs yet on a VM that was added to the list.
             Message::RecordOutcome { witness, .. } if vm_index(&witness) >= self.nodes.len() => {}
             Message::Register { call, witness, .. } if vm_index(&witness) >= self.nodes.len() => {
                 let message = Message::RegisterReply { call, witness, reply: None };
-                self.network.push(Envelope { asker, life, message });
+                self.network.push(Envelope { sender, life, message });
             }
-            Message::Register { call, witness, key, witnesses, bury } => {
+            Message::Register { call, witness, key, witnesses, is_tombstone } => {
                 let at = vm_index(&witness);
                 if self.nodes[at].paused {
                     return;
                 }
-                let claimant = InstanceId::new(vm_name(asker), life);
-                let claimant = (!bury).then_some(&claimant);
+                let claimant = InstanceId::new(vm_name(sender), life);
+                let claimant = (!is_tombstone).then_some(&claimant);
                 let mut commands = Vec::new();
                 let node = &self.nodes[at];
                 let reply = node.core.witness(&key, claimant, &witnesses, self.now, &mut commands);
                 let message = Message::RegisterReply { call, witness, reply: Some(reply) };
-                self.network.push(Envelope { asker, life, message });
+                self.network.push(Envelope { sender, life, message });
             }
             Message::AskHolder { call, key, holder } => {
                 let node = &self.nodes[vm_index(&holder.vm)];
                 let reply = (!node.paused).then(|| node.core.holder_reply(&key, &holder));
                 let message = Message::HolderReply { call, reply };
-                self.network.push(Envelope { asker, life, message });
+                self.network.push(Envelope { sender, life, message });
             }
             Message::RecordOutcome { witness, key, body } => {
-                let holder = InstanceId::new(vm_name(asker), life);
+                let holder = InstanceId::new(vm_name(sender), life);
                 let witness = &self.nodes[vm_index(&witness)].core;
                 witness.record_outcome(&key, &holder, &body, self.now);
             }
             Message::RegisterReply { .. } | Message::HolderReply { .. }
-                if self.nodes[asker].life != life || self.nodes[asker].paused => {}
+                if self.nodes[sender].life != life || self.nodes[sender].paused => {}
             Message::RegisterReply { call, witness, reply } => {
-                self.feed(asker, DaemonEvent::WitnessReplied { call, witness, reply });
+                self.feed(sender, DaemonEvent::WitnessReplied { call, witness, reply });
             }
             Message::HolderReply { call, reply } => {
-                self.feed(asker, DaemonEvent::HolderReplied { call, reply });
+                self.feed(sender, DaemonEvent::HolderReplied { call, reply });
             }
         }
     }
@@ -310,10 +331,10 @@
 
     fn execute(&mut self, index: usize, command: Command) {
         let life = self.nodes[index].life;
-        let mut send = |message| self.network.push(Envelope { asker: index, life, message });
+        let mut send = |message| self.network.push(Envelope { sender: index, life, message });
         match command {
-            Command::AskWitness { call, witness, key, witnesses, is_tombstone: bury } => {
-                send(Message::Register { call, witness, key, witnesses, bury });
+            Command::AskWitness { call, witness, key, witnesses, is_tombstone } => {
+                send(Message::Register { call, witness, key, witnesses, is_tombstone });
             }
             Command::AskHolder { call, key, holder } => {
                 send(Message::AskHolder { call, key, holder });
