--- a/crates/crocusdale_core/tests/at_most_once_test.rs
+++ b/crates/crocusdale_core/tests/at_most_once_test.rs
@@ -24,7 +24,7 @@
     fleet.submit(1, request(&key, "once", false));
     fleet.settle();
     assert_eq!(fleet.run_count(&key), 1);
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
 // Guards against the answer "unknown" for a request whose outcome one witness still has.
@@ -50,7 +50,7 @@
     fleet.restart(holder);
     fleet.inquire(vm_index(&uninformed_witness), &key, Some(500));
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
 // Guards against a false "not run" and a second run after a daemon crash.
@@ -68,7 +68,7 @@
     fleet.submit(2, request(&key, "once", false));
     fleet.settle();
     assert_eq!(fleet.run_count(&key), 1);
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
 // Guards against a run of a request after a daemon has answered "not run" for it.
@@ -82,7 +82,7 @@
     fleet.nodes[0].paused = true;
     fleet.inquire(1, &key, Some(100));
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Refused]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Refused]);
     fleet.nodes[0].paused = false;
     fleet.network = claims;
     fleet.settle();
@@ -110,7 +110,7 @@
     fleet.inquire(1, &key, None);
     fleet.inquire(2, &key, Some(2 * KEY_LIFE_MS));
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
 // Guards against a run of a request that is older than the lifetime of its key, when the caller
@@ -122,7 +122,7 @@
     old.age = std::time::Duration::from_millis(KEY_LIFE_MS - DEADLINE_MS);
     fleet.submit(0, old);
     fleet.settle();
-    assert_eq!((fleet.run_count(&key), fleet.kinds(&key)), (0, vec![OutcomeKind::Unknown]));
+    assert_eq!((fleet.run_count(&key), fleet.outcome_kinds(&key)), (0, vec![OutcomeKind::Unknown]));
 }
 
 // Guards against a run of a request that waited in the socket of a paused daemon for longer than
@@ -136,7 +136,7 @@
     fleet.nodes[0].paused = false;
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
-    assert_eq!((fleet.run_count(&key), fleet.kinds(&key)), (0, vec![OutcomeKind::Unknown]));
+    assert_eq!((fleet.run_count(&key), fleet.outcome_kinds(&key)), (0, vec![OutcomeKind::Unknown]));
 }
 
 // A ticket proves by the clock of the daemon that issued it that a request is recent. It is valid
@@ -178,7 +178,7 @@
     }
     fleet.submit(0, request(&key, "once", false));
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Unknown]);
     let retry_after_wait =
         fleet.answers[0].1.retry_after.expect("the answer has a retry-after time");
     fleet.advance(u64::try_from(retry_after_wait.as_millis()).expect("a short time") + 1);
@@ -208,7 +208,7 @@
         fleet.settle();
         let was_not_run = fleet.run_count(&key) == 0;
         assert!(
-            !was_not_run || fleet.kinds(&key) == [OutcomeKind::Unknown],
+            !was_not_run || fleet.outcome_kinds(&key) == [OutcomeKind::Unknown],
             "order-{number}: expected a run or the answer \"unknown\""
         );
     }
@@ -231,7 +231,7 @@
     fleet.settle();
     fleet.advance(2_000);
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Unknown, OutcomeKind::Unknown]);
 }
 
 // Guards against two runs of a request by daemons whose VM lists differ in two of the three
@@ -292,7 +292,7 @@
     assert_eq!(fleet.run_count(&key), 1);
     fleet.answer_attempt(0, whole_answer);
     fleet.settle();
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Answered, OutcomeKind::Answered]);
 }
 
 // Guards against a false "not run" from a new daemon that has the VM list but no configuration.
@@ -311,7 +311,7 @@
     fleet.inquire(1, &key, Some(20 * KEY_LIFE_MS));
     fleet.settle();
     fleet.advance(2_000);
-    assert_eq!(fleet.kinds(&key), [OutcomeKind::Unknown]);
+    assert_eq!(fleet.outcome_kinds(&key), [OutcomeKind::Unknown]);
 }
 
 /// Returns the index of a daemon that is not a witness of `key`.
--- a/crates/crocusdale_core/tests/claim_model_test.rs
+++ b/crates/crocusdale_core/tests/claim_model_test.rs
@@ -121,7 +121,7 @@
 
 /// Returns whether any daemon has answered that the key was not run.
 fn has_not_run_answer(fleet: &CoreFleet) -> bool {
-    fleet.kinds(&key("order")).contains(&OutcomeKind::Refused)
+    fleet.outcome_kinds(&key("order")).contains(&OutcomeKind::Refused)
 }
 
 proptest! {
--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -310,7 +310,7 @@
     }
 
     /// Kinds of the final answers for `key`, in the order in which they were given.
-    pub fn kinds(&self, key: &RequestKey) -> Vec<OutcomeKind> {
+    pub fn outcome_kinds(&self, key: &RequestKey) -> Vec<OutcomeKind> {
         let own = self.answers.iter().filter(|(each, _)| each == key);
         own.map(|(_, answer)| answer.kind).collect()
     }
