--- a/crates/crocusdale_core/tests/configuration_age_test.rs
+++ b/crates/crocusdale_core/tests/configuration_age_test.rs
@@ -43,7 +43,7 @@
     while daemon.now < end {
         daemon.advance(REQUEST_INTERVAL_MS);
         if let Some(read_start) = daemon
-            .readings
+            .pending_reads
             .first()
             .filter(|read_start| daemon.now >= **read_start + PLATFORM_RESPONSE_TIME)
         {
@@ -107,7 +107,7 @@
         daemon.feed(answer_of_reader(position, daemon.now));
         daemon.advance(offset * shortest / 200);
         assert!(
-            daemon.readings.is_empty(),
+            daemon.pending_reads.is_empty(),
             "the daemon must not read the platform while its peer does"
         );
         let removal = daemon.now;
@@ -136,7 +136,11 @@
     daemon.advance(100);
     daemon.now = daemon.now + Duration::from_secs(3);
     let call = daemon.submit("/ask/it");
-    assert_eq!(daemon.readings.len(), 1, "the daemon must start one read of the platform at once");
+    assert_eq!(
+        daemon.pending_reads.len(),
+        1,
+        "the daemon must start one read of the platform at once"
+    );
     daemon.advance(20);
     daemon.configuration = (2, WITHOUT_KEYS.to_owned());
     daemon.publish(&["n1", "n2"], &[]);
@@ -200,7 +204,7 @@
         daemon.publish(&["n1", "n2"], &[]);
         daemon.advance(100);
         daemon.now = daemon.now + Duration::from_secs(3);
-        let answer = daemon.reading_answer(&["n1", "n2"]);
+        let answer = daemon.start_read(&["n1", "n2"]);
         let submit = |_| {
             let (call, request) = daemon.request("/tell/it", Some(KEY));
             DaemonEvent::Submitted { call, request }
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -47,7 +47,7 @@
     let mut last = None;
     while daemon.now < until {
         daemon.advance(REQUEST_PACE);
-        let answered = daemon.readings.first().filter(|began| daemon.now >= **began + reading);
+        let answered = daemon.pending_reads.first().filter(|began| daemon.now >= **began + reading);
         if answered.is_some_and(|began| *began >= notice) {
             daemon.publish(&["n1", "n2"], &["n1"]);
         } else if answered.is_some() {
@@ -81,7 +81,7 @@
         daemon.advance(500);
         daemon.feed(answer_of_reader((1, known), daemon.now));
         daemon.advance(10 * offset);
-        assert!(daemon.readings.is_empty(), "the peer reads");
+        assert!(daemon.pending_reads.is_empty(), "the peer reads");
         let notice = daemon.now;
         daemon.advance(ANSWER.as_millis() as u64);
         daemon.feed(answer_of_reader((1, known), notice));
@@ -106,7 +106,7 @@
         daemon.submit("/ask/it");
     }
     assert!(daemon.relays.is_empty(), "sent by a list that is 3.1 s old");
-    assert_eq!(daemon.readings.len(), 1, "the list is read at once");
+    assert_eq!(daemon.pending_reads.len(), 1, "the list is read at once");
     daemon.advance(20);
     daemon.publish(&["n1", "n2"], &["n1"]);
     let called: Vec<&str> = daemon.relays.iter().map(|relay| relay.upstream.as_str()).collect();
@@ -156,7 +156,7 @@
     daemon.advance(500);
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(510);
-    assert_eq!(daemon.readings.len(), 1, "a reading is under way");
+    assert_eq!(daemon.pending_reads.len(), 1, "a reading is under way");
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.submit("/ask/it");
@@ -212,10 +212,10 @@
     daemon.advance(500);
     let mut back = daemon.now;
     for _ in 0..5 {
-        back = daemon.readings.pop().expect("a reading is under way");
+        back = daemon.pending_reads.pop().expect("a reading is under way");
         daemon.advance(900);
         daemon.feed(DaemonEvent::DirectoryReadFailed);
-        while daemon.readings.is_empty() {
+        while daemon.pending_reads.is_empty() {
             daemon.advance(10);
         }
     }
@@ -240,7 +240,7 @@
         daemon.advance(100);
         daemon.feed(answer_of_reader((1, known), daemon.now));
     }
-    assert!(daemon.readings.is_empty(), "the peer reads");
+    assert!(daemon.pending_reads.is_empty(), "the peer reads");
     daemon.advance(1_110);
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(300);
@@ -274,8 +274,8 @@
     let known = daemon.core.dump(daemon.now).directory_revision;
     daemon.feed(answer_of_reader((1, known), daemon.now));
     daemon.advance(1_300);
-    assert_eq!(daemon.readings.len(), 1, "it reads for age");
-    daemon.readings.clear();
+    assert_eq!(daemon.pending_reads.len(), 1, "it reads for age");
+    daemon.pending_reads.clear();
     daemon
 }
 
@@ -304,7 +304,7 @@
             daemon.feed(answer_over_link((1, known), daemon.now, link_mbps));
             daemon.advance(300);
         }
-        assert_eq!(!daemon.readings.is_empty(), reads, "a peer with {link_mbps} Mbit/s");
+        assert_eq!(!daemon.pending_reads.is_empty(), reads, "a peer with {link_mbps} Mbit/s");
     }
 }
 
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -118,7 +118,7 @@
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(CallId, FinalAnswer)>,
     /// Start times of the reads of the platform that the test has not answered.
-    pub readings: Vec<MonotonicTime>,
+    pub pending_reads: Vec<MonotonicTime>,
     /// Published upstreams of the pool `scan`.
     pub stages: Vec<String>,
     /// Upstreams that the daemon has requested to probe.
@@ -175,7 +175,7 @@
             released_answers: Vec::new(),
             cancelled: Vec::new(),
             answers: Vec::new(),
-            readings: Vec::new(),
+            pending_reads: Vec::new(),
             stages: vec!["s1".to_owned(), "s2".to_owned()],
             probes: Vec::new(),
             evacuated: Vec::new(),
@@ -199,11 +199,11 @@
         // An answer is as old as the read that it belongs to. If that is too old, the daemon reads
         // again.
         loop {
-            self.readings.clear();
+            self.pending_reads.clear();
             let answer = self.directory_read_event(plain, leaving);
             self.feed(answer);
             self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
-            if self.readings.is_empty() {
+            if self.pending_reads.is_empty() {
                 break;
             }
         }
@@ -211,9 +211,9 @@
 
     /// Lets the daemon start a read of the platform, and returns the answer to it, in which no
     /// upstream is leaving.
-    pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
+    pub fn start_read(&mut self, plain: &[&str]) -> DaemonEvent {
         self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
-        assert_eq!(self.readings.len(), 1, "the daemon must start one read of the platform");
+        assert_eq!(self.pending_reads.len(), 1, "the daemon must start one read of the platform");
         self.directory_read_event(plain, &[])
     }
 
@@ -264,7 +264,7 @@
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
                 Command::Reply { call, answer } => self.answers.push((call, answer)),
                 Command::ProbeUpstream { upstream, .. } => self.probes.push(upstream),
-                Command::ReadDirectory => self.readings.push(self.now),
+                Command::ReadDirectory => self.pending_reads.push(self.now),
                 Command::SetTimer { timer, at } => {
                     self.sequence += 1;
                     self.timers.insert((at, self.sequence), timer);
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -109,7 +109,8 @@
     let mut last = evacuated_at;
     while daemon.now < evacuated_at + bound * 2 {
         daemon.advance(10);
-        let answered = daemon.readings.first().is_some_and(|began| daemon.now >= *began + READING);
+        let answered =
+            daemon.pending_reads.first().is_some_and(|began| daemon.now >= *began + READING);
         if answered {
             daemon.publish(&["n1", "n2"], &[]);
         }
