--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -314,11 +314,11 @@
 fn reconnected_daemon_knows_of_quarantine_within_the_recovery_time() {
     for seed in 0..8 {
         let mut engines = CrashingEngines::new(6, seed);
-        engines.fleet.cut_off.insert(5);
+        engines.fleet.partitioned.insert(5);
         engines.crash_three_upstreams();
         engines.fleet.run(engines.fleet.now.since_start() + Duration::from_secs(5));
         assert!(!engines.is_quarantined_at(5), "an isolated daemon can't know of the quarantine");
-        engines.fleet.cut_off.clear();
+        engines.fleet.partitioned.clear();
         let recovery_start = engines.fleet.now.since_start();
         engines.fleet.run(recovery_start + StalenessBounds::default().recovery_time);
         assert!(
--- a/crates/crocusdale_core/tests/dead_addresses_test.rs
+++ b/crates/crocusdale_core/tests/dead_addresses_test.rs
@@ -16,7 +16,7 @@
     for (size, dead) in [(6, 2), (74, 25), (74, 40), (195, 60)] {
         let mut fleet = VirtualFleet::new(size);
         fleet.run(Duration::from_secs(6));
-        fleet.cut_off = (0..dead).collect();
+        fleet.partitioned = (0..dead).collect();
         fleet.run(Duration::from_secs(6) + NAMED_FOR);
         let named =
             |core: &crocusdale_core::DaemonCore| core.addresses("caller", Some("z1")).addresses;
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -225,7 +225,7 @@
     upstream.load = 100.0;
     upstream.announce_rate(2.0);
     upstream.run(Duration::from_secs(5));
-    upstream.fleet.cut_off.extend([0, 1]);
+    upstream.fleet.partitioned.extend([0, 1]);
     upstream.fleet.restart(2);
     let bound_from = upstream.fleet.now;
     upstream.run(Duration::from_secs(20));
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -149,8 +149,8 @@
         fleet.published = (900, list(&[(300, "a"), (890, "b")]));
         fleet.run(Duration::from_secs(5));
         let third: Vec<usize> = (0..size / 3).collect();
-        fleet.cut_off.extend(&third);
-        fleet.turned_away.extend(&third);
+        fleet.partitioned.extend(&third);
+        fleet.failing_readers.extend(&third);
         fleet.run(Duration::from_secs(6));
         fleet.era = 1;
         fleet.published = (350, list(&[(300, "a"), (340, "c")]));
@@ -165,8 +165,8 @@
         fleet.run(Duration::from_millis(8_000));
         assert!((size / 3..size).all(|daemon| knows(&fleet, daemon)), "{size}: all that reach it");
         assert!(third.iter().all(|daemon| !knows(&fleet, *daemon)));
-        fleet.cut_off.clear();
-        fleet.turned_away.clear();
+        fleet.partitioned.clear();
+        fleet.failing_readers.clear();
         fleet.run(Duration::from_secs(8) + StalenessBounds::default().recovery_time);
         assert!((0..size).all(|daemon| knows(&fleet, daemon)), "{size}: all");
         // What the copy lacks and nobody writes again is gone by then everywhere.
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -72,9 +72,9 @@
     /// Number of watches of the configuration that daemons have started.
     pub watches: usize,
     /// Daemons that are partitioned from all other daemons.
-    pub cut_off: HashSet<usize>,
+    pub partitioned: HashSet<usize>,
     /// Daemons whose reads of the platform fail.
-    pub turned_away: HashSet<usize>,
+    pub failing_readers: HashSet<usize>,
     /// Random generator of response times. `None` means that peers and the platform respond in
     /// their usual times.
     pub slowness: Option<SmallRng>,
@@ -129,8 +129,8 @@
             evacuations: Vec::new(),
             era: 0,
             reads: 0,
-            cut_off: HashSet::new(),
-            turned_away: HashSet::new(),
+            partitioned: HashSet::new(),
+            failing_readers: HashSet::new(),
             slowness: None,
             questions_are_late: false,
             only_readers_tell: false,
@@ -278,7 +278,7 @@
                     self.readers.insert(index);
                 }
                 let (revision, entries) = self.published.clone();
-                let event = if self.turned_away.contains(&index) {
+                let event = if self.failing_readers.contains(&index) {
                     DaemonEvent::DirectoryReadFailed
                 } else {
                     let configuration = Some((1, DECLARATIONS.to_owned()));
@@ -335,7 +335,7 @@
     }
 
     fn can_reach(&self, from: usize, to: usize) -> bool {
-        !self.cut_off.contains(&from) && !self.cut_off.contains(&to)
+        !self.partitioned.contains(&from) && !self.partitioned.contains(&to)
     }
 
     fn send_heartbeat(&mut self, from: usize, to: usize, message: Box<ExchangeMessage>) {
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -85,7 +85,7 @@
 fn daemon_without_peers_reads_itself() {
     for wait_ms in [0, 300, 600, 900, 1_200] {
         let mut fleet = settled_fleet(40);
-        fleet.cut_off.extend([17]);
+        fleet.partitioned.extend([17]);
         fleet.run(Duration::from_millis(10_000 + wait_ms));
         fleet.published = (2, vec![(2, entry(true))]);
         fleet.run(Duration::from_millis(10_000 + wait_ms) + NOTICE_TIME);
@@ -98,7 +98,7 @@
 #[test]
 fn readers_that_are_turned_away_are_passed_by() {
     let mut fleet = settled_fleet(40);
-    fleet.turned_away.extend((0..40).step_by(2));
+    fleet.failing_readers.extend((0..40).step_by(2));
     fleet.run(Duration::from_secs(13));
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(13) + NOTICE_TIME);
@@ -110,7 +110,7 @@
 #[test]
 fn outage_makes_no_rush() {
     let mut fleet = settled_fleet(250);
-    fleet.turned_away.extend(0..250);
+    fleet.failing_readers.extend(0..250);
     fleet.run(Duration::from_secs(20));
     assert!(fleet.reads <= 10 * 400, "{} reads in 10 s", fleet.reads);
 }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -221,7 +221,7 @@
         let name = entry.name();
         fleet.published = (2, vec![(2, entry)]);
         fleet.run(Duration::from_secs(5));
-        fleet.turned_away = (0..size).collect();
+        fleet.failing_readers = (0..size).collect();
         let sent = fleet.now;
         fleet.feed(0, DaemonEvent::UpstreamNoticed { upstream: name, notice: LEAVING, sent });
         fleet.run(Duration::from_secs(8));
