--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -164,7 +164,7 @@
         for seed in 0..seeds {
             let mut upstream = RateLimitedFleet::new(size, 2, seed);
             upstream.fleet.tell_by_readers_only();
-            upstream.fleet.questions_are_late = true;
+            upstream.fleet.heartbeats_are_late = true;
             upstream.deliver_notice(seed as usize % size, limited(1.0));
             let told = upstream.fleet.now;
             while upstream.informed_daemons() < size {
@@ -189,7 +189,7 @@
         let mut upstream = RateLimitedFleet::new(size, 2, 3);
         upstream.load = load;
         upstream.fleet.tell_by_readers_only();
-        upstream.fleet.questions_are_late = true;
+        upstream.fleet.heartbeats_are_late = true;
         upstream.writes_are_late = true;
         upstream.run(Duration::from_secs(1));
         upstream.announce_rate(per_second);
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -35,7 +35,7 @@
 /// sockets, and the connect timeout.
 const MAX_PROBE_TIME: Duration = Duration::from_millis(310);
 /// Longest latency of a heartbeat whose answer still counts.
-pub const LATE_QUESTION: Duration = Duration::from_millis(790);
+pub const MAX_HEARTBEAT_LATENCY: Duration = Duration::from_millis(790);
 /// Time after which the platform answers a watch of the configuration without a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Default number of availability zones.
@@ -78,9 +78,9 @@
     /// Random generator of response times. `None` means that peers and the platform respond in
     /// their usual times.
     pub slowness: Option<SmallRng>,
-    /// Whether each heartbeat takes [`LATE_QUESTION`] to arrive, and each probe of an upstream
+    /// Whether each heartbeat takes [`MAX_HEARTBEAT_LATENCY`] to arrive, and each probe of an upstream
     /// takes its longest duration.
-    pub questions_are_late: bool,
+    pub heartbeats_are_late: bool,
     /// Whether only daemons that read the platform send and receive crash records and rate limits.
     /// Otherwise random heartbeats could spread them faster than in the worst case.
     only_readers_tell: bool,
@@ -132,7 +132,7 @@
             partitioned: HashSet::new(),
             failing_readers: HashSet::new(),
             slowness: None,
-            questions_are_late: false,
+            heartbeats_are_late: false,
             only_readers_tell: false,
             readers: HashSet::new(),
             ended: HashSet::new(),
@@ -316,7 +316,7 @@
                 self.push(self.now + ONE_WAY_LATENCY * 2, index, event);
             }
             Command::ProbeUpstream { upstream, .. } => {
-                let is_late = self.questions_are_late;
+                let is_late = self.heartbeats_are_late;
                 let has_ended = self.ended.contains(&upstream);
                 let probed = DaemonEvent::UpstreamProbed { upstream, has_ended };
                 let time = if is_late { MAX_PROBE_TIME } else { ONE_WAY_LATENCY };
@@ -345,7 +345,8 @@
             return;
         }
         let question = Delivery::Heartbeat { from, message, sent: self.now };
-        let latency = if self.questions_are_late { LATE_QUESTION } else { ONE_WAY_LATENCY };
+        let latency =
+            if self.heartbeats_are_late { MAX_HEARTBEAT_LATENCY } else { ONE_WAY_LATENCY };
         self.push(self.now + latency, to, question);
     }
 
