--- a/crates/crocusdale_core/tests/crashing_request_test.rs
+++ b/crates/crocusdale_core/tests/crashing_request_test.rs
@@ -294,7 +294,7 @@
         let mut max_time = Duration::ZERO;
         for seed in 0..seeds {
             let mut engines = CrashingEngines::in_zones(size, zones, seed);
-            engines.fleet.tell_by_readers_only();
+            engines.fleet.restrict_gossip_to_readers();
             engines.fleet.heartbeats_are_late = true;
             max_time = max_time.max(engines.time_to_quarantine());
         }
--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -144,7 +144,7 @@
     let all = |revision| (0..1_000).map(move |number| (revision, entry(&format!("w{number}"))));
     fleet.published = (1_000, all(900).collect());
     fleet.run(Duration::from_secs(5));
-    let before = fleet.told_entries;
+    let before = fleet.fetched_entries;
     for step in 0..10_u64 {
         let revision = 2_000 + step * 1_000;
         let mut published: Vec<_> = all(revision - 10).collect();
@@ -152,7 +152,7 @@
         fleet.published = (revision, published);
         fleet.run(Duration::from_millis(6_000 + step * 1_000));
     }
-    let told = fleet.told_entries - before;
+    let told = fleet.fetched_entries - before;
     assert!(told < 100 * 10 * 10, "{told} entries told for 10 changes, 1,000,000 by whole lists");
 }
 
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -163,7 +163,7 @@
         let mut worst = Duration::ZERO;
         for seed in 0..seeds {
             let mut upstream = RateLimitedFleet::new(size, 2, seed);
-            upstream.fleet.tell_by_readers_only();
+            upstream.fleet.restrict_gossip_to_readers();
             upstream.fleet.heartbeats_are_late = true;
             upstream.deliver_notice(seed as usize % size, limited(1.0));
             let told = upstream.fleet.now;
@@ -188,7 +188,7 @@
     {
         let mut upstream = RateLimitedFleet::new(size, 2, 3);
         upstream.load = load;
-        upstream.fleet.tell_by_readers_only();
+        upstream.fleet.restrict_gossip_to_readers();
         upstream.fleet.heartbeats_are_late = true;
         upstream.writes_are_late = true;
         upstream.run(Duration::from_secs(1));
--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -83,12 +83,12 @@
     pub heartbeats_are_late: bool,
     /// Whether only daemons that read the platform send and receive crash records and rate limits.
     /// Otherwise random heartbeats could spread them faster than in the worst case.
-    only_readers_tell: bool,
+    only_readers_gossip: bool,
     readers: HashSet<usize>,
     /// Upstreams that no longer accept connections.
     pub ended: HashSet<String>,
     /// Total number of upstream entries that daemons have fetched from each other.
-    pub told_entries: u64,
+    pub fetched_entries: u64,
     /// Requests that were forwarded to upstreams, with the daemon and the time of forwarding.
     pub relays: Vec<(usize, MonotonicTime, ForwardOrder)>,
     /// Final answers, with the daemon that gave each of them and its call.
@@ -133,10 +133,10 @@
             failing_readers: HashSet::new(),
             slowness: None,
             heartbeats_are_late: false,
-            only_readers_tell: false,
+            only_readers_gossip: false,
             readers: HashSet::new(),
             ended: HashSet::new(),
-            told_entries: 0,
+            fetched_entries: 0,
             relays: Vec::new(),
             answers: Vec::new(),
         };
@@ -203,12 +203,12 @@
 
     /// From now on, only daemons that read the platform for others send and receive crash records
     /// and rate limits.
-    pub fn tell_by_readers_only(&mut self) {
+    pub fn restrict_gossip_to_readers(&mut self) {
         // Records for one second which daemons read the platform. Earlier reads don't count: all
         // daemons read it when they start, and any daemon may read it when answers are late.
         self.readers.clear();
         self.run(self.now.since_start() + Duration::from_secs(1));
-        self.only_readers_tell = true;
+        self.only_readers_gossip = true;
     }
 
     /// Submits a caller's request to a daemon.
@@ -233,7 +233,7 @@
             }
             Delivery::Event(event) => core.handle(event, self.now, &mut commands),
             Delivery::Heartbeat { from, mut message, sent } => {
-                let is_filtered = self.only_readers_tell && !self.readers.contains(&index);
+                let is_filtered = self.only_readers_gossip && !self.readers.contains(&index);
                 if is_filtered {
                     message.crashes.clear();
                     message.limits.clear();
@@ -274,7 +274,7 @@
             }
             Command::ReadDirectory => {
                 self.reads += 1;
-                if !self.only_readers_tell {
+                if !self.only_readers_gossip {
                     self.readers.insert(index);
                 }
                 let (revision, entries) = self.published.clone();
@@ -303,7 +303,7 @@
                 let is_reachable = self.can_reach(index, to);
                 let list = is_reachable.then(|| self.cores[to].published_since(known, self.now));
                 let entry_count = list.as_ref().map_or(0, |list| list.entries.len());
-                self.told_entries += entry_count as u64;
+                self.fetched_entries += entry_count as u64;
                 let event = Delivery::Event(DaemonEvent::DirectoryFetched(list));
                 self.push(self.now + ONE_WAY_LATENCY * 2, index, event);
             }
