--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "no test file uses all of it")]
 mod batch_bench;
 
-use batch_bench::{Bench, PIECES, made};
+use batch_bench::{Bench, PIECES, successful_item};
 use crocusdale_core::pipeline::{PieceOrder, PieceSource, ResultHandle};
 
 /// Time after which a call has fetched its inputs, and some more.
@@ -24,13 +24,13 @@
 fn inputs_are_given_up_once_they_are_fetched() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, 2);
-    bench.offer(order);
+    bench.submit_pieces(order);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "the call may not have begun yet");
+    assert!(bench.freed_inputs.is_empty(), "the call may not have begun yet");
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
     assert_eq!(bench.calls.len(), 1, "the call goes on");
-    assert_eq!(bench.fetched, [ResultHandle::new("10.0.0.1:9/1")]);
+    assert_eq!(bench.freed_inputs, [ResultHandle::new("10.0.0.1:9/1")]);
 }
 
 /// A request has more pieces than one call holds. Its inputs are needed again by its second call:
@@ -39,14 +39,14 @@
 fn inputs_of_pieces_that_wait_are_kept() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, PIECES + 1);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "one piece still waits");
-    bench.end_call(made);
+    assert!(bench.freed_inputs.is_empty(), "one piece still waits");
+    bench.end_call(successful_item);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert_eq!(bench.fetched.len(), 1);
+    assert_eq!(bench.freed_inputs.len(), 1);
 }
 
 /// Two steps need the same results. The first one to fetch them must leave them to the other.
@@ -55,10 +55,10 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     let mut order = order_with_inputs(&mut bench, 2);
     order.inputs_pool = None;
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.advance(FETCHED_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty());
+    assert!(bench.freed_inputs.is_empty());
 }
 
 fn free_unneeded_results(bench: &mut Bench) {
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use batch_bench::{Bench, PIECES, made};
+use batch_bench::{Bench, PIECES, successful_item};
 use crocusdale_core::identity::AttemptId;
 use crocusdale_core::pipeline::{
     AttemptEvent, ExecutionStatus, OutcomeKind, PieceFault, RefusalReason,
@@ -24,24 +24,24 @@
 fn waiting_pieces_move_and_called_ones_stay() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let called = bench.order(PIECES, 900);
-    let called = bench.offer(called);
+    let called = bench.submit_pieces(called);
     let waiting: Vec<AttemptId> = (0..3)
         .map(|_| {
             let order = bench.order(4, 900);
-            bench.offer(order)
+            bench.submit_pieces(order)
         })
         .collect();
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
-    let moved: Vec<AttemptId> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
+    let moved: Vec<AttemptId> = bench.outcomes.iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(moved, waiting);
-    assert!(bench.settled.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
-    bench.settled.clear();
+    assert!(bench.outcomes.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
+    bench.outcomes.clear();
     bench.advance(220);
-    bench.end_call(made);
-    assert_eq!(bench.settled.len(), 1);
-    assert_eq!(bench.settled[0].0, called);
+    bench.end_call(successful_item);
+    assert_eq!(bench.outcomes.len(), 1);
+    assert_eq!(bench.outcomes[0].0, called);
     assert!(bench.calls.is_empty() && bench.dispatcher.is_idle());
 }
 
@@ -51,12 +51,12 @@
 fn pieces_that_were_in_a_call_are_not_new_elsewhere() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
-    bench.offer(order);
+    bench.submit_pieces(order);
     bench.end_call_as(crocusdale_core::batching::BatchOutcome::Broken);
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty());
+    assert!(bench.outcomes.is_empty());
     bench.advance(1_500);
     assert_eq!(bench.calls.len(), 1, "this dispatcher tries again itself");
 }
@@ -76,8 +76,8 @@
     daemon.attempt(attempt(1), moved());
     assert_eq!(daemon.answer(call), None);
     daemon.advance(110);
-    daemon.make_pieces();
-    daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
+    daemon.complete_batch();
+    daemon.receive_head(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
     let call = daemon.submit("/digest/8");
--- a/crates/crocusdale_core/tests/support/batch_bench.rs
+++ b/crates/crocusdale_core/tests/support/batch_bench.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with its upstreams in the hands of a test.
+//! Test support: a batch dispatcher whose upstreams are simulated by the test.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,11 +14,16 @@
 use crocusdale_core::retry::RetryLimits;
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory};
 
+/// Name of the pool under test.
 pub const POOL: &str = "rerank";
+/// Fixed duration of a call, in milliseconds.
 pub const CALL_MS: u64 = 200;
+/// Additional duration of a call per piece, in milliseconds.
 pub const PIECE_MS: u64 = 5;
+/// Maximum number of pieces in a call.
 pub const PIECES: u32 = 20;
-pub const ROOM: u64 = 1_000_000;
+/// Memory for results of each upstream, in bytes.
+pub const RESULT_MEMORY_BYTES: u64 = 1_000_000;
 
 pub fn rules() -> BatchRules {
     BatchRules {
@@ -26,7 +31,7 @@
         pieces: PIECES,
         call_time: Duration::from_millis(CALL_MS),
         piece_time: Duration::from_millis(PIECE_MS),
-        result_bytes: ROOM,
+        result_bytes: RESULT_MEMORY_BYTES,
         result_lifetime: Duration::from_secs(4),
     }
 }
@@ -48,19 +53,19 @@
     }
 }
 
-/// A desk with the upstreams `ids`, each in the zone behind its colon.
+/// A dispatcher on a virtual clock, with the actions that it has requested.
 pub struct Bench {
     pub dispatcher: BatchDispatcher,
     pub now: MonotonicTime,
     pub calls: Vec<BatchOrder>,
-    pub settled: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
+    pub outcomes: Vec<(AttemptId, Result<Vec<PlacedResult>, PieceFault>)>,
     pub cancelled: Vec<BatchId>,
-    /// Upstreams that were asked how much of their memory is free.
-    pub asked: Vec<String>,
-    /// What they answer at once, or nothing.
-    pub free_room: Option<u64>,
-    /// Results of other pools that were given up.
-    pub fetched: Vec<ResultHandle>,
+    /// Upstreams that were queried for their free memory.
+    pub memory_queries: Vec<String>,
+    /// Free memory that upstreams report at once, in bytes. `None` leaves the query unanswered.
+    pub free_memory: Option<u64>,
+    /// Results of other pools that were freed after their use as inputs.
+    pub freed_inputs: Vec<ResultHandle>,
     pub next: u64,
 }
 
@@ -74,11 +79,11 @@
             dispatcher: BatchDispatcher::default(),
             now: MonotonicTime::from_millis(10_000),
             calls: Vec::new(),
-            settled: Vec::new(),
+            outcomes: Vec::new(),
             cancelled: Vec::new(),
-            asked: Vec::new(),
-            free_room: Some(ROOM),
-            fetched: Vec::new(),
+            memory_queries: Vec::new(),
+            free_memory: Some(RESULT_MEMORY_BYTES),
+            freed_inputs: Vec::new(),
             next: 0,
         };
         bench.dispatcher.set_retries(RetryLimits {
@@ -87,17 +92,18 @@
             window: Duration::from_secs(10),
         });
         bench.publish(upstreams);
-        // A process begins without retries, as the one before it may have spent them.
+        // A new process starts with an empty retry budget, because its predecessor may have used
+        // up the retries. First attempts fill the budget.
         for _ in 0..100 {
             let order = bench.order(1, 900);
-            bench.offer(order);
+            bench.submit_pieces(order);
             bench.advance(CALL_MS + PIECE_MS);
             while !bench.calls.is_empty() {
-                bench.end_call(made);
+                bench.end_call(successful_item);
             }
         }
         bench.advance(5_000);
-        bench.settled.clear();
+        bench.outcomes.clear();
         bench
     }
 
@@ -105,10 +111,10 @@
         let mut directory = UpstreamDirectory::default();
         let entries = upstreams.iter().map(|(id, zone)| (1, entry(id, zone))).collect();
         directory.replace(1, entries, None);
-        let mut steps = Vec::new();
-        let away = HashMap::new();
-        self.dispatcher.reconfigure(&declarations(), &directory, &away, self.now, &mut steps);
-        self.take(steps);
+        let mut actions = Vec::new();
+        let backoffs = HashMap::new();
+        self.dispatcher.reconfigure(&declarations(), &directory, &backoffs, self.now, &mut actions);
+        self.take(actions);
     }
 
     pub fn order(&mut self, pieces: u32, due_ms: u64) -> PieceOrder {
@@ -132,69 +138,70 @@
         }
     }
 
-    pub fn offer(&mut self, order: PieceOrder) -> AttemptId {
-        let (attempt, mut steps) = (order.attempt, Vec::new());
-        self.dispatcher.submit(order, 0, self.now, &mut steps);
-        self.take(steps);
+    pub fn submit_pieces(&mut self, order: PieceOrder) -> AttemptId {
+        let (attempt, mut actions) = (order.attempt, Vec::new());
+        self.dispatcher.submit(order, 0, self.now, &mut actions);
+        self.take(actions);
         attempt
     }
 
-    pub fn take(&mut self, steps: Vec<DispatchAction>) {
-        for step in steps {
-            match step {
+    pub fn take(&mut self, actions: Vec<DispatchAction>) {
+        for action in actions {
+            match action {
                 DispatchAction::Call(order) => self.calls.push(order),
                 DispatchAction::Cancel(batch) => self.cancelled.push(batch),
                 DispatchAction::ReportOutcome { attempt, outcome, .. } => {
-                    self.settled.push((attempt, outcome));
+                    self.outcomes.push((attempt, outcome));
                 }
                 DispatchAction::FreeResults { .. } | DispatchAction::ProbeUpstream { .. } => {}
-                DispatchAction::FreeInputs { results, .. } => self.fetched.extend(results),
+                DispatchAction::FreeInputs { results, .. } => self.freed_inputs.extend(results),
                 DispatchAction::QueryFreeMemory { upstream, .. } => {
-                    self.asked.push(upstream.clone());
-                    if self.free_room.is_some() {
-                        self.tell_room(&upstream, self.free_room);
+                    self.memory_queries.push(upstream.clone());
+                    if self.free_memory.is_some() {
+                        self.report_free_memory(&upstream, self.free_memory);
                     }
                 }
             }
         }
     }
 
-    pub fn tell_room(&mut self, upstream: &str, free: Option<u64>) {
-        let mut steps = Vec::new();
-        self.dispatcher.record_free_memory(upstream, free, self.now, &mut steps);
-        self.take(steps);
+    pub fn report_free_memory(&mut self, upstream: &str, free: Option<u64>) {
+        let mut actions = Vec::new();
+        self.dispatcher.record_free_memory(upstream, free, self.now, &mut actions);
+        self.take(actions);
     }
 
     pub fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = (self.now + Duration::from_millis(50)).min(end);
-            let mut steps = Vec::new();
-            self.dispatcher.run_cycle(self.now, &mut steps);
-            self.take(steps);
+            let mut actions = Vec::new();
+            self.dispatcher.run_cycle(self.now, &mut actions);
+            self.take(actions);
         }
     }
 
-    /// Ends the oldest call, with every piece made unless `outcome` says otherwise.
+    /// Ends the oldest call. `outcome` returns the outcome of each piece by its position in the
+    /// call.
     pub fn end_call(&mut self, outcome: impl Fn(usize) -> ItemOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
         let items = (0..order.items.len()).map(outcome).collect();
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         let outcome = BatchOutcome::Answered(items);
-        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
-        self.take(steps);
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut actions);
+        self.take(actions);
         order
     }
 
     pub fn end_call_as(&mut self, outcome: BatchOutcome) -> BatchOrder {
         let order = self.calls.remove(0);
-        let mut steps = Vec::new();
-        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut steps);
-        self.take(steps);
+        let mut actions = Vec::new();
+        self.dispatcher.handle_outcome(order.batch, outcome, self.now, &mut actions);
+        self.take(actions);
         order
     }
 }
 
-pub fn made(index: usize) -> ItemOutcome {
+pub fn successful_item(index: usize) -> ItemOutcome {
     ItemOutcome::Made(ResultHandle::new(&format!("127.0.0.1:9000/{index}")))
 }
--- a/crates/crocusdale_core/tests/support/forward_daemon.rs
+++ b/crates/crocusdale_core/tests/support/forward_daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon that passes callers' own requests on, with every message in the hands of a test.
+//! Test support: one daemon that forwards callers' requests, with simulated upstreams and platform.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,12 +25,14 @@
 use crocusdale_core::routing::{ColdLimits, ColdUpstream, DirectoryEntry};
 use crocusdale_core::{DaemonCore, DaemonCoreBuilder, DiscoverySettings};
 
+/// Host name of all routes in the configuration.
 pub const HOST: &str = "mail.example";
-/// Text of a configuration in which the key of [`Daemon::submit`] is gone.
+/// Text of a configuration in which the access key [`KEY`] is revoked.
 pub const WITHOUT_KEYS: &str = "without keys";
-/// The key.
+/// Access key of the requests that [`Daemon::submit`] sends.
 pub const KEY: &str = "secret";
 
+/// Returns the fixed declarations under test, without [`KEY`] if `text` is [`WITHOUT_KEYS`].
 pub fn read(_: &str, text: &str) -> Result<Declarations, Vec<ConfigurationError>> {
     let stage = |kind| StageRules::published(kind, None);
     let batch = BatchRules {
@@ -85,7 +87,7 @@
     PipelineRules {
         name: repeat.to_string(),
         when: LabelSelector::default(),
-        plan: StagePlan::new(steps).expect("steps need earlier ones only"),
+        plan: StagePlan::new(steps).expect("each step depends only on earlier steps"),
         repeatable: repeat.is_repeatable(),
         forward: Some(ForwardRules {
             repeat,
@@ -100,7 +102,7 @@
     }
 }
 
-/// One daemon on a virtual clock, with every message in the hands of the test.
+/// One daemon on a virtual clock, with the commands that it has issued.
 pub struct Daemon {
     pub core: DaemonCore,
     pub now: MonotonicTime,
@@ -108,24 +110,24 @@
     pub sequence: u64,
     pub relays: Vec<ForwardOrder>,
     pub batches: Vec<BatchOrder>,
-    /// Results that upstreams were told to give up.
+    /// Results that the daemon has freed at their upstreams.
     pub freed: Vec<ResultHandle>,
-    /// Addresses of upstreams that were not told.
-    pub spared: Vec<SocketAddr>,
-    pub passed_on: Vec<AttemptId>,
+    /// Addresses of the upstreams that were excluded from freeing results.
+    pub excluded_addresses: Vec<SocketAddr>,
+    pub released_answers: Vec<AttemptId>,
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(CallId, FinalAnswer)>,
-    /// When readings of the published upstreams were begun that the test has not answered.
-    pub readings: Vec<MonotonicTime>,
-    /// Upstreams of the pool "scan".
+    /// Start times of the reads of the platform that the test has not answered.
+    pub pending_reads: Vec<MonotonicTime>,
+    /// Published upstreams of the pool `scan`.
     pub stages: Vec<String>,
-    /// Upstreams that the daemon wants looked at.
+    /// Upstreams that the daemon has requested to probe.
     pub probes: Vec<String>,
     /// Evacuated availability zones that the platform publishes.
     pub evacuated: Vec<String>,
-    /// Upstreams that are cold, as the platform publishes them.
+    /// Cold upstreams that the platform publishes.
     pub cold: Vec<ColdUpstream>,
-    /// Deadline of the requests to come.
+    /// Deadline of new requests.
     pub deadline: Duration,
     /// Revision and text of the configuration that the platform publishes.
     pub configuration: (u64, String),
@@ -140,7 +142,7 @@
         Self::named("entry-a1", bounds)
     }
 
-    /// The daemon on `vm`, in its seventh life.
+    /// Creates the daemon on `vm`, with the incarnation number 7, and starts it until it is ready.
     pub fn named(vm: &str, bounds: StalenessBounds) -> Self {
         let now = MonotonicTime::from_millis(0);
         let address = "127.0.0.1:1".parse().expect("an address");
@@ -169,11 +171,11 @@
             relays: Vec::new(),
             batches: Vec::new(),
             freed: Vec::new(),
-            spared: Vec::new(),
-            passed_on: Vec::new(),
+            excluded_addresses: Vec::new(),
+            released_answers: Vec::new(),
             cancelled: Vec::new(),
             answers: Vec::new(),
-            readings: Vec::new(),
+            pending_reads: Vec::new(),
             stages: vec!["s1".to_owned(), "s2".to_owned()],
             probes: Vec::new(),
             evacuated: Vec::new(),
@@ -191,32 +193,35 @@
         daemon
     }
 
-    /// Publishes plain upstreams, some of which leave, beside two of each other pool.
+    /// Publishes the upstreams `plain` of the pool `notify`, those of the other pools, and which of
+    /// all these are leaving.
     pub fn publish(&mut self, plain: &[&str], leaving: &[&str]) {
-        // What answers a reading of long ago is as old as that, and the daemon reads again.
+        // An answer is as old as the read that it belongs to. If that is too old, the daemon reads
+        // again.
         loop {
-            self.readings.clear();
-            let answer = self.answer_with(plain, leaving);
+            self.pending_reads.clear();
+            let answer = self.directory_read_event(plain, leaving);
             self.feed(answer);
             self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
-            if self.readings.is_empty() {
+            if self.pending_reads.is_empty() {
                 break;
             }
         }
     }
 
-    /// Lets the daemon begin a reading, and returns the answer, in which no upstream leaves.
-    pub fn reading_answer(&mut self, plain: &[&str]) -> DaemonEvent {
+    /// Lets the daemon start a read of the platform, and returns the answer to it, in which no
+    /// upstream is leaving.
+    pub fn start_read(&mut self, plain: &[&str]) -> DaemonEvent {
         self.feed(DaemonEvent::Timer(TimerKey::DirectoryReadDue));
-        assert_eq!(self.readings.len(), 1, "what is published is being read");
-        self.answer_with(plain, &[])
+        assert_eq!(self.pending_reads.len(), 1, "the daemon must start one read of the platform");
+        self.directory_read_event(plain, &[])
     }
 
-    fn answer_with(&self, plain: &[&str], leaving: &[&str]) -> DaemonEvent {
-        let others = [("k1", "rank"), ("r1", "reader"), ("r2", "reader")];
+    fn directory_read_event(&self, plain: &[&str], leaving: &[&str]) -> DaemonEvent {
+        let other_upstreams = [("k1", "rank"), ("r1", "reader"), ("r2", "reader")];
         let stages = self.stages.iter().map(|id| (id.as_str(), "scan"));
         let plain = plain.iter().map(|id| (*id, "notify"));
-        let entries = plain.chain(stages).chain(others).map(|(id, pool)| {
+        let entries = plain.chain(stages).chain(other_upstreams).map(|(id, pool)| {
             let entry = DirectoryEntry {
                 started_at_ms: None,
                 id: id.to_owned(),
@@ -253,13 +258,13 @@
                 Command::CallBatch(order) => self.batches.push(order),
                 Command::FreeResults { results, excluded } => {
                     self.freed.extend(results);
-                    self.spared.extend(excluded);
+                    self.excluded_addresses.extend(excluded);
                 }
-                Command::ReleaseAnswer { attempt, .. } => self.passed_on.push(attempt),
+                Command::ReleaseAnswer { attempt, .. } => self.released_answers.push(attempt),
                 Command::Cancel(attempt) => self.cancelled.push(attempt),
                 Command::Reply { call, answer } => self.answers.push((call, answer)),
                 Command::ProbeUpstream { upstream, .. } => self.probes.push(upstream),
-                Command::ReadDirectory => self.readings.push(self.now),
+                Command::ReadDirectory => self.pending_reads.push(self.now),
                 Command::SetTimer { timer, at } => {
                     self.sequence += 1;
                     self.timers.insert((at, self.sequence), timer);
@@ -270,18 +275,18 @@
     }
 
     pub fn advance(&mut self, millis: u64) {
-        let until = self.now + Duration::from_millis(millis);
-        while let Some((rank, timer)) =
-            self.timers.first_key_value().map(|(rank, timer)| (*rank, *timer))
+        let end = self.now + Duration::from_millis(millis);
+        while let Some((queue_position, timer)) =
+            self.timers.first_key_value().map(|(queue_position, timer)| (*queue_position, *timer))
         {
-            if rank.0 > until {
+            if queue_position.0 > end {
                 break;
             }
-            self.timers.remove(&rank);
-            self.now = self.now.max(rank.0);
+            self.timers.remove(&queue_position);
+            self.now = self.now.max(queue_position.0);
             self.feed(DaemonEvent::Timer(timer));
         }
-        self.now = until;
+        self.now = end;
     }
 
     pub fn submit(&mut self, path: &str) -> CallId {
@@ -294,7 +299,7 @@
         call
     }
 
-    /// A request that has not come yet.
+    /// Builds a request and its call without submitting it.
     pub fn request(&mut self, path: &str, access: Option<&str>) -> (CallId, Box<CallerRequest>) {
         self.sequence += 1;
         let key = RequestKey::new("", format!("try-{}", self.sequence));
@@ -326,11 +331,11 @@
         self.feed(DaemonEvent::Attempt { attempt, event });
     }
 
-    pub fn headed(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
+    pub fn receive_head(&mut self, attempt: AttemptId, status: u16, execution: ExecutionStatus) {
         self.attempt(attempt, AttemptEvent::HeadReceived(ResponseHead { status, execution }));
     }
 
-    pub fn make_pieces(&mut self) {
+    pub fn complete_batch(&mut self) {
         let order = self.batches.remove(0);
         let items = (0..order.items.len())
             .map(|index| ItemOutcome::Made(ResultHandle::new(&format!("127.0.0.1:9/{index}"))));
@@ -339,7 +344,7 @@
     }
 
     pub fn last_relay(&self) -> ForwardOrder {
-        self.relays.last().expect("the request was sent on").clone()
+        self.relays.last().expect("a request was forwarded").clone()
     }
 
     pub fn answer(&self, call: CallId) -> Option<(OutcomeKind, Option<RefusalReason>)> {
--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use batch_bench::{Bench, declarations, entry, made};
+use batch_bench::{Bench, declarations, entry, successful_item};
 use crocusdale_core::batching::BatchOutcome;
 use crocusdale_core::configuration::{AllowedRegions, DeclarationsBuilder, PoolKind, StageRules};
 use crocusdale_core::identity::{CallId, MonotonicTime};
@@ -63,7 +63,7 @@
 fn call_of_an_ended_life_is_lost_at_once() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
-    let attempt = bench.offer(order);
+    let attempt = bench.submit_pieces(order);
     let ended = bench.calls.remove(0);
     bench.advance(50);
     republish(&mut bench, born("u1", 2_000));
@@ -72,13 +72,16 @@
     assert_eq!((upstream.as_str(), process.as_str()), ("u1 born 2000", "u1"));
     assert_eq!(bench.calls[0].items.len(), 4);
     let mut steps = Vec::new();
-    let outcome = BatchOutcome::Answered((0..4).map(made).collect());
+    let outcome = BatchOutcome::Answered((0..4).map(successful_item).collect());
     bench.dispatcher.handle_outcome(ended.batch, outcome, bench.now, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty(), "results that are gone were settled");
+    assert!(bench.outcomes.is_empty(), "results that are gone were settled");
     bench.advance(200);
-    bench.end_call(made);
-    assert_eq!(bench.settled.pop().map(|(each, made)| (each, made.is_ok())), Some((attempt, true)));
+    bench.end_call(successful_item);
+    assert_eq!(
+        bench.outcomes.pop().map(|(each, successful_item)| (each, successful_item.is_ok())),
+        Some((attempt, true))
+    );
 }
 
 /// The life before had failed call after call, was slow, and its memory was full of results. The
@@ -88,14 +91,14 @@
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..4 {
         let order = bench.order(1, 500);
-        bench.offer(order);
+        bench.submit_pieces(order);
         while !bench.calls.is_empty() {
             bench.end_call_as(BatchOutcome::Broken);
         }
     }
     let mut order = bench.order(8, 900);
-    order.result_bytes = batch_bench::ROOM / 10;
-    bench.offer(order);
+    order.result_bytes = batch_bench::RESULT_MEMORY_BYTES / 10;
+    bench.submit_pieces(order);
     assert!(bench.calls.is_empty(), "the failing one rests");
     republish(&mut bench, born("u1", 2_000));
     assert_eq!(
@@ -103,7 +106,7 @@
         Some(12),
         "what waits and what failed"
     );
-    let failed = bench.settled.iter().filter(|(_, end)| *end == Err(PieceFault::Failed)).count();
+    let failed = bench.outcomes.iter().filter(|(_, end)| *end == Err(PieceFault::Failed)).count();
     assert_eq!(failed, 0);
 }
 
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -65,7 +65,7 @@
     assert!(calls * 3 <= 20 * 40, "{} readings and {} watches in 20 s", fleet.reads, fleet.watches);
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(30) + bound);
-    assert_eq!(fleet.informed(), 195);
+    assert_eq!(fleet.informed_daemons(), 195);
 }
 
 // An upstream gives notice. Most daemons don't read the list themselves; all must know in time.
@@ -75,7 +75,7 @@
         let mut fleet = settled_fleet(size);
         fleet.published = (2, vec![(2, entry(true))]);
         fleet.run(Duration::from_secs(10) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), size);
+        assert_eq!(fleet.informed_daemons(), size);
     }
 }
 
@@ -85,11 +85,11 @@
 fn daemon_without_peers_reads_itself() {
     for wait_ms in [0, 300, 600, 900, 1_200] {
         let mut fleet = settled_fleet(40);
-        fleet.cut_off.extend([17]);
+        fleet.partitioned.extend([17]);
         fleet.run(Duration::from_millis(10_000 + wait_ms));
         fleet.published = (2, vec![(2, entry(true))]);
         fleet.run(Duration::from_millis(10_000 + wait_ms) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), 40, "cut off {wait_ms} ms before the notice");
+        assert_eq!(fleet.informed_daemons(), 40, "cut off {wait_ms} ms before the notice");
     }
 }
 
@@ -98,11 +98,11 @@
 #[test]
 fn readers_that_are_turned_away_are_passed_by() {
     let mut fleet = settled_fleet(40);
-    fleet.turned_away.extend((0..40).step_by(2));
+    fleet.failing_readers.extend((0..40).step_by(2));
     fleet.run(Duration::from_secs(13));
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(13) + NOTICE_TIME);
-    assert_eq!(fleet.informed(), 40);
+    assert_eq!(fleet.informed_daemons(), 40);
 }
 
 // The platform is away for everybody, and all daemons ask it again and again until it is back. That
@@ -110,7 +110,7 @@
 #[test]
 fn outage_makes_no_rush() {
     let mut fleet = settled_fleet(250);
-    fleet.turned_away.extend(0..250);
+    fleet.failing_readers.extend(0..250);
     fleet.run(Duration::from_secs(20));
     assert!(fleet.reads <= 10 * 400, "{} reads in 10 s", fleet.reads);
 }
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -52,7 +52,7 @@
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             asked.push((relay.upstream.clone(), relay.write_by));
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
         daemon.advance(100);
@@ -108,7 +108,7 @@
             if relay.upstream == "n1" {
                 last = last.max(relay.write_by);
             }
-            daemon.headed(relay.attempt, 503, ExecutionStatus::Declined);
+            daemon.receive_head(relay.attempt, 503, ExecutionStatus::Declined);
         }
         let asked = ask(&mut daemon, 30);
         assert_eq!(count_of(&asked, "n1"), 0, "{notice_of:?}");
@@ -128,7 +128,7 @@
         daemon.advance(50);
         while !daemon.batches.is_empty() {
             assert_ne!(daemon.batches[0].upstream, "s1");
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
     }
 }
@@ -165,7 +165,7 @@
         daemon.advance(50);
         assert!(daemon.batches.iter().all(|batch| batch.upstream != "s1"));
         while !daemon.batches.is_empty() {
-            daemon.make_pieces();
+            daemon.complete_batch();
         }
     }
 }
@@ -197,7 +197,7 @@
     daemon.submit("/tell/it");
     daemon.submit("/digest/it");
     while !daemon.batches.is_empty() {
-        daemon.make_pieces();
+        daemon.complete_batch();
     }
     daemon.advance(1_000);
     assert!(daemon.relays.is_empty());
@@ -221,7 +221,7 @@
         let name = entry.name();
         fleet.published = (2, vec![(2, entry)]);
         fleet.run(Duration::from_secs(5));
-        fleet.turned_away = (0..size).collect();
+        fleet.failing_readers = (0..size).collect();
         let sent = fleet.now;
         fleet.feed(0, DaemonEvent::UpstreamNoticed { upstream: name, notice: LEAVING, sent });
         fleet.run(Duration::from_secs(8));
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -109,14 +109,15 @@
     let mut last = evacuated_at;
     while daemon.now < evacuated_at + bound * 2 {
         daemon.advance(10);
-        let answered = daemon.readings.first().is_some_and(|began| daemon.now >= *began + READING);
+        let answered =
+            daemon.pending_reads.first().is_some_and(|began| daemon.now >= *began + READING);
         if answered {
             daemon.publish(&["n1", "n2"], &[]);
         }
         daemon.submit("/ask/it");
         for relay in std::mem::take(&mut daemon.relays) {
             last = last.max(relay.write_by);
-            daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
+            daemon.receive_head(relay.attempt, 200, ExecutionStatus::Ran);
             daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
         }
     }
