--- a/crates/crocusdale_core/tests/dead_addresses_test.rs
+++ b/crates/crocusdale_core/tests/dead_addresses_test.rs
@@ -1,4 +1,4 @@
-//! For how long callers are sent to daemons that have ended.
+//! Time until the address list that callers receive omits daemons that have ended.
 
 mod support;
 
@@ -6,19 +6,20 @@
 
 use support::virtual_fleet::VirtualFleet;
 
-/// Time after the end of a daemon at which its address must not be named any more, beside a running one:
-/// the shortest time after which daemons are counted on, and three seconds.
-const NAMED_FOR: Duration = Duration::from_millis(7_000);
+/// Bound on the time for which an ended daemon's address may stay in the list beside a running one:
+/// the shortest time after which users count on a daemon, plus three seconds.
+const ADDRESS_REMOVAL_BOUND: Duration = Duration::from_millis(7_000);
 
-/// Guards against callers that are sent to daemons which are gone for good, in fleets of all sizes.
+/// Guards against callers that connect to daemons which have ended for good, in fleets of all
+/// sizes.
 #[test]
-fn dead_daemons_are_not_named_for_long() {
+fn addresses_of_dead_daemons_are_removed_within_the_bound() {
     for (size, dead) in [(6, 2), (74, 25), (74, 40), (195, 60)] {
         let mut fleet = VirtualFleet::new(size);
         fleet.run(Duration::from_secs(6));
         fleet.cut_off = (0..dead).collect();
-        fleet.run(Duration::from_secs(6) + NAMED_FOR);
-        let named =
+        fleet.run(Duration::from_secs(6) + ADDRESS_REMOVAL_BOUND);
+        let listed_addresses =
             |core: &crocusdale_core::DaemonCore| core.addresses("caller", Some("z1")).addresses;
         let addresses: Vec<_> = (0..size)
             .map(|index| {
@@ -26,10 +27,16 @@
             })
             .collect();
         for core in &fleet.cores[dead..] {
-            let answer = named(core);
+            let answer = listed_addresses(core);
             assert!(!answer.is_empty());
-            let wrong = answer.iter().filter(|address| addresses[..dead].contains(address)).count();
-            assert_eq!(wrong, 0, "{dead} of {size} ended, {}", core.dump(fleet.now).instance.vm);
+            let dead_count =
+                answer.iter().filter(|address| addresses[..dead].contains(address)).count();
+            assert_eq!(
+                dead_count,
+                0,
+                "expected no address of the {dead} ended daemons of {size} at {}",
+                core.dump(fleet.now).instance.vm
+            );
         }
     }
 }
--- a/crates/crocusdale_core/tests/engine_orders_test.rs
+++ b/crates/crocusdale_core/tests/engine_orders_test.rs
@@ -1,4 +1,4 @@
-//! What a keeper tells an engine, given what the engine holds.
+//! Orders that a daemon sends to an engine, given the order that the engine holds.
 
 mod support;
 
@@ -22,27 +22,28 @@
 }
 
 #[test]
-fn order_is_given_only_where_something_differs() {
+fn order_is_sent_only_where_the_held_one_differs() {
     let declarations = Declarations::check("test", &declared("v2")).expect("they are right");
     let reconciler = OrderReconciler::new(&declarations, 5);
     assert_eq!(reconciler.decide("u1", &held(2, "v2")), ReconcileAction::Nothing);
     let ReconcileAction::Send { order, .. } = reconciler.decide("u1", &held(2, "v1")) else {
-        panic!("it must be given the declared version");
+        panic!("engine with version v1 must be sent the declared version v2");
     };
     assert_eq!(order, held(5, "v2"));
 }
 
-// A keeper was cut off while a later revision came into force elsewhere and another keeper ordered
-// the new version. It still has the old revision in force when it reads what the engine holds; an
-// order from it would bring the old version back.
+/// Guards against a daemon that restores an old model version on an engine. It was partitioned
+/// while a later configuration revision came into force, and another daemon ordered the new
+/// version. It still holds the old revision when it reads the order that the engine holds.
 #[test]
-fn order_of_a_later_revision_is_left_alone() {
+fn order_of_a_later_revision_is_not_replaced() {
     let mut fleet = CoreFleet::new(3);
     fleet.declarations = declared("v1");
     fleet.restart(0);
     let event = DaemonEvent::EngineOrderRead { upstream: "u1".into(), held: Some(held(9, "v2")) };
     let mut commands = Vec::new();
     fleet.nodes[0].core.handle(event, fleet.now, &mut commands);
-    let gives = commands.iter().any(|command| matches!(command, Command::SendEngineOrder { .. }));
-    assert!(!gives, "{commands:?}");
+    let sends_order =
+        commands.iter().any(|command| matches!(command, Command::SendEngineOrder { .. }));
+    assert!(!sends_order, "{commands:?}");
 }
--- a/crates/crocusdale_core/tests/fetched_inputs_test.rs
+++ b/crates/crocusdale_core/tests/fetched_inputs_test.rs
@@ -1,4 +1,4 @@
-//! Results that the next step has fetched, and that lie in the way of others.
+//! Results that the next step has fetched, and that occupy memory of the upstream that made them.
 
 #[path = "support/batch_bench.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -7,8 +7,8 @@
 use batch_bench::{Bench, PIECES, made};
 use crocusdale_core::pipeline::{PieceOrder, PieceSource, ResultHandle};
 
-/// Time after which a call has fetched its inputs, and some more.
-const FETCHED_MS: u64 = 100;
+/// Time after the start of a call by which it has fetched its inputs, with a margin.
+const FETCH_TIME_MS: u64 = 100;
 
 fn order_with_inputs(bench: &mut Bench, pieces: u32) -> PieceOrder {
     let mut order = bench.order(pieces, 2_000);
@@ -17,48 +17,49 @@
     order
 }
 
-/// In a burst, the upstreams of the step before are full of results: each lay there for the whole
-/// call of the next step, though that call had fetched it at its beginning. Users waited for calls
-/// that were half empty. What was fetched is given up while the call still goes on.
+/// Guards against upstreams whose memory is full of results that were fetched already. In a burst,
+/// each result stayed for the whole call of the next step, so new calls were half empty and users
+/// waited. Fetched inputs are freed while the call still runs.
 #[test]
-fn inputs_are_given_up_once_they_are_fetched() {
+fn inputs_are_freed_once_they_are_fetched() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, 2);
     bench.offer(order);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "the call may not have begun yet");
-    bench.advance(FETCHED_MS);
+    assert!(bench.fetched.is_empty(), "inputs must be kept while the call may not have begun");
+    bench.advance(FETCH_TIME_MS);
     free_unneeded_results(&mut bench);
-    assert_eq!(bench.calls.len(), 1, "the call goes on");
+    assert_eq!(bench.calls.len(), 1, "the call must still be running");
     assert_eq!(bench.fetched, [ResultHandle::new("10.0.0.1:9/1")]);
 }
 
-/// A request has more pieces than one call holds. Its inputs are needed again by its second call:
-/// given up with the first one, the second would find nothing, and all would be made anew.
+/// Guards against inputs that are freed before the last call that needs them. A request with more
+/// pieces than one call holds needs its inputs again in its second call. Without them, all of them
+/// would have to be computed again.
 #[test]
-fn inputs_of_pieces_that_wait_are_kept() {
+fn inputs_of_queued_pieces_are_kept() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = order_with_inputs(&mut bench, PIECES + 1);
     bench.offer(order);
-    bench.advance(FETCHED_MS);
+    bench.advance(FETCH_TIME_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty(), "one piece still waits");
+    assert!(bench.fetched.is_empty(), "inputs must be kept while one piece is queued");
     bench.end_call(made);
-    bench.advance(FETCHED_MS);
+    bench.advance(FETCH_TIME_MS);
     free_unneeded_results(&mut bench);
     assert_eq!(bench.fetched.len(), 1);
 }
 
-/// Two steps need the same results. The first one to fetch them must leave them to the other.
+/// Guards against results that are freed by the first of two steps which need them.
 #[test]
 fn inputs_that_another_step_needs_are_kept() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let mut order = order_with_inputs(&mut bench, 2);
     order.inputs_pool = None;
     bench.offer(order);
-    bench.advance(FETCHED_MS);
+    bench.advance(FETCH_TIME_MS);
     free_unneeded_results(&mut bench);
-    assert!(bench.fetched.is_empty());
+    assert!(bench.fetched.is_empty(), "inputs of another step must be kept");
 }
 
 fn free_unneeded_results(bench: &mut Bench) {
