--- a/crates/crocusdale_core/tests/upstream_state_test.rs
+++ b/crates/crocusdale_core/tests/upstream_state_test.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of one upstream.
+//! State that a daemon keeps for one upstream.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn answered(state: &mut UpstreamState, millis: u64) {
+fn record_answer(state: &mut UpstreamState, millis: u64) {
     state.start_attempt();
     state.end_attempt(AttemptReport::Answered(Duration::from_millis(millis)), at(0));
 }
 
-/// Attempts that it takes at one time now.
-fn room(state: &mut UpstreamState) -> u32 {
+/// Number of concurrent attempts that the upstream accepts now.
+fn concurrency_window(state: &mut UpstreamState) -> u32 {
     let mut open = 0;
     while state.has_free_slot() {
         state.start_attempt();
@@ -27,10 +27,11 @@
     open
 }
 
-// An upstream said that it was leaving, left, and its VM runs a new process. Nobody gives work to
-// one that is leaving, so nobody would ever hear from the new process that it stays.
+/// Guards against an upstream that gets no requests after a restart. The old process announced that
+/// it was leaving, and its VM now runs a new process. A leaving upstream gets no requests, so no
+/// answer could tell that the new process stays.
 #[test]
-fn upstream_whose_vm_is_live_again_gets_work() {
+fn upstream_that_is_listed_as_live_again_is_not_leaving() {
     let mut state = UpstreamState::new("u", 4);
     state.record_leaving("first life");
     state.set_listed_leaving(true);
@@ -39,16 +40,18 @@
     assert!(!state.is_leaving());
 }
 
-// The list lags behind the upstream's own word: it still shows the VM as live.
+/// Guards against a stale list that overrides a notice from the upstream itself: the list still
+/// shows the VM as live.
 #[test]
-fn word_of_the_upstream_outlasts_a_lagging_list() {
+fn leaving_notice_outlasts_a_stale_list() {
     let mut state = UpstreamState::new("u", 4);
     state.record_leaving("first life");
     state.set_listed_leaving(false);
     assert!(state.is_leaving());
 }
 
-// An upstream that fails at once always has room, and would attract the work of its pool.
+/// Guards against an upstream that fails at once: it always has free slots, and would attract the
+/// requests of its pool.
 #[test]
 fn failing_upstream_is_ejected_for_longer_each_time() {
     let mut state = UpstreamState::new("u", 4);
@@ -60,40 +63,40 @@
     state.start_attempt();
     state.end_attempt(AttemptReport::Failed, at(500));
     assert!(state.is_ejected(at(1_499)) && !state.is_ejected(at(1_500)));
-    answered(&mut state, 10);
+    record_answer(&mut state, 10);
     assert!(!state.is_ejected(at(501)));
 }
 
-// Answers get slower because calls wait inside the upstream; fewer are sent there until they are
-// fast again.
+/// Guards against a window that ignores queueing inside the upstream. Slower answers mean that
+/// calls wait there, so the window shrinks until answers are fast again.
 #[test]
-fn window_follows_the_upstream() {
+fn window_follows_the_answer_time() {
     let mut state = UpstreamState::new("u", 16);
     for _ in 0..200 {
-        answered(&mut state, 10);
+        record_answer(&mut state, 10);
     }
-    assert_eq!(room(&mut state), 16);
+    assert_eq!(concurrency_window(&mut state), 16);
     for _ in 0..10 {
-        answered(&mut state, 50);
+        record_answer(&mut state, 50);
     }
-    assert!(room(&mut state) <= 2);
+    assert!(concurrency_window(&mut state) <= 2);
     for _ in 0..200 {
-        answered(&mut state, 10);
+        record_answer(&mut state, 10);
     }
-    assert_eq!(room(&mut state), 16);
+    assert_eq!(concurrency_window(&mut state), 16);
 }
 
-// Orders that must not repeat have one attempt each. An upstream that failed the last one must not
-// be given the next while others do well.
+/// Guards against requests with a single attempt that go to an upstream which has failed the last
+/// one while others answer.
 #[test]
 fn upstream_that_failed_costs_more_until_it_answers() {
     let (mut good, mut bad) = (UpstreamState::new("good", 4), UpstreamState::new("bad", 4));
-    answered(&mut good, 10);
-    answered(&mut bad, 2);
-    assert!(bad.cost() < good.cost());
+    record_answer(&mut good, 10);
+    record_answer(&mut bad, 2);
+    assert!(bad.cost() < good.cost(), "the faster upstream must cost less");
     bad.start_attempt();
     bad.end_attempt(AttemptReport::Failed, at(0));
-    assert!(bad.cost() > good.cost());
-    answered(&mut bad, 2);
+    assert!(bad.cost() > good.cost(), "the upstream that failed must cost more");
+    record_answer(&mut bad, 2);
     assert!(bad.cost() < good.cost());
 }
--- a/crates/crocusdale_core/tests/workspace_meter_test.rs
+++ b/crates/crocusdale_core/tests/workspace_meter_test.rs
@@ -1,11 +1,17 @@
-//! Whose requests count as a flood.
+//! Detection of workspaces whose requests count as a flood.
 
 use crocusdale_core::admission::WorkspaceMeter;
 use crocusdale_core::identity::MonotonicTime;
 
-/// Sends the requests of each workspace for `millis`, in turn, each with its number in 100 ms;
-/// returns how many of each count as a flood.
-fn send(meter: &mut WorkspaceMeter, now: &mut u64, millis: u64, rates: &[usize]) -> Vec<usize> {
+/// Records requests of all workspaces for `millis` milliseconds. `rates` holds the number of
+/// requests in 100 ms of each workspace. Returns the number of requests of each that count as a
+/// flood.
+fn record_requests(
+    meter: &mut WorkspaceMeter,
+    now: &mut u64,
+    millis: u64,
+    rates: &[usize],
+) -> Vec<usize> {
     let mut floods = vec![0; rates.len()];
     for _ in 0..millis / 100 {
         *now += 100;
@@ -18,29 +24,33 @@
     floods
 }
 
-/// A small workspace suddenly sends twelve times as much. Within a second its requests count as a
-/// flood, those of the others never do, and a few seconds later it is forgiven.
+/// Guards against a flood of one workspace that goes unnoticed or is held against it for good. A
+/// small workspace suddenly sends twelve times as many requests. Within a second they count as a
+/// flood, those of the others never do, and a few seconds after the flood its requests are ordinary
+/// again.
 #[test]
-fn sudden_flood_of_one_workspace_is_noticed_and_forgiven() {
+fn flood_of_one_workspace_is_detected_and_its_end_too() {
     let (mut meter, mut now) = (WorkspaceMeter::default(), 0);
-    assert_eq!(send(&mut meter, &mut now, 10_000, &[4, 2, 1]), [0, 0, 0]);
-    send(&mut meter, &mut now, 1_000, &[4, 2, 12]);
-    assert_eq!(send(&mut meter, &mut now, 7_000, &[4, 2, 12]), [0, 0, 12 * 70]);
-    send(&mut meter, &mut now, 5_000, &[4, 2, 1]);
-    assert_eq!(send(&mut meter, &mut now, 5_000, &[4, 2, 1]), [0, 0, 0]);
+    assert_eq!(record_requests(&mut meter, &mut now, 10_000, &[4, 2, 1]), [0, 0, 0]);
+    record_requests(&mut meter, &mut now, 1_000, &[4, 2, 12]);
+    assert_eq!(record_requests(&mut meter, &mut now, 7_000, &[4, 2, 12]), [0, 0, 12 * 70]);
+    record_requests(&mut meter, &mut now, 5_000, &[4, 2, 1]);
+    assert_eq!(record_requests(&mut meter, &mut now, 5_000, &[4, 2, 1]), [0, 0, 0]);
 }
 
-/// All workspaces send three times as much in the morning, and one of them is large. Nobody floods.
+/// Guards against a general rise that counts as a flood. All workspaces, one of them large, send
+/// three times as many requests in the morning.
 #[test]
-fn burst_of_all_is_no_flood() {
+fn burst_of_all_workspaces_is_no_flood() {
     let (mut meter, mut now) = (WorkspaceMeter::default(), 0);
-    send(&mut meter, &mut now, 10_000, &[8, 2, 1]);
-    assert_eq!(send(&mut meter, &mut now, 6_000, &[24, 6, 3]), [0, 0, 0]);
+    record_requests(&mut meter, &mut now, 10_000, &[8, 2, 1]);
+    assert_eq!(record_requests(&mut meter, &mut now, 6_000, &[24, 6, 3]), [0, 0, 0]);
 }
 
-/// A process has just started, and nothing is usual yet. The first to come must not count as a flood.
+/// Guards against the first requests after a process start that count as a flood, since no usual
+/// rate is known yet.
 #[test]
 fn first_requests_are_no_flood() {
     let (mut meter, mut now) = (WorkspaceMeter::default(), 0);
-    assert_eq!(send(&mut meter, &mut now, 1_900, &[9]), [0]);
+    assert_eq!(record_requests(&mut meter, &mut now, 1_900, &[9]), [0]);
 }
