--- a/crates/crocusdale_core/tests/late_request_test.rs
+++ b/crates/crocusdale_core/tests/late_request_test.rs
@@ -1,4 +1,5 @@
-//! Requests that can't be in time: who waits, who is refused, what its caller is told.
+//! Requests that can't meet their objective: which are delayed, which are refused, and the retry
+//! time that their callers get.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -15,8 +16,9 @@
 
 use forward_daemon::Daemon;
 
-/// A pool in which new pieces wait for `millis`, those of late requests no longer than others.
-fn crowd(millis: u64) -> PoolWait {
+/// Reported wait of a pool in which new pieces wait for `millis` milliseconds, those of late
+/// requests no longer than those of requests in time.
+fn pool_wait(millis: u64) -> PoolWait {
     let wait = Duration::from_millis(millis);
     PoolWait {
         on_time_wait: wait,
@@ -26,43 +28,48 @@
     }
 }
 
-/// A burst has filled the pool of the first step for longer than the objective. Requests that come
-/// now can only be late: begun at once, they would hold up those that can be in time, and end
-/// late all the same. They wait until there is room, and are answered well before their deadline.
+/// Guards against late requests that delay requests which can still meet their objective. A burst
+/// has filled the pool of the first step for longer than the objective, so a new request can only
+/// be late. It is delayed until the pool has capacity, and is answered well before its deadline.
 #[test]
-fn late_requests_begin_once_there_is_room() {
+fn late_request_starts_once_the_pool_has_capacity() {
     let mut daemon = Daemon::new();
-    let wait = crowd(1_500);
+    let wait = pool_wait(1_500);
     daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     daemon.advance(700);
-    assert!(daemon.batches.is_empty(), "the pool is still full");
+    assert!(daemon.batches.is_empty(), "no piece may be sent while the pool is full");
     daemon.advance(800);
-    assert_eq!(daemon.batches.len(), 1, "there is room again");
+    assert_eq!(daemon.batches.len(), 1, "the pieces must be sent once the pool has capacity");
     daemon.make_pieces();
     daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
-/// The burst doesn't end. What waits is refused while its caller still has time, as not run, which
-/// is true: not a piece of it was made.
+/// Guards against a delayed request that is refused too late for a retry elsewhere. The burst lasts
+/// longer than the deadline allows, so the request is refused at once. The refusal may say that it
+/// has not run, as no piece of it was made.
 #[test]
-fn waiting_request_is_refused_before_its_deadline() {
+fn request_that_would_wait_too_long_is_refused_at_once() {
     let mut daemon = Daemon::new();
-    let wait = crowd(9_000);
+    let wait = pool_wait(9_000);
     daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::Overload))));
     assert!(daemon.batches.is_empty());
     let retry_after = daemon.answers[0].1.retry_after;
-    assert_eq!(retry_after, Some(Duration::from_millis(9_000)), "sooner, it would come in vain");
+    assert_eq!(
+        retry_after,
+        Some(Duration::from_millis(9_000)),
+        "a retry before that time would be refused again"
+    );
 }
 
-/// A dispatcher gives pieces up, as their turn would come too late. Their caller hears when the pool
-/// should have room, not a time after which it would meet the same queue.
+/// Guards against callers that retry into the same queue. A dispatcher drops pieces that would be
+/// made too late, and the caller must get the time at which the pool should have capacity.
 #[test]
-fn caller_of_pieces_that_were_given_up_is_told_when_to_come_back() {
+fn refusal_of_dropped_pieces_carries_the_retry_time_of_the_dispatcher() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     let attempt =
@@ -74,11 +81,12 @@
     assert_eq!(daemon.answers[0].1.retry_after, Some(retry_after));
 }
 
-/// A caller leaves while its request waits for room. Nothing of it may reach an upstream later.
+/// Guards against work for nobody: a caller disconnects while its request is delayed, and nothing
+/// of the request may reach an upstream later.
 #[test]
-fn waiting_request_of_a_caller_that_left_never_begins() {
+fn delayed_request_of_a_disconnected_caller_never_starts() {
     let mut daemon = Daemon::new();
-    let wait = crowd(1_000);
+    let wait = pool_wait(1_000);
     daemon.feed(DaemonEvent::PoolWaitReported { pool: "scan".to_owned(), wait });
     let call = daemon.submit("/digest/7");
     daemon.feed(DaemonEvent::CallerDisconnected(call));
--- a/crates/crocusdale_core/tests/retry_budget_test.rs
+++ b/crates/crocusdale_core/tests/retry_budget_test.rs
@@ -1,4 +1,4 @@
-//! The bound on retries, as all daemons together keep it.
+//! Retry budgets of single daemons, whose sum must stay below the bound on retries of the fleet.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Fixed seed, so that each run of the property test draws the same cases.
 const SEED: u64 = 20_261_202;
 const WINDOW_MS: u64 = 10_000;
 
-/// What happens at one daemon.
+/// Event of the simulation. A pause, in milliseconds, passes at all daemons.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    First,
+enum BudgetEvent {
+    FirstAttempt,
     Failure,
     Pause(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn budget_event() -> impl Strategy<Value = BudgetEvent> {
     prop_oneof![
-        2 => Just(Step::First),
-        4 => Just(Step::Failure),
-        1 => (1_u64..2_000).prop_map(Step::Pause),
+        2 => Just(BudgetEvent::FirstAttempt),
+        4 => Just(BudgetEvent::Failure),
+        1 => (1_u64..2_000).prop_map(BudgetEvent::Pause),
     ]
 }
 
@@ -34,12 +35,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Everything fails, at every daemon, and each tries to repeat whatever it can. In no window
-    /// may they repeat more than the users' bound, whoever spends and when.
+    /// Guards against retry storms. Every attempt fails at every daemon, and each daemon retries as
+    /// often as its budget allows. In no window may all daemons together exceed the bound that
+    /// users state, whichever daemon spends and when.
     #[test]
     fn retries_of_all_daemons_stay_below_the_bound(
         daemons in 1_usize..9,
-        steps in proptest::collection::vec((0_usize..9, step()), 0..1_200),
+        events in proptest::collection::vec((0_usize..9, budget_event()), 0..1_200),
     ) {
         let limits = RetryLimits {
             ratio: 0.2,
@@ -49,33 +51,35 @@
         let mut budgets: Vec<_> = (0..daemons).map(|_| limits.budget(daemons)).collect();
         let mut millis = 0;
         let (mut firsts, mut retries) = (Vec::new(), Vec::new());
-        for (daemon, step) in steps {
+        for (daemon, budget_event) in events {
             let budget = &mut budgets[daemon % daemons];
             let now = MonotonicTime::from_millis(millis);
-            match step {
-                Step::First => {
+            match budget_event {
+                BudgetEvent::FirstAttempt => {
                     budget.record_first_attempt(now);
                     firsts.push(millis);
                 }
-                Step::Failure if budget.take_retry(now) => retries.push(millis),
-                Step::Failure => {}
-                Step::Pause(pause) => millis += pause,
+                BudgetEvent::Failure if budget.take_retry(now) => retries.push(millis),
+                BudgetEvent::Failure => {}
+                BudgetEvent::Pause(pause) => millis += pause,
             }
         }
-        let within = |times: &[u64], from: u64, to: u64| {
+        let count_within = |times: &[u64], from: u64, to: u64| {
             times.iter().filter(|at| (from..to).contains(*at)).count() as f64
         };
         for start in &retries {
-            let spent = within(&retries, *start, start + WINDOW_MS);
-            // What was earned before the window may be spent in it, up to what can be saved.
-            let earned = within(&firsts, start.saturating_sub(WINDOW_MS), start + WINDOW_MS);
-            prop_assert!(spent <= 0.2 * earned + 52.0, "{spent} with {earned} first attempts");
+            let spent = count_within(&retries, *start, start + WINDOW_MS);
+            // Retries that were earned before the window may be spent count_within it, up to the
+            // reserve.
+            let earned = count_within(&firsts, start.saturating_sub(WINDOW_MS), start + WINDOW_MS);
+            prop_assert!(spent <= 0.2 * earned + 52.0, "{spent} retries for {earned} first attempts exceed the bound");
         }
     }
 }
 
-/// Daemons learn late that one more has joined. The part that each keeps back covers it: the sum of
-/// what they may save up never exceeds the users' reserve.
+/// Guards against reserves that exceed the bound while daemons still learn that another one has
+/// joined. Here each of six daemons counts only five. The part of the reserve that each holds back
+/// must cover the difference.
 #[test]
 fn reserve_is_divided_among_the_daemons() {
     let limits =
@@ -91,5 +95,5 @@
         .iter_mut()
         .map(|budget| (0..1_000).filter(|_| budget.take_retry(now)).count())
         .sum();
-    assert!(spent <= 26, "{spent} retries at one moment");
+    assert!(spent <= 26, "{spent} retries at one moment, at most 26 expected");
 }
--- a/crates/crocusdale_core/tests/upstream_return_test.rs
+++ b/crates/crocusdale_core/tests/upstream_return_test.rs
@@ -1,4 +1,4 @@
-//! A daemon that could not read the published upstreams for some time, and reads them again.
+//! A daemon that reads the published upstreams again after reads have failed for some time.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -9,16 +9,17 @@
 use forward_daemon::Daemon;
 
 fn plain_upstreams(daemon: &Daemon) -> Vec<String> {
-    let known = daemon.core.published_upstreams(daemon.now).entries.into_iter();
-    let plain = known.filter(|each| each.entry.pool == "notify" && !each.entry.leaving);
+    let listed = daemon.core.published_upstreams(daemon.now).entries.into_iter();
+    let plain = listed.filter(|each| each.entry.pool == "notify" && !each.entry.leaving);
     plain.map(|each| each.entry.id).collect()
 }
 
-/// The store is away for a second, and comes back without one upstream, whose entry lapsed; half a
-/// second later another one is missing, which has left. Users' requests must go to the first for two
-/// seconds, in which it may come back, and to the second no longer.
+/// Guards against requests to an upstream that left after an outage of the store. The store is away
+/// for a second and returns without one upstream, whose entry has expired; half a second later
+/// another upstream is missing, which has left. The first must stay in use for two seconds, in
+/// which its entry may return, the second must be dropped at once.
 #[test]
-fn only_what_lapsed_before_the_return_is_waited_for() {
+fn only_entries_that_expired_in_the_outage_are_kept() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2", "n3"], &[]);
     daemon.feed(DaemonEvent::DirectoryReadFailed);
@@ -26,10 +27,22 @@
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(100);
     daemon.publish(&["n1", "n2"], &[]);
-    assert_eq!(plain_upstreams(&daemon), ["n1", "n2", "n3"], "n3 may have lapsed");
+    assert_eq!(
+        plain_upstreams(&daemon),
+        ["n1", "n2", "n3"],
+        "n3 must be kept: its entry may have expired in the outage"
+    );
     daemon.advance(500);
     daemon.publish(&["n1"], &[]);
-    assert_eq!(plain_upstreams(&daemon), ["n1", "n3"], "n2 has left");
+    assert_eq!(
+        plain_upstreams(&daemon),
+        ["n1", "n3"],
+        "n2 must be removed: it was listed after the outage and has left"
+    );
     daemon.advance(1_700);
-    assert_eq!(plain_upstreams(&daemon), ["n1"], "n3 has not come back");
+    assert_eq!(
+        plain_upstreams(&daemon),
+        ["n1"],
+        "n3 must be removed: its entry did not return in two seconds"
+    );
 }
