--- a/crates/crocusdale_core/tests/member_places_test.rs
+++ b/crates/crocusdale_core/tests/member_places_test.rs
@@ -1,4 +1,4 @@
-//! Members that find each other without a VM list.
+//! Members that learn each other's places by gossip, without a VM list.
 
 use crocusdale_core::batching::DispatcherChoice;
 use crocusdale_core::identity::{InstanceId, MonotonicTime};
@@ -24,7 +24,7 @@
     MemberRecord { refutation: 1, status, ..MemberRecord::new(instance, Some(place(index))) }
 }
 
-fn told(records: Vec<MemberRecord>) -> ExchangeMessage {
+fn exchange_message(records: Vec<MemberRecord>) -> ExchangeMessage {
     ExchangeMessage {
         sender: record(1, MemberStatus::Alive),
         sender_leaving: false,
@@ -43,28 +43,29 @@
     }
 }
 
-/// Every process of a large fleet starts anew, or one does. It asks one seed; if it learned of the
-/// others a few at a time, it would choose other dispatchers than they do for many seconds.
+/// Guards against a starting member that learns of its peers a few at a time. It asks one seed, and
+/// until it knows all peers it chooses other dispatchers than they do, for many seconds in a large
+/// fleet.
 #[test]
-fn starting_member_learns_of_all_from_one_answer() {
+fn starting_member_learns_all_peers_from_one_reply() {
     let now = MonotonicTime::from_millis(0);
     let mut seed = view(0);
     let others = (1..100).map(|index| record(index, MemberStatus::Alive)).collect();
-    seed.merge_message(&told(others), now);
-    let mut fresh = view(200);
-    fresh.merge_message(
+    seed.merge_message(&exchange_message(others), now);
+    let mut starting = view(200);
+    starting.merge_message(
         &seed.full_sync_message("entry-200", 0, (0, 0), DirectoryVersion::default()),
         now,
     );
-    assert_eq!(fresh.peer_count(), 100);
-    assert_eq!(fresh.places().len(), 101);
+    assert_eq!(starting.peer_count(), 100, "peers after one reply");
+    assert_eq!(starting.places().len(), 101, "places of all peers and its own");
 }
 
-/// All processes of a large fleet were killed at one moment. Each has heard of another few that
-/// they serve again; if each chose its dispatcher among those, a hundred daemons would call one pool
-/// of a few upstreams, each with calls of its own.
+/// Guards against many dispatchers of one pool after a restart of a large fleet. Each daemon has
+/// heard of a different few that serve again. If each chose among those, a hundred daemons would
+/// call a pool of a few upstreams, each with calls of its own.
 #[test]
-fn fleet_that_starts_agrees_on_a_dispatcher() {
+fn starting_fleet_agrees_on_a_dispatcher() {
     let now = MonotonicTime::from_millis(0);
     let chosen: Vec<String> = (0..8)
         .map(|own| {
@@ -75,70 +76,79 @@
                     if alive(index) { MemberStatus::Alive } else { MemberStatus::Starting };
                 record(index, status)
             });
-            view.merge_message(&told(others.collect()), now);
-            let roster = VmList { revision: 1, vms: view.places() };
-            DispatcherChoice::new(&roster, &view).dispatcher("rerank", &[]).to_owned()
+            view.merge_message(&exchange_message(others.collect()), now);
+            let vm_list = VmList { revision: 1, vms: view.places() };
+            DispatcherChoice::new(&vm_list, &view).dispatcher("rerank", &[]).to_owned()
         })
         .collect();
-    assert!(chosen.iter().all(|vm| *vm == chosen[0]), "{chosen:?}");
+    assert!(
+        chosen.iter().all(|vm| *vm == chosen[0]),
+        "all daemons must choose one dispatcher: {chosen:?}"
+    );
 }
 
-/// One process starts anew in a fleet that serves. Until it is ready, pieces must pass it by.
+/// Guards against pieces that are sent to a daemon which is not ready: one process of a serving
+/// fleet restarts.
 #[test]
-fn single_starting_daemon_dispatches_nothing() {
+fn single_starting_daemon_is_no_dispatcher() {
     let mut view = view(0);
     view.become_ready();
-    let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
+    let vm_list = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     let others = (1..6).map(|index| record(index, MemberStatus::Alive)).collect();
-    view.merge_message(&told(others), MonotonicTime::from_millis(0));
-    let first = DispatcherChoice::new(&roster(&view), &view).dispatcher("rerank", &[]).to_owned();
+    view.merge_message(&exchange_message(others), MonotonicTime::from_millis(0));
+    let first = DispatcherChoice::new(&vm_list(&view), &view).dispatcher("rerank", &[]).to_owned();
     let index = first.trim_start_matches("entry-").parse().expect("a number");
     let mut restarted: MemberRecord = record(index, MemberStatus::Starting);
     restarted.instance.incarnation = 2;
     restarted.generation = 2;
-    view.merge_message(&told(vec![restarted]), MonotonicTime::from_millis(10));
-    let second = DispatcherChoice::new(&roster(&view), &view).dispatcher("rerank", &[]).to_owned();
-    assert_ne!(second, first);
+    view.merge_message(&exchange_message(vec![restarted]), MonotonicTime::from_millis(10));
+    let second = DispatcherChoice::new(&vm_list(&view), &view).dispatcher("rerank", &[]).to_owned();
+    assert_ne!(second, first, "a starting daemon must not be the dispatcher");
 }
 
-/// A member that nobody has reached for long is told of by one that still remembers it. It must not
-/// come back as a newcomer, to be asked and given up again and again.
+/// Guards against a lost member that is added again and again. A member that nobody has reached for
+/// long appears in the gossip of a peer which still remembers it, and would be queried and dropped
+/// each time.
 #[test]
-fn lost_member_is_no_newcomer() {
+fn unreachable_member_is_not_added() {
     let mut view = view(0);
     let lost = record(7, MemberStatus::Unreachable);
-    view.merge_message(&told(vec![lost]), MonotonicTime::from_millis(0));
-    assert!(view.status("entry-7").is_none());
+    view.merge_message(&exchange_message(vec![lost]), MonotonicTime::from_millis(0));
+    assert!(view.status("entry-7").is_none(), "entry-7 must not be added");
 }
 
-/// A fleet of a few large VMs and many small ones. All pieces of a pool pass its dispatcher; on a
-/// small VM they fill its link, and most users of the pool are served too late.
+/// Guards against a dispatcher on a small VM in a fleet of a few large VMs and many small ones. All
+/// pieces of a pool pass its dispatcher; on a small VM they fill its network link, and most users
+/// of the pool are served too late.
 #[test]
 fn small_vms_dispatch_only_without_large_ones() {
     let now = MonotonicTime::from_millis(0);
-    let sized = |index: usize, cpu_share, link_mbps| {
+    let sized_record = |index: usize, cpu_share, link_mbps| {
         let mut record = record(index, MemberStatus::Alive);
-        let place = record.place.as_mut().expect("it tells its place");
+        let place = record.place.as_mut().expect("the record has a place");
         place.capacity = MemberCapacity::new(cpu_share, link_mbps);
         record
     };
-    let small = (1..50).map(|index| sized(index, 0.12, 10.0));
-    let large = (50..54).map(|index| sized(index, 0.5, 200.0));
+    let small = (1..50).map(|index| sized_record(index, 0.12, 10.0));
+    let large = (50..54).map(|index| sized_record(index, 0.5, 200.0));
     let mut view = view(0);
     view.become_ready();
-    view.merge_message(&told(small.chain(large).collect()), now);
-    let roster = |view: &MemberView| VmList { revision: 1, vms: view.places() };
+    view.merge_message(&exchange_message(small.chain(large).collect()), now);
+    let vm_list = |view: &MemberView| VmList { revision: 1, vms: view.places() };
     for pool in ["scan", "retrieve", "rerank", "generate"] {
-        let chosen = DispatcherChoice::new(&roster(&view), &view).dispatcher(pool, &[]).to_owned();
+        let chosen = DispatcherChoice::new(&vm_list(&view), &view).dispatcher(pool, &[]).to_owned();
         let index: usize = chosen.trim_start_matches("entry-").parse().expect("a number");
-        assert!((50..54).contains(&index), "{pool}: {chosen}");
+        assert!(
+            (50..54).contains(&index),
+            "dispatcher of {pool} must be one of the large VMs 50 to 53: {chosen}"
+        );
     }
     let lost = (50..54).map(|index| MemberRecord {
         status: MemberStatus::Unreachable,
-        ..sized(index, 0.5, 200.0)
+        ..sized_record(index, 0.5, 200.0)
     });
-    view.merge_message(&told(lost.collect()), now);
-    let chosen = DispatcherChoice::new(&roster(&view), &view).dispatcher("scan", &[]).to_owned();
+    view.merge_message(&exchange_message(lost.collect()), now);
+    let chosen = DispatcherChoice::new(&vm_list(&view), &view).dispatcher("scan", &[]).to_owned();
     let index: usize = chosen.trim_start_matches("entry-").parse().expect("a number");
-    assert!(index < 50, "{chosen}");
+    assert!(index < 50, "dispatcher must be a small VM once the large ones are gone: {chosen}");
 }
--- a/crates/crocusdale_core/tests/process_pause_test.rs
+++ b/crates/crocusdale_core/tests/process_pause_test.rs
@@ -1,4 +1,5 @@
-//! A daemon that was suspended, or got no processor, and wakes amid its work.
+//! A daemon that resumes after it was suspended, or got no processor time, in the middle of its
+//! work.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -11,99 +12,108 @@
 
 use forward_daemon::Daemon;
 
-/// Pauses of a process: a freeze of its VM, and a quota that was used up twice in a row.
+/// Process pauses in milliseconds: a freeze of the VM, and a CPU quota that was used up twice in a
+/// row.
 const PAUSES_MS: [u64; 2] = [3_000, 250];
 
-/// Time within which a first call has gone out: its upstream is asked for its free memory before.
-const QUESTION_MS: u64 = 110;
+/// Time in milliseconds within which a first call is sent. Before it, the daemon queries the free
+/// memory of the upstream.
+const MEMORY_QUERY_MS: u64 = 110;
 
-fn paused(daemon: &mut Daemon, millis: u64) {
+fn pause_process(daemon: &mut Daemon, millis: u64) {
     daemon.now = daemon.now + Duration::from_millis(millis);
 }
 
-fn woken_daemon() -> Daemon {
+fn daemon_with_long_deadline() -> Daemon {
     let mut daemon = Daemon::new();
     daemon.deadline = Duration::from_secs(20);
     daemon
 }
 
-/// The VM that dispatches a pool freezes for three seconds while an upstream works on its call. The
-/// answer came in time, and is read three seconds late. Users of the ten seconds after wait: the
-/// upstream is taken for ten times slower than its fellows, and left out.
+/// Guards against a pause of the dispatcher that counts as answer time of an upstream. The VM
+/// freezes for three seconds during a call, and the answer, which came in time, is read late. The
+/// upstream would seem ten times slower than the others and get no calls, and users of the next ten
+/// seconds would wait.
 #[test]
 fn pause_is_not_charged_to_an_upstream() {
     for pause in PAUSES_MS {
-        let mut daemon = woken_daemon();
+        let mut daemon = daemon_with_long_deadline();
         daemon.submit("/digest/1");
-        daemon.advance(QUESTION_MS);
+        daemon.advance(MEMORY_QUERY_MS);
         let open = daemon.batches[0].upstream.clone();
-        paused(&mut daemon, pause);
+        pause_process(&mut daemon, pause);
         daemon.make_pieces();
         for request in 2..4 {
             daemon.submit(&format!("/digest/{request}"));
-            daemon.advance(QUESTION_MS);
+            daemon.advance(MEMORY_QUERY_MS);
         }
         let called: Vec<&str> = daemon.batches.iter().map(|each| each.upstream.as_str()).collect();
-        assert!(called.contains(&open.as_str()), "{called:?} without {open} after {pause} ms");
-        assert_eq!(called.len(), 2, "both upstreams have a call after {pause} ms");
+        assert!(
+            called.contains(&open.as_str()),
+            "{open} must be called again after {pause} ms, called: {called:?}"
+        );
+        assert_eq!(called.len(), 2, "both upstreams must have a call after {pause} ms");
     }
 }
 
-/// The same, and the first thing that the process does when it wakes is to look for calls that are
-/// lost. The answer lies unread in its socket: given up now, the work would be done twice.
+/// Guards against work that is done twice. The first thing that the process does after a pause is
+/// to look for lost calls, while the answer lies unread in its socket.
 #[test]
-fn call_is_not_lost_because_its_caller_slept() {
-    let mut daemon = woken_daemon();
+fn call_is_not_lost_because_the_dispatcher_paused() {
+    let mut daemon = daemon_with_long_deadline();
     let call = daemon.submit("/digest/1");
-    daemon.advance(QUESTION_MS);
-    paused(&mut daemon, 3_000);
+    daemon.advance(MEMORY_QUERY_MS);
+    pause_process(&mut daemon, 3_000);
     daemon.feed(DaemonEvent::Timer(TimerKey::Housekeeping));
-    assert_eq!(daemon.batches.len(), 1, "the pieces were called for again");
+    assert_eq!(daemon.batches.len(), 1, "the pieces must not be sent a second time");
     daemon.make_pieces();
     daemon.headed(daemon.last_relay().attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(daemon.last_relay().attempt, AttemptEvent::ResponseForwarded);
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
-/// A call that is lost for another cause is still given up: the pause is added to its time, no more.
+/// Guards against a pause that hides a lost call: the timeout of the call is extended by the pause,
+/// and by no more.
 #[test]
-fn lost_call_is_given_up_after_a_pause_too() {
-    let mut daemon = woken_daemon();
+fn lost_call_times_out_after_a_pause_too() {
+    let mut daemon = daemon_with_long_deadline();
     daemon.submit("/digest/1");
-    daemon.advance(QUESTION_MS);
-    paused(&mut daemon, 3_000);
+    daemon.advance(MEMORY_QUERY_MS);
+    pause_process(&mut daemon, 3_000);
     daemon.feed(DaemonEvent::Timer(TimerKey::Housekeeping));
     daemon.advance(2_000);
-    assert!(daemon.batches.len() > 1, "the pieces wait for a call that is lost");
+    assert!(daemon.batches.len() > 1, "the pieces of the lost call must be sent again");
 }
 
-/// A plain service answers an order in a few milliseconds, and its daemon reads that after a pause.
-/// Learned as its time, it would look busy, and orders would go to its fellows or wait.
+/// Guards against a pause that counts as answer time of a plain service. It answers in a few
+/// milliseconds, and the daemon reads the answer after a pause. The upstream would look busy, and
+/// requests would be queued or go to others.
 #[test]
-fn pause_is_not_learned_as_the_time_of_an_answer() {
+fn pause_is_not_recorded_as_answer_time() {
     for pause in PAUSES_MS {
-        let mut daemon = woken_daemon();
+        let mut daemon = daemon_with_long_deadline();
         daemon.submit("/ask/1");
         let order = daemon.last_relay();
-        paused(&mut daemon, pause);
+        pause_process(&mut daemon, pause);
         daemon.headed(order.attempt, 200, ExecutionStatus::Ran);
         daemon.attempt(order.attempt, AttemptEvent::ResponseForwarded);
-        let learned = daemon.core.dump(daemon.now).upstreams;
-        let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
-        assert_eq!(learned.mean_answer_time_ms, None, "after {pause} ms");
+        let summaries = daemon.core.dump(daemon.now).upstreams;
+        let summary =
+            summaries.iter().find(|each| each.name == order.upstream).expect("it is listed");
+        assert_eq!(summary.mean_answer_time_ms, None, "no time may be recorded after {pause} ms");
     }
 }
 
-/// An upstream is slow, and nobody slept. It must be known as slow.
+/// Guards against a slow upstream that is not recognized as slow, where the daemon has not paused.
 #[test]
-fn time_of_a_slow_upstream_is_learned() {
-    let mut daemon = woken_daemon();
+fn answer_time_of_a_slow_upstream_is_recorded() {
+    let mut daemon = daemon_with_long_deadline();
     daemon.submit("/ask/1");
     let order = daemon.last_relay();
     daemon.advance(600);
     daemon.headed(order.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(order.attempt, AttemptEvent::ResponseForwarded);
-    let learned = daemon.core.dump(daemon.now).upstreams;
-    let learned = learned.iter().find(|each| each.name == order.upstream).expect("it is known");
-    assert_eq!(learned.mean_answer_time_ms, Some(600.0));
+    let summaries = daemon.core.dump(daemon.now).upstreams;
+    let summary = summaries.iter().find(|each| each.name == order.upstream).expect("it is listed");
+    assert_eq!(summary.mean_answer_time_ms, Some(600.0));
 }
--- a/crates/crocusdale_core/tests/retry_budget_test.rs
+++ b/crates/crocusdale_core/tests/retry_budget_test.rs
@@ -72,7 +72,10 @@
             // Retries that were earned before the window may be spent count_within it, up to the
             // reserve.
             let earned = count_within(&firsts, start.saturating_sub(WINDOW_MS), start + WINDOW_MS);
-            prop_assert!(spent <= 0.2 * earned + 52.0, "{spent} retries for {earned} first attempts exceed the bound");
+            prop_assert!(
+                spent <= 0.2 * earned + 52.0,
+                "{spent} retries for {earned} first attempts exceed the bound"
+            );
         }
     }
 }
