--- a/crates/crocusdale_core/tests/pool_forecast_test.rs
+++ b/crates/crocusdale_core/tests/pool_forecast_test.rs
@@ -1,4 +1,5 @@
-//! How long pieces wait, who waits in vain, and what its caller is told.
+//! Expected wait of pieces, pieces that are dropped as too late, and the retry time that their
+//! callers get.
 
 #[path = "support/batch_bench.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -9,14 +10,14 @@
 use batch_bench::{Bench, CALL_MS, PIECE_MS, PIECES, POOL, made};
 use crocusdale_core::pipeline::PieceFault;
 
-/// Time of a full call.
-const FULL_MS: u64 = CALL_MS + PIECE_MS * PIECES as u64;
+/// Time of a call with as many pieces as it may hold, in milliseconds.
+const FULL_CALL_MS: u64 = CALL_MS + PIECE_MS * PIECES as u64;
 
-/// A burst has left one upstream with six full calls of work, and a request that is late behind them
-/// has one second left. Its caller would wait that second for nothing, and have no time left to ask
-/// elsewhere. It hears at once that its time will not do, and the work before it is not touched.
+/// Guards against late pieces that are queued until their deadline for nothing. An upstream has
+/// seven full calls of work, and a late request behind them has one second left. It is dropped at
+/// once, so that its caller has time to retry elsewhere, and the work before it is not affected.
 #[test]
-fn pieces_that_wait_in_vain_are_given_up_at_once() {
+fn pieces_that_would_miss_their_deadline_are_dropped_at_once() {
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..7 {
         let order = bench.order(PIECES, 6_000);
@@ -26,12 +27,17 @@
     order.expires = bench.now + Duration::from_millis(1_000);
     let unservable = bench.offer(order);
     bench.advance(100);
-    let given_up: Vec<_> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
-    assert_eq!(given_up, [unservable], "0.9 s before its time is over, and nobody else");
+    let dropped: Vec<_> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
+    assert_eq!(
+        dropped,
+        [unservable],
+        "only the late piece must be dropped, 0.9 s before its deadline"
+    );
     assert!(matches!(bench.settled[0].1, Err(PieceFault::Late)));
 }
 
-/// The same request with enough time: it is late, and must still be served after the others.
+/// Guards against late pieces that are dropped although they can meet their deadline: they must be
+/// made after the others.
 #[test]
 fn late_pieces_with_time_left_are_made() {
     let mut bench = Bench::new(&[("u1", "a")]);
@@ -39,18 +45,17 @@
     bench.offer(order);
     let late = bench.order(1, 0);
     let late = bench.offer(late);
-    bench.advance(FULL_MS);
+    bench.advance(FULL_CALL_MS);
     bench.end_call(made);
     bench.advance(CALL_MS + PIECE_MS);
     bench.end_call(made);
     assert!(bench.settled.iter().any(|(attempt, outcome)| *attempt == late && outcome.is_ok()));
 }
 
-/// A caller is refused in a burst and told to come back. If that is sooner than the queue is made, it
-/// comes back in vain. The wait that it is told covers all that waits, and a crowd that has lasted for
-/// two seconds is taken to last for two more.
+/// Guards against callers that retry before the queue is worked off. The retry time covers all
+/// queued pieces, and an overload that has lasted for two seconds is expected to last for two more.
 #[test]
-fn callers_are_told_when_there_should_be_room() {
+fn retry_time_covers_the_queue_and_the_overload() {
     let mut bench = Bench::new(&[("u1", "a")]);
     assert_eq!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after(), Duration::ZERO);
     for _ in 0..7 {
@@ -59,7 +64,10 @@
     }
     bench.advance(50);
     let wait = bench.dispatcher.expected_wait(POOL, bench.now);
-    assert!(wait.retry_after() >= Duration::from_millis(6 * FULL_MS), "{wait:?}");
+    assert!(
+        wait.retry_after() >= Duration::from_millis(6 * FULL_CALL_MS),
+        "six full calls: {wait:?}"
+    );
     assert!(!wait.has_spare_capacity());
     for _ in 0..40 {
         bench.advance(50);
@@ -70,10 +78,11 @@
     assert!(wait.retry_after() >= wait.overload_time);
 }
 
-/// The crowd is over: the queue is made. A caller that is refused now for another reason must not be
-/// sent away for as long as the crowd would have taken.
+/// Guards against a retry time that outlasts its overload: once the queue is empty, a caller that
+/// is refused for another reason must not be sent away for as long as the overload would have
+/// taken.
 #[test]
-fn time_of_a_crowd_is_forgotten_with_it() {
+fn retry_time_is_zero_once_the_queue_is_empty() {
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..7 {
         let order = bench.order(PIECES, 6_000);
@@ -85,7 +94,7 @@
     bench.advance(100);
     assert!(bench.dispatcher.expected_wait(POOL, bench.now).retry_after() > Duration::from_secs(2));
     while !bench.calls.is_empty() {
-        bench.advance(FULL_MS);
+        bench.advance(FULL_CALL_MS);
         bench.end_call(made);
     }
     bench.advance(50);
--- a/crates/crocusdale_core/tests/pool_handover_test.rs
+++ b/crates/crocusdale_core/tests/pool_handover_test.rs
@@ -1,4 +1,5 @@
-//! Pools that change their dispatcher while pieces wait: planned restarts, daemons that come.
+//! Pools that change their dispatcher while pieces are queued: at planned restarts, and when
+//! daemons join.
 
 #[path = "support/batch_bench.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -16,16 +17,15 @@
 };
 use forward_daemon::Daemon;
 
-/// Every VM is restarted in turn, under load. The one that dispatches a pool is told to end while
-/// more waits there than its upstream can take. Users whose pieces stayed with it waited behind the
-/// calls of the next dispatcher, or were refused as it ended. What is in no call goes on at once;
-/// what is in one is answered here.
+/// Guards against users that wait or are refused during planned restarts under load. The dispatcher
+/// of a pool is told to end while more pieces are queued than its upstream can take. Pieces that
+/// are in no call move to the next dispatcher at once, those in a call are answered here.
 #[test]
-fn waiting_pieces_move_and_called_ones_stay() {
+fn queued_pieces_move_and_pieces_in_a_call_stay() {
     let mut bench = Bench::new(&[("u1", "a")]);
-    let called = bench.order(PIECES, 900);
-    let called = bench.offer(called);
-    let waiting: Vec<AttemptId> = (0..3)
+    let running = bench.order(PIECES, 900);
+    let running = bench.offer(running);
+    let queued: Vec<AttemptId> = (0..3)
         .map(|_| {
             let order = bench.order(4, 900);
             bench.offer(order)
@@ -35,20 +35,20 @@
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
     let moved: Vec<AttemptId> = bench.settled.iter().map(|(attempt, _)| *attempt).collect();
-    assert_eq!(moved, waiting);
+    assert_eq!(moved, queued, "the queued pieces must be moved");
     assert!(bench.settled.iter().all(|(_, end)| *end == Err(PieceFault::Moved)));
     bench.settled.clear();
     bench.advance(220);
     bench.end_call(made);
     assert_eq!(bench.settled.len(), 1);
-    assert_eq!(bench.settled[0].0, called);
+    assert_eq!(bench.settled[0].0, running);
     assert!(bench.calls.is_empty() && bench.dispatcher.is_idle());
 }
 
-/// The same, and a call of the daemon that ends has failed: its pieces were in a call. Handed on as
-/// new ones, they would be sent once more without the budget for retries.
+/// Guards against retries outside the retry budget. A call of the ending dispatcher has failed; if
+/// its pieces moved, the next dispatcher would send them again as new ones.
 #[test]
-fn pieces_that_were_in_a_call_are_not_new_elsewhere() {
+fn pieces_of_a_failed_call_do_not_move() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
     bench.offer(order);
@@ -56,15 +56,16 @@
     let mut steps = Vec::new();
     bench.dispatcher.hand_over(batch_bench::POOL, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty());
+    assert!(bench.settled.is_empty(), "pieces of a failed call must not be moved");
     bench.advance(1_500);
-    assert_eq!(bench.calls.len(), 1, "this dispatcher tries again itself");
+    assert_eq!(bench.calls.len(), 1, "this dispatcher must retry the pieces itself");
 }
 
-/// A request's pieces are handed on: it goes on as if it had asked the next dispatcher at once, and
-/// its caller sees nothing. In a fleet that never agrees on a dispatcher it ends, as not run.
+/// Guards against requests that fail because their pieces moved, or that move for ever. A request
+/// goes on at the next dispatcher unseen by its caller. In a fleet that never agrees on a
+/// dispatcher, it is refused as not run after at most six moves.
 #[test]
-fn request_follows_its_pieces_for_some_time() {
+fn request_follows_moved_pieces_up_to_a_bound() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     let moved = || AttemptEvent::PiecesFailed {
