--- a/crates/crocusdale_core/tests/published_upstreams_test.rs
+++ b/crates/crocusdale_core/tests/published_upstreams_test.rs
@@ -1,4 +1,4 @@
-//! Upstreams that the platform publishes.
+//! Directory of the upstreams that the platform publishes.
 
 use crocusdale_core::identity::MonotonicTime;
 use crocusdale_core::routing::{DirectoryEntry, UpstreamDirectory};
@@ -19,71 +19,71 @@
     DirectoryEntry { leaving: true, ..entry(id) }
 }
 
-fn ids(directory: &UpstreamDirectory) -> Vec<&str> {
-    let staying = directory.entries().filter(|entry| !entry.leaving);
-    staying.map(|entry| entry.id.as_str()).collect()
+fn available_ids(directory: &UpstreamDirectory) -> Vec<&str> {
+    let available = directory.entries().filter(|entry| !entry.leaving);
+    available.map(|entry| entry.id.as_str()).collect()
 }
 
-/// The store is away for some seconds, and entries lapse that nobody could renew. When it is back,
-/// its list is nearly empty although all upstreams live; users would be refused for two seconds.
-/// What was known stays until the upstreams have had time to come back.
+/// Guards against requests that are refused for two seconds after an outage of the store. Entries
+/// that nobody could renew have expired, so the first list is nearly empty although all upstreams
+/// run. Known entries stay until the upstreams have had time to write theirs again.
 #[test]
-fn lapsed_entries_may_come_back() {
+fn expired_entries_are_kept_until_the_grace_time_ends() {
     let mut directory = UpstreamDirectory::default();
     directory.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     let grace = MonotonicTime::from_millis(2_000);
     assert!(!directory.replace(9, vec![(8, entry("u1"))], Some(grace)));
-    assert_eq!(ids(&directory), ["u1", "u2"]);
+    assert_eq!(available_ids(&directory), ["u1", "u2"]);
     assert!(!directory.replace(12, vec![(8, entry("u1")), (11, entry("u2"))], Some(grace)));
     assert!(!directory.remove_expired(MonotonicTime::from_millis(2_100)));
-    assert_eq!(ids(&directory), ["u1", "u2"]);
+    assert_eq!(available_ids(&directory), ["u1", "u2"]);
 }
 
-/// The same, but one upstream died while the store was away. It must not get work for good.
+/// Guards against requests to an upstream that ended during an outage of the store.
 #[test]
-fn entry_that_stays_missing_is_gone() {
+fn entry_that_stays_missing_is_removed_after_the_grace_time() {
     let mut directory = UpstreamDirectory::default();
     directory.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     let grace = MonotonicTime::from_millis(2_000);
     directory.replace(9, vec![(8, entry("u1"))], Some(grace));
     assert!(!directory.remove_expired(MonotonicTime::from_millis(1_900)));
     assert!(directory.remove_expired(MonotonicTime::from_millis(2_000)));
-    assert_eq!(ids(&directory), ["u1"]);
+    assert_eq!(available_ids(&directory), ["u1"]);
 }
 
-/// An upstream gives notice while the store is about to go away, and its entry lapses. It said that
-/// it leaves: nobody waits for it to come back.
+/// Guards against an entry that is kept although its upstream announced that it leaves. The notice
+/// was written just before the outage in which the entry expired.
 #[test]
-fn entry_that_gave_notice_is_not_waited_for() {
+fn expired_entry_with_a_leaving_notice_is_removed_at_once() {
     let mut directory = UpstreamDirectory::default();
     directory.replace(5, vec![(3, entry("u1")), (4, leaving("u2"))], None);
     let grace = MonotonicTime::from_millis(2_000);
     assert!(directory.replace(9, vec![(8, entry("u1"))], Some(grace)));
-    assert_eq!(directory.entries().count(), 1);
+    assert_eq!(directory.entries().count(), 1, "u2 must be removed");
 }
 
-/// A daemon that can't read the store takes the list of a peer that has fallen behind. The notice
-/// that it had read itself must outlive that list, or the upstream would get work again.
+/// Guards against a stale list of a peer that overrides a leaving notice. A daemon that can't read
+/// the store merges that list, and the upstream would get requests again.
 #[test]
-fn older_list_of_a_peer_takes_nothing_back() {
+fn older_list_does_not_override_a_leaving_notice() {
     let mut directory = UpstreamDirectory::default();
     directory.replace(9, vec![(8, leaving("u1"))], None);
     assert!(!directory.replace(7, vec![(3, entry("u1"))], None));
-    assert!(ids(&directory).is_empty());
+    assert!(available_ids(&directory).is_empty());
 }
 
-/// The same, and an upstream has been published since that list. It must not disappear with it, and
-/// its running work with nobody to count it.
+/// Guards against a stale list of a peer that removes an upstream published since: nothing would
+/// count its running requests any more.
 #[test]
-fn older_list_of_a_peer_removes_nothing() {
+fn older_list_does_not_remove_a_newer_entry() {
     let mut directory = UpstreamDirectory::default();
     directory.replace(9, vec![(3, entry("u1")), (8, entry("u2"))], None);
     assert!(!directory.replace(7, vec![(3, entry("u1"))], None));
-    assert_eq!(ids(&directory), ["u1", "u2"]);
+    assert_eq!(available_ids(&directory), ["u1", "u2"]);
 }
 
-/// A renewed entry is written with a later revision and says the same. Routing must not be rebuilt
-/// for it several times a second.
+/// Guards against routing that is rebuilt several times a second: a renewed entry has a later
+/// revision and the same content.
 #[test]
 fn renewed_entry_is_no_change() {
     let mut directory = UpstreamDirectory::default();
@@ -94,12 +94,12 @@
     assert_eq!(directory.change_position(), 7.into());
 }
 
-/// A daemon that was cut off reads the list again, and waits two seconds for what may have lapsed
-/// meanwhile. An upstream leaves without a notice in that time, and the daemon's peers, which rely on
-/// its reading, take its list: they kept the upstream for good, and sent it requests 2.4 s after it
-/// had left. What the daemon waits for, they wait for too, and no longer.
+/// Guards against peers that keep a missing entry for good. A daemon reads the list again after a
+/// partition, and keeps entries that may have expired for two seconds. Its peers merge its list;
+/// they once kept an upstream that left without a notice in that time, and sent it requests 2.4 s
+/// later. Peers must keep such an entry for as long as the reader, and no longer.
 #[test]
-fn peers_wait_for_lapsed_entries_no_longer_than_the_reader() {
+fn peers_keep_expired_entries_no_longer_than_the_reader() {
     let at = MonotonicTime::from_millis;
     let mut reader = UpstreamDirectory::default();
     reader.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
@@ -107,20 +107,17 @@
     let mut peer = UpstreamDirectory::default();
     peer.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     assert!(peer.merge(reader.snapshot(at(500)), at(501)));
-    assert_eq!(ids(&peer), ["u1", "u2", "u3"], "it may come back");
+    assert_eq!(available_ids(&peer), ["u1", "u2", "u3"], "u2 must be kept: its entry may return");
     assert!(!peer.remove_expired(at(1_900)));
     assert!(peer.remove_expired(at(2_010)));
-    assert_eq!(ids(&peer), ["u1", "u3"]);
-    assert!(
-        !peer.merge(reader.snapshot(at(1_950)), at(2_020)),
-        "nor does a late list bring it back"
-    );
-    assert_eq!(ids(&peer), ["u1", "u3"]);
+    assert_eq!(available_ids(&peer), ["u1", "u3"]);
+    assert!(!peer.merge(reader.snapshot(at(1_950)), at(2_020)), "a late list must not restore u2");
+    assert_eq!(available_ids(&peer), ["u1", "u3"]);
 }
 
-/// A peer asks twice while the reader waits. The second list must not begin the time anew.
+/// Guards against a grace time that starts anew with each list that a peer fetches from the reader.
 #[test]
-fn second_list_of_a_peer_does_not_extend_the_wait() {
+fn second_list_from_the_reader_does_not_extend_the_grace_time() {
     let at = MonotonicTime::from_millis;
     let mut reader = UpstreamDirectory::default();
     reader.replace(5, vec![(4, entry("u2"))], None);
@@ -129,18 +126,19 @@
     peer.merge(reader.snapshot(at(100)), at(100));
     peer.merge(reader.snapshot(at(100)), at(1_000));
     assert!(peer.remove_expired(at(2_000)));
-    assert!(ids(&peer).is_empty());
+    assert!(available_ids(&peer).is_empty());
 }
 
-/// The platform is back, and lists an upstream; half a second later it does not. It has left: waited
-/// for like one whose entry lapsed, it would get requests for longer than it may.
+/// Guards against requests to an upstream that left after an outage of the platform. It was listed
+/// after the outage and is missing half a second later, so its entry has not expired in the outage
+/// and must be removed at once.
 #[test]
-fn entry_that_was_listed_since_the_return_is_not_waited_for() {
+fn entry_listed_after_the_outage_is_removed_at_once() {
     let at = MonotonicTime::from_millis;
     let mut directory = UpstreamDirectory::default();
     directory.replace(5, vec![(3, entry("u1")), (4, entry("u2"))], None);
     directory.replace(9, vec![(8, entry("u1"))], Some(at(2_000)));
-    assert!(directory.replace(12, Vec::new(), None), "u1 is gone");
-    assert_eq!(ids(&directory), ["u2"], "u2 is still waited for");
+    assert!(directory.replace(12, Vec::new(), None), "u1 must be removed");
+    assert_eq!(available_ids(&directory), ["u2"], "u2 must be kept until the grace time is over");
     assert!(directory.remove_expired(at(2_000)));
 }
--- a/crates/crocusdale_core/tests/upstream_news_test.rs
+++ b/crates/crocusdale_core/tests/upstream_news_test.rs
@@ -1,4 +1,4 @@
-//! News of published upstreams in fleets of any size, in virtual time.
+//! Propagation of changes of published upstreams in fleets of any size, in virtual time.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use crocusdale_core::routing::DirectoryEntry;
 use support::virtual_fleet::VirtualFleet;
 
-/// Time from a notice until the upstream must get nothing more, everywhere.
-const NOTICE_TIME: Duration = Duration::from_millis(2_000);
+/// Bound on the time from a leaving notice until no daemon may send requests to the upstream.
+const NOTICE_BOUND: Duration = Duration::from_millis(2_000);
 
 fn entry(leaving: bool) -> DirectoryEntry {
     DirectoryEntry {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A fleet that has settled, with one published upstream.
+/// A fleet with one published upstream, 10 s after its start, when all daemons know the upstream.
 fn settled_fleet(size: usize) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(size);
     fleet.published = (1, vec![(1, entry(false))]);
@@ -32,21 +32,25 @@
     fleet
 }
 
-// Every daemon of a large fleet reads the whole list of upstreams every second, because it has not
-// read it of late, although its peers have: the reads grow with the fleet, and each costs as much as
-// the list is long.
+/// Guards against reads of the platform that grow with the fleet, each of which costs as much as
+/// the list is long. A daemon must not read the list every second if its peers have read it.
 #[test]
 fn reads_do_not_grow_with_the_fleet() {
-    for (size, most_a_second) in [(6, 6), (83, 14), (250, 38)] {
+    for (size, max_reads_per_s) in [(6, 6), (83, 14), (250, 38)] {
         let mut fleet = settled_fleet(size);
         fleet.run(Duration::from_secs(20));
-        assert!(fleet.reads <= most_a_second * 10, "{} reads in 10 s of {size}", fleet.reads);
+        assert!(
+            fleet.reads <= max_reads_per_s * 10,
+            "{} reads in 10 s by {size} daemons",
+            fleet.reads
+        );
     }
 }
 
-// Each call of the platform is paid for. A fleet of 195 in five zones made 40 a second: 15 readers of
-// the list at two a second, and ten watchers of the configuration at one. With one reading for both,
-// and pauses as long as the bounds of such a fleet allow, a third is enough.
+/// Guards against needless calls of the platform, each of which is paid for. A fleet of 195 in five
+/// zones made 40 a second: 15 readers of the list at two a second, and ten watchers of the
+/// configuration at one. With one read for both, and pauses as long as the bounds of such a fleet
+/// allow, a third is enough.
 #[test]
 fn large_fleet_makes_a_third_of_the_calls() {
     let bound = Duration::from_secs(4);
@@ -62,53 +66,56 @@
     (fleet.reads, fleet.watches) = (0, 0);
     fleet.run(Duration::from_secs(30));
     let calls = fleet.reads + fleet.watches;
-    assert!(calls * 3 <= 20 * 40, "{} readings and {} watches in 20 s", fleet.reads, fleet.watches);
+    assert!(calls * 3 <= 20 * 40, "{} reads and {} watches in 20 s", fleet.reads, fleet.watches);
     fleet.published = (2, vec![(2, entry(true))]);
     fleet.run(Duration::from_secs(30) + bound);
-    assert_eq!(fleet.informed(), 195);
+    assert_eq!(fleet.informed(), 195, "all daemons must know of the notice");
 }
 
-// An upstream gives notice. Most daemons don't read the list themselves; all must know in time.
+/// Guards against daemons that learn of a leaving notice too late. Most daemons don't read the list
+/// themselves.
 #[test]
-fn notice_reaches_all_in_time() {
+fn notice_reaches_all_daemons_within_the_bound() {
     for size in [6, 83, 250] {
         let mut fleet = settled_fleet(size);
         fleet.published = (2, vec![(2, entry(true))]);
-        fleet.run(Duration::from_secs(10) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), size);
+        fleet.run(Duration::from_secs(10) + NOTICE_BOUND);
+        assert_eq!(fleet.informed(), size, "all {size} daemons must know of the notice");
     }
 }
 
-// A daemon is cut off from all others and still reaches the platform. Nobody tells it that the
-// readers have read, so it must read itself before a notice is two seconds old.
+/// Guards against a partitioned daemon that misses a notice. It still reaches the platform but no
+/// peer, so it learns of no reads of others, and must read the list itself before a notice is two
+/// seconds old.
 #[test]
-fn daemon_without_peers_reads_itself() {
-    for wait_ms in [0, 300, 600, 900, 1_200] {
+fn daemon_without_peers_reads_the_list_itself() {
+    for partition_ms in [0, 300, 600, 900, 1_200] {
         let mut fleet = settled_fleet(40);
         fleet.cut_off.extend([17]);
-        fleet.run(Duration::from_millis(10_000 + wait_ms));
+        fleet.run(Duration::from_millis(10_000 + partition_ms));
         fleet.published = (2, vec![(2, entry(true))]);
-        fleet.run(Duration::from_millis(10_000 + wait_ms) + NOTICE_TIME);
-        assert_eq!(fleet.informed(), 40, "cut off {wait_ms} ms before the notice");
+        fleet.run(Duration::from_millis(10_000 + partition_ms) + NOTICE_BOUND);
+        assert_eq!(fleet.informed(), 40, "partitioned {partition_ms} ms before the notice");
     }
 }
 
-// The platform turns half of the fleet away, readers among them. Whoever still reads tells the
-// others, and those who hear of no reading read themselves.
+/// Guards against notices that are lost while the platform refuses half of the fleet, readers among
+/// them. Daemons that can still read inform the others, and those that learn of no read try the
+/// platform themselves.
 #[test]
-fn readers_that_are_turned_away_are_passed_by() {
+fn notice_reaches_all_daemons_if_some_readers_are_refused() {
     let mut fleet = settled_fleet(40);
     fleet.turned_away.extend((0..40).step_by(2));
     fleet.run(Duration::from_secs(13));
     fleet.published = (2, vec![(2, entry(true))]);
-    fleet.run(Duration::from_secs(13) + NOTICE_TIME);
-    assert_eq!(fleet.informed(), 40);
+    fleet.run(Duration::from_secs(13) + NOTICE_BOUND);
+    assert_eq!(fleet.informed(), 40, "all daemons must know of the notice");
 }
 
-// The platform is away for everybody, and all daemons ask it again and again until it is back. That
-// must stay far below what it allows, 2,000 calls a second of all callers together.
+/// Guards against a retry storm in an outage of the platform. The calls of all daemons must stay
+/// far below the limit of the platform, 2,000 calls a second of all callers together.
 #[test]
-fn outage_makes_no_rush() {
+fn outage_causes_no_retry_storm() {
     let mut fleet = settled_fleet(250);
     fleet.turned_away.extend(0..250);
     fleet.run(Duration::from_secs(20));
