--- a/crates/crocusdale_core/tests/upstream_lives_test.rs
+++ b/crates/crocusdale_core/tests/upstream_lives_test.rs
@@ -1,4 +1,4 @@
-//! Processes of upstreams that start again under the id that they had.
+//! Upstreams whose process restarts under the same id.
 
 #[path = "support/batch_bench.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -16,57 +16,64 @@
     AttemptReport, DirectoryEntry, SlotRequest, UpstreamDirectory, UpstreamRouter,
 };
 
-fn born(id: &str, born: u64) -> DirectoryEntry {
-    DirectoryEntry { started_at_ms: Some(born), ..entry(id, "a") }
+fn entry_started_at(id: &str, started_at_ms: u64) -> DirectoryEntry {
+    DirectoryEntry { started_at_ms: Some(started_at_ms), ..entry(id, "a") }
 }
 
-fn leaving(id: &str, birth: u64) -> DirectoryEntry {
-    DirectoryEntry { leaving: true, ..born(id, birth) }
+fn leaving_entry(id: &str, started_at_ms: u64) -> DirectoryEntry {
+    DirectoryEntry { leaving: true, ..entry_started_at(id, started_at_ms) }
 }
 
-fn names(directory: &UpstreamDirectory) -> Vec<String> {
-    let staying = directory.entries().filter(|entry| !entry.leaving);
-    staying.map(DirectoryEntry::name).collect()
+fn available_names(directory: &UpstreamDirectory) -> Vec<String> {
+    let available = directory.entries().filter(|entry| !entry.leaving);
+    available.map(DirectoryEntry::name).collect()
 }
 
-/// An upstream gives notice, ends, and starts again under its id. Its operator sees a sound process
-/// that never gets a request: the notice of the life before was taken for its own.
+/// Guards against a restarted upstream that gets no requests: the leaving notice of the process
+/// before would count for the new one.
 #[test]
-fn notice_ends_with_the_life_that_gave_it() {
+fn leaving_notice_ends_with_its_process() {
     let mut directory = UpstreamDirectory::default();
-    directory.replace(5, vec![(4, leaving("u1", 1_000))], None);
-    assert!(names(&directory).is_empty());
-    assert!(directory.replace(9, vec![(8, born("u1", 2_000))], None));
-    assert_eq!(names(&directory), ["u1 born 2000"]);
+    directory.replace(5, vec![(4, leaving_entry("u1", 1_000))], None);
+    assert!(available_names(&directory).is_empty());
+    assert!(directory.replace(9, vec![(8, entry_started_at("u1", 2_000))], None));
+    assert_eq!(available_names(&directory), ["u1 born 2000"]);
     assert_eq!(directory.take_restarted(), [entry("u1", "a").address]);
-    assert!(directory.take_restarted().is_empty(), "told once");
+    assert!(directory.take_restarted().is_empty(), "a restart must be reported once");
 }
 
-/// The last words of an earlier life reach the platform behind the first ones of the next: that it
-/// leaves, or that it is well at its old address. Neither says anything of the process that is there.
+/// Guards against late entries of an earlier process that replace those of the current one. They
+/// may say that it leaves, or that it runs at its old address, and reach the platform after the
+/// first entry of the new process.
 #[test]
-fn late_words_of_an_earlier_life_take_nothing_back() {
+fn late_entries_of_an_earlier_process_are_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.replace(5, vec![(4, born("u1", 2_000))], None);
-    assert!(!directory.replace(9, vec![(8, leaving("u1", 1_000))], None));
-    assert_eq!(names(&directory), ["u1 born 2000"]);
+    directory.replace(5, vec![(4, entry_started_at("u1", 2_000))], None);
+    assert!(!directory.replace(9, vec![(8, leaving_entry("u1", 1_000))], None));
+    assert_eq!(available_names(&directory), ["u1 born 2000"]);
     directory.replace(12, Vec::new(), None);
-    assert!(!directory.replace(14, vec![(13, born("u1", 1_000))], None), "also once it is removed");
-    assert!(names(&directory).is_empty());
-    assert!(directory.replace(16, vec![(15, born("u1", 2_000))], None), "it had only lapsed");
+    assert!(
+        !directory.replace(14, vec![(13, entry_started_at("u1", 1_000))], None),
+        "an earlier process must be ignored after the removal too"
+    );
+    assert!(available_names(&directory).is_empty());
+    assert!(
+        directory.replace(16, vec![(15, entry_started_at("u1", 2_000))], None),
+        "the same process must be accepted after its entry expired"
+    );
 }
 
-/// An upstream loses its power amid a call, and starts again under its id. The call's connection
-/// stays silent; its pieces must go on at once, not after the patience of the call, and what the
-/// ended life may still say must settle nothing: its results are gone with it.
+/// Guards against pieces that wait for the timeout of a call whose upstream lost its power and
+/// restarted under the same id. The connection stays silent, so the pieces must be sent again at
+/// once. A late answer of the ended process must be ignored, as its results are lost.
 #[test]
-fn call_of_an_ended_life_is_lost_at_once() {
+fn call_to_an_ended_process_is_lost_at_once() {
     let mut bench = Bench::new(&[("u1", "a")]);
     let order = bench.order(4, 3_000);
     let attempt = bench.offer(order);
     let ended = bench.calls.remove(0);
     bench.advance(50);
-    republish(&mut bench, born("u1", 2_000));
+    republish(&mut bench, entry_started_at("u1", 2_000));
     assert_eq!(bench.cancelled, [ended.batch]);
     let (upstream, process) = (bench.calls[0].upstream.clone(), bench.calls[0].process.clone());
     assert_eq!((upstream.as_str(), process.as_str()), ("u1 born 2000", "u1"));
@@ -75,16 +82,17 @@
     let outcome = BatchOutcome::Answered((0..4).map(made).collect());
     bench.dispatcher.handle_outcome(ended.batch, outcome, bench.now, &mut steps);
     bench.take(steps);
-    assert!(bench.settled.is_empty(), "results that are gone were settled");
+    assert!(bench.settled.is_empty(), "results of the ended process must be ignored");
     bench.advance(200);
     bench.end_call(made);
     assert_eq!(bench.settled.pop().map(|(each, made)| (each, made.is_ok())), Some((attempt, true)));
 }
 
-/// The life before had failed call after call, was slow, and its memory was full of results. The
-/// next one holds nothing and is sound: it gets a full call at once.
+/// Guards against a restarted upstream that inherits the state of the process before, which was
+/// slow, failed call after call and whose memory was full of results. It must get a full call at
+/// once.
 #[test]
-fn next_life_begins_with_nothing_believed_of_it() {
+fn restarted_upstream_starts_with_fresh_state() {
     let mut bench = Bench::new(&[("u1", "a")]);
     for _ in 0..4 {
         let order = bench.order(1, 500);
@@ -96,28 +104,28 @@
     let mut order = bench.order(8, 900);
     order.result_bytes = batch_bench::ROOM / 10;
     bench.offer(order);
-    assert!(bench.calls.is_empty(), "the failing one rests");
-    republish(&mut bench, born("u1", 2_000));
+    assert!(bench.calls.is_empty(), "the failing process must get no call");
+    republish(&mut bench, entry_started_at("u1", 2_000));
     assert_eq!(
         bench.calls.first().map(|call| call.items.len()),
         Some(12),
-        "what waits and what failed"
+        "queued and failed pieces must be in the call"
     );
     let failed = bench.settled.iter().filter(|(_, end)| *end == Err(PieceFault::Failed)).count();
     assert_eq!(failed, 0);
 }
 
-/// A plain upstream was ejected for its failures when its process ended. The next life under the same
-/// id and address is chosen at once, and an attempt that ends late at the earlier one is not counted
-/// against it.
+/// Guards against an ejection that outlasts its process. A plain upstream that was ejected for its
+/// failures restarts under the same id and address. It must be chosen at once, and an attempt at
+/// the earlier process that ends late must not count against it.
 #[test]
-fn router_knows_nothing_of_the_next_life() {
+fn restarted_upstream_is_not_ejected() {
     let now = MonotonicTime::from_millis(1_000);
     let stage = StageRules::published(PoolKind::Plain, None);
     let declarations = DeclarationsBuilder::new("test", Duration::from_secs(1));
     let declarations = declarations.stage(batch_bench::POOL, stage).build();
     let mut directory = UpstreamDirectory::default();
-    directory.replace(5, vec![(4, born("u1", 1_000))], None);
+    directory.replace(5, vec![(4, entry_started_at("u1", 1_000))], None);
     let router = UpstreamRouter::new("a", 1).reconfigured(
         &declarations,
         &directory,
@@ -135,11 +143,15 @@
         allowed_regions: AllowedRegions::default(),
     };
     for call in 1..=3 {
-        let grant = router.acquire(request(call), now).expect("hope").expect("a place");
+        let grant =
+            router.acquire(request(call), now).expect("a usable upstream").expect("a free slot");
         router.release(&grant.upstream, CallId(call), AttemptReport::Failed, now);
     }
-    let open = router.acquire(request(4), now).expect("hope").expect("ejection closes no pool");
-    directory.replace(9, vec![(8, born("u1", 2_000))], None);
+    let open = router
+        .acquire(request(4), now)
+        .expect("a usable upstream")
+        .expect("an ejected upstream is used if it is the only one");
+    directory.replace(9, vec![(8, entry_started_at("u1", 2_000))], None);
     let router = router.reconfigured(&declarations, &directory, MonotonicTime::from_millis(0));
     router.release(&open.upstream, CallId(4), AttemptReport::Failed, now);
     let summary = router.summaries(now).remove(0);
@@ -147,7 +159,7 @@
         (summary.name.as_str(), summary.ejected, summary.in_flight),
         ("u1 born 2000", false, 0)
     );
-    let grant = router.acquire(request(5), now).expect("hope").expect("a place");
+    let grant = router.acquire(request(5), now).expect("a usable upstream").expect("a free slot");
     assert_eq!((grant.upstream.as_str(), grant.process.as_str()), ("u1 born 2000", "u1"));
 }
 
