--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -1,4 +1,4 @@
-//! Changes of the published upstreams that daemons tell each other instead of whole lists.
+//! Changes of the published upstreams that daemons send to each other instead of whole lists.
 
 mod support;
 
@@ -34,12 +34,12 @@
     revision.into()
 }
 
-fn staying(directory: &UpstreamDirectory) -> Vec<String> {
+fn available_ids(directory: &UpstreamDirectory) -> Vec<String> {
     directory.available_entries().map(|entry| entry.id.clone()).collect()
 }
 
-/// Guards against a peer whose list differs from that of the daemon which tells it changes, whatever
-/// happens to upstreams between any two readings.
+/// Guards against a peer whose list differs from that of the daemon that sends it changes, whatever
+/// happens to upstreams between any two reads.
 #[test]
 fn changes_add_up_to_the_whole_list() {
     for seed in 0..40 {
@@ -60,15 +60,20 @@
             reader.replace(revision, published.clone(), None);
             if random.random_bool(0.3) {
                 peer.merge(reader.changes_since(peer.sync_position(), NOW), NOW);
-                assert_eq!(staying(&peer), staying(&reader), "seed {seed}, reading {reading}");
+                assert_eq!(
+                    available_ids(&peer),
+                    available_ids(&reader),
+                    "seed {seed}, reading {reading}"
+                );
             }
         }
     }
 }
 
-/// Guards against lists of thousands of upstreams that go to every daemon when one of them changes.
+/// Guards against lists of thousands of upstreams that are sent to every daemon when one of them
+/// changes.
 #[test]
-fn only_what_changed_is_told() {
+fn only_changed_entries_are_sent() {
     let mut reader = UpstreamDirectory::default();
     let all = |revision| (0..500).map(move |number| (revision, entry(&format!("w{number}"))));
     reader.replace(100, all(90).collect(), None);
@@ -77,33 +82,38 @@
     renewed[7] = (190, leaving("w7"));
     renewed.remove(3);
     reader.replace(200, renewed, None);
-    let told = reader.changes_since(known, NOW);
-    assert_eq!(told.entries.len(), 1, "heartbeats are no changes");
-    assert_eq!(told.removed.map(|removed| removed.len()), Some(1));
+    let sent = reader.changes_since(known, NOW);
+    assert_eq!(sent.entries.len(), 1, "a renewed entry must not count as a change");
+    assert_eq!(sent.removed.map(|removed| removed.len()), Some(1));
     assert_eq!(
         reader.changes_since(at(0), NOW).entries.len(),
         499,
-        "to a daemon that knows nothing"
+        "a daemon without a list must get the whole list"
     );
     let other_era = StorePosition { era: 1, revision: 150 };
-    assert_eq!(reader.changes_since(other_era, NOW).entries.len(), 499, "revisions go back");
+    assert_eq!(
+        reader.changes_since(other_era, NOW).entries.len(),
+        499,
+        "a daemon with a list of another era must get the whole list"
+    );
 }
 
-/// Guards against a peer that lacks what its teller knew before its own first list.
+/// Guards against a peer that misses changes from before the first list of the sender, which the
+/// sender can't list as changes.
 #[test]
-fn teller_that_started_later_tells_its_whole_list() {
-    let mut teller = UpstreamDirectory::default();
-    teller.replace(100, vec![(90, entry("a"))], None);
+fn sender_that_started_later_sends_its_whole_list() {
+    let mut sender = UpstreamDirectory::default();
+    sender.replace(100, vec![(90, entry("a"))], None);
     let mut peer = UpstreamDirectory::default();
     peer.replace(80, vec![(70, entry("a")), (71, entry("gone"))], None);
-    peer.merge(teller.changes_since(peer.sync_position(), NOW), NOW);
-    assert_eq!(staying(&peer), ["a"]);
+    peer.merge(sender.changes_since(peer.sync_position(), NOW), NOW);
+    assert_eq!(available_ids(&peer), ["a"]);
 }
 
-/// Guards against an upstream that is waited for here and that a peer has seen come back: no change of
-/// it would be told.
+/// Guards against an entry that expires here although the peer has read it again unchanged: the
+/// peer would send no change of it.
 #[test]
-fn upstream_that_is_waited_for_is_asked_about() {
+fn position_of_a_daemon_with_expired_entries_covers_their_return() {
     let mut reader = UpstreamDirectory::default();
     let mut peer = UpstreamDirectory::default();
     for list in [&mut reader, &mut peer] {
@@ -114,18 +124,20 @@
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
     peer.merge(reader.changes_since(peer.sync_position(), NOW), NOW);
     assert!(!peer.remove_expired(grace));
-    assert_eq!(staying(&peer), ["a", "b"]);
+    assert_eq!(available_ids(&peer), ["a", "b"]);
 }
 
-/// Guards against requests to a leaving upstream of a list with several pages, whose last change is later
-/// than the notice on a page that was read before it: daemons that rely on a reader never asked for it.
+/// Guards against requests to a leaving upstream of a list with several pages. The last change of
+/// the list is later than a notice on a page that was read before it, so daemons that rely on a
+/// reader never requested that notice.
 #[test]
-fn notice_behind_a_later_change_reaches_everybody() {
+fn notice_before_the_last_change_reaches_all_daemons() {
     let mut fleet = VirtualFleet::new(30);
     let first = |revision, id: &str| (revision, entry(id));
     fleet.published = (1_000, vec![first(900, "early"), first(901, "late")]);
     fleet.run(Duration::from_secs(4));
-    // The first page is read at 1,001, before the notice at 1,005; the second one with a change at 1,008.
+    // The first page is read at revision 1,001, before the notice at 1,005. The second page is read
+    // later and holds a change at 1,008.
     fleet.published = (1_001, vec![first(900, "early"), (1_008, leaving("late"))]);
     fleet.run(Duration::from_secs(6));
     fleet.published = (1_020, vec![(1_005, leaving("early")), (1_008, leaving("late"))]);
@@ -133,11 +145,11 @@
     for core in &fleet.cores {
         let list = core.published_upstreams(fleet.now);
         let leaves = list.entries.iter().all(|each| each.entry.leaving);
-        assert!(leaves, "{} knows of one notice only", core.dump(fleet.now).instance.vm);
+        assert!(leaves, "{} must know of both notices", core.dump(fleet.now).instance.vm);
     }
 }
 
-/// Guards against the traffic of lists that grows with daemons times upstreams.
+/// Guards against list traffic that grows with the number of daemons times the number of upstreams.
 #[test]
 fn changes_cost_a_large_fleet_few_entries() {
     let mut fleet = VirtualFleet::new(100);
@@ -152,14 +164,17 @@
         fleet.published = (revision, published);
         fleet.run(Duration::from_millis(6_000 + step * 1_000));
     }
-    let told = fleet.told_entries - before;
-    assert!(told < 100 * 10 * 10, "{told} entries told for 10 changes, 1,000,000 by whole lists");
+    let sent = fleet.told_entries - before;
+    assert!(
+        sent < 100 * 10 * 10,
+        "{sent} entries sent for 10 changes; whole lists would take 1,000,000"
+    );
 }
 
-/// Guards against an upstream that was given up here while a peer has seen it come back, unchanged: it would
-/// be missing here until it changes.
+/// Guards against an upstream that is missing here until it changes. Its entry was removed here,
+/// while a peer has read it again unchanged.
 #[test]
-fn upstream_that_was_given_up_comes_back_with_the_next_list() {
+fn removed_upstream_returns_with_the_next_list() {
     let mut reader = UpstreamDirectory::default();
     let mut peer = UpstreamDirectory::default();
     for list in [&mut reader, &mut peer] {
@@ -170,16 +185,20 @@
     let asked = reader.position();
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
     peer.merge(reader.changes_since(asked, NOW), NOW);
-    assert_eq!(peer.position(), at(110), "these were asked for before it was missing");
+    assert_eq!(
+        peer.position(),
+        at(110),
+        "changes requested before the entry was missing must not move the position"
+    );
     assert!(peer.remove_expired(grace));
     reader.replace(130, vec![(125, entry("a")), (126, entry("b")), (127, entry("c"))], None);
     peer.merge(reader.changes_since(peer.sync_position(), grace), grace);
-    assert_eq!(staying(&peer), ["a", "b", "c"]);
-    assert_eq!(peer.sync_position(), at(130), "changes are enough again");
+    assert_eq!(available_ids(&peer), ["a", "b", "c"]);
+    assert_eq!(peer.sync_position(), at(130), "the next request must ask for changes only");
 }
 
-/// Guards against fleets in which every daemon reads the platform for itself, because some upstream changes
-/// with each reading, and no answer to a heartbeat finds its asker up to date.
+/// Guards against fleets in which every daemon reads the platform itself. Some upstream changes
+/// with each read, so no heartbeat reply finds the requesting daemon up to date.
 #[test]
 fn readers_suffice_while_upstreams_change_all_the_time() {
     let mut fleet = VirtualFleet::new(60);
@@ -193,6 +212,6 @@
         fleet.run(Duration::from_millis(5_000 + (step + 1) * 200));
     }
     let (reads, seconds) = (fleet.reads - before, 20);
-    // With bounds of 2 s each of six readers reads every half a second.
-    assert!(reads <= 300, "{reads} readings in {seconds} s");
+    // With bounds of 2 s, each of six readers reads every 0.5 s.
+    assert!(reads <= 300, "{reads} reads in {seconds} s, at most 300 expected");
 }
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -1,10 +1,10 @@
-//! What is believed of published upstreams when their store comes back from an older copy.
+//! Directory of published upstreams after its store was restored from an older copy.
 //!
-//! What a user would see: requests refused or sent to upstreams that are gone, for as long as the store's
-//! revisions lag behind those of before. In which order: the store is away for a moment, comes back as it
-//! was some seconds before, and gives its revisions out again; operator and upstreams write again what
-//! they wrote since. Cause: the list was ordered by the revision alone. Shown by a store whose list is
-//! read under a lower revision, and was ignored.
+//! Guards against requests that are refused, or sent to upstreams that have ended, for as long as
+//! the revisions of the restored store are lower than those before. The store is away for a moment,
+//! returns in the state of some seconds before and assigns the same revisions again, while operator
+//! and upstreams repeat their writes. Lists were once ordered by their revision alone, so a list
+//! that was read at a lower revision was ignored.
 
 mod support;
 
@@ -16,10 +16,10 @@
 
 use support::virtual_fleet::VirtualFleet;
 
-/// Time until which what a copy lacks is waited for in these tests.
-const GRACE: MonotonicTime = MonotonicTime::from_millis(5_000);
-/// Time at which it no longer is.
-const LATER: MonotonicTime = MonotonicTime::from_millis(60_000);
+/// End of the grace time, until which entries that the copy lacks are kept.
+const GRACE_END: MonotonicTime = MonotonicTime::from_millis(5_000);
+/// Time after the end of the grace time.
+const AFTER_GRACE: MonotonicTime = MonotonicTime::from_millis(60_000);
 
 fn entry(id: &str) -> DirectoryEntry {
     DirectoryEntry {
@@ -41,13 +41,13 @@
     StorePosition { era, revision }
 }
 
-/// Upstreams that get new work, in order.
-fn staying(directory: &UpstreamDirectory) -> Vec<&str> {
+/// Ids of the upstreams that are not leaving, in order.
+fn available_ids(directory: &UpstreamDirectory) -> Vec<&str> {
     let entries = directory.entries().filter(|entry| !entry.leaving);
     entries.map(|entry| entry.id.as_str()).collect()
 }
 
-/// A list in which `a` and `b` stay, read at revision 900.
+/// A list with the upstreams `a` and `b`, read at revision 900 of era 1.
 fn known() -> UpstreamDirectory {
     let mut directory = UpstreamDirectory::default();
     directory.replace(at(1, 900), vec![(300, entry("a")), (890, entry("b"))], None);
@@ -55,92 +55,102 @@
 }
 
 #[test]
-fn lists_of_a_later_era_count_whatever_their_revision() {
+fn list_of_a_later_era_is_accepted_at_any_revision() {
     let mut directory = known();
     assert!(directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("c"))], None));
-    assert_eq!(staying(&directory), ["a", "c"]);
+    assert_eq!(available_ids(&directory), ["a", "c"]);
     assert!(directory.change_position() > at(1, 900));
-    // An answer of before the drill, and a peer that has not heard of it, are late.
+    // A list of the earlier era, from a late read or an outdated peer, must be ignored.
     assert!(!directory.replace(at(1, 950), vec![(300, entry("a")), (890, entry("b"))], None));
-    assert_eq!(staying(&directory), ["a", "c"]);
-    // Two drills in a row, back to the same copy.
+    assert_eq!(available_ids(&directory), ["a", "c"]);
+    // The store is restored once more, from the same copy.
     assert!(directory.replace(at(3, 350), vec![(300, entry("a")), (341, entry("d"))], None));
-    assert_eq!(staying(&directory), ["a", "d"]);
+    assert_eq!(available_ids(&directory), ["a", "d"]);
 }
 
 #[test]
-fn upstream_that_registered_within_the_lost_seconds_is_waited_for() {
+fn upstream_that_the_copy_lacks_is_kept_for_the_grace_time() {
     let mut directory = known();
-    directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE));
-    assert_eq!(staying(&directory), ["a", "b"]);
-    // It writes again, and stays.
+    directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE_END));
+    assert_eq!(available_ids(&directory), ["a", "b"]);
+    // The upstream writes its entry again and is kept.
     directory.replace(at(2, 360), vec![(300, entry("a")), (355, entry("b"))], None);
-    assert!(!directory.remove_expired(LATER));
-    assert_eq!(staying(&directory), ["a", "b"]);
+    assert!(!directory.remove_expired(AFTER_GRACE));
+    assert_eq!(available_ids(&directory), ["a", "b"]);
 }
 
 #[test]
-fn upstream_that_never_writes_again_is_dropped() {
+fn upstream_that_never_writes_again_is_removed() {
     let mut directory = known();
-    directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE));
+    directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE_END));
     directory.replace(at(2, 360), vec![(300, entry("a"))], None);
-    assert_eq!(staying(&directory), ["a", "b"], "it is still waited for");
-    assert!(directory.remove_expired(LATER));
-    assert_eq!(staying(&directory), ["a"]);
-    assert!(directory.change_position() > at(2, 350), "others hear of it");
+    assert_eq!(
+        available_ids(&directory),
+        ["a", "b"],
+        "b must be kept until the grace time is over"
+    );
+    assert!(directory.remove_expired(AFTER_GRACE));
+    assert_eq!(available_ids(&directory), ["a"]);
+    assert!(directory.change_position() > at(2, 350), "peers must learn of the removal");
 }
 
 #[test]
-fn notice_that_the_copy_does_not_know_holds() {
+fn leaving_notice_that_the_copy_lacks_is_kept() {
     let mut directory = known();
     directory.replace(at(1, 910), vec![(300, entry("a")), (905, leaving("b"))], None);
-    directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE));
-    assert_eq!(staying(&directory), ["a"]);
+    directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE_END));
+    assert_eq!(available_ids(&directory), ["a"]);
     directory.replace(at(2, 370), vec![(300, entry("a")), (365, entry("b"))], None);
-    assert_eq!(staying(&directory), ["a"], "what it wrote before its notice came late");
+    assert_eq!(
+        available_ids(&directory),
+        ["a"],
+        "an entry without the notice must not override the notice of b"
+    );
 }
 
 #[test]
-fn upstream_that_was_gone_is_not_taken_from_the_copy() {
+fn removed_upstream_is_not_restored_from_the_copy() {
     let mut directory = known();
     directory.replace(at(1, 920), vec![(300, entry("a"))], None);
-    assert_eq!(staying(&directory), ["a"]);
-    directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE));
-    assert_eq!(staying(&directory), ["a"], "only the copy knows it");
-    // One that had lapsed and lives renews its entry behind the copy.
+    assert_eq!(available_ids(&directory), ["a"]);
+    directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE_END));
+    assert_eq!(available_ids(&directory), ["a"], "b must not be restored: only the copy lists it");
+    // A running upstream whose entry had expired renews it after the restore.
     directory.replace(at(2, 352), vec![(300, entry("a")), (351, entry("b"))], None);
-    assert_eq!(staying(&directory), ["a", "b"]);
-    // A later life is another process, wherever it is listed.
+    assert_eq!(available_ids(&directory), ["a", "b"]);
+    // A process with a start time is another one than before, so its entry in the copy counts.
     let mut directory = known();
     directory.replace(at(1, 920), vec![(300, entry("a"))], None);
-    let born = DirectoryEntry { started_at_ms: Some(7), ..entry("b") };
-    directory.replace(at(2, 350), vec![(300, entry("a")), (340, born)], Some(GRACE));
-    assert_eq!(staying(&directory), ["a", "b"]);
+    let restarted = DirectoryEntry { started_at_ms: Some(7), ..entry("b") };
+    directory.replace(at(2, 350), vec![(300, entry("a")), (340, restarted)], Some(GRACE_END));
+    assert_eq!(available_ids(&directory), ["a", "b"]);
 }
 
-/// A peer reads the copy first, and never knew an upstream that registered within the lost seconds.
+/// Guards against an upstream that is removed by the list of a peer. The peer read the copy first
+/// and never knew an upstream that registered in the seconds which the copy lacks.
 #[test]
-fn list_of_a_peer_in_a_later_era_gives_nobody_up() {
+fn list_of_a_peer_in_a_later_era_removes_no_upstream_at_once() {
     let mut directory = known();
     let mut peer = UpstreamDirectory::default();
     peer.replace(at(2, 350), vec![(300, entry("a"))], None);
     let now = MonotonicTime::from_millis(1_000);
     directory.merge(peer.snapshot(now), now);
     assert_eq!(directory.position(), at(2, 350));
-    assert_eq!(staying(&directory), ["a", "b"]);
-    assert!(directory.remove_expired(LATER));
-    assert_eq!(staying(&directory), ["a"]);
-    // The other way round, it is old news.
+    assert_eq!(available_ids(&directory), ["a", "b"]);
+    assert!(directory.remove_expired(AFTER_GRACE));
+    assert_eq!(available_ids(&directory), ["a"]);
+    // The other way round, the list of the earlier era is outdated.
     let mut ahead = UpstreamDirectory::default();
     ahead.replace(at(2, 350), vec![(300, entry("a"))], None);
     assert!(!ahead.merge(known().snapshot(now), now));
-    assert_eq!(staying(&ahead), ["a"]);
+    assert_eq!(available_ids(&ahead), ["a"]);
 }
 
-/// The store is restored while a third of the daemons is cut off from the others and from the store. All
-/// that reach it have the new list with their next reading; the others have it that soon after the cut.
+/// Guards against daemons that keep the list of before the restore. A third of them is partitioned
+/// from the others and from the store meanwhile. Daemons that reach the store must have the new
+/// list with their next read, the others as soon after the partition has ended.
 #[test]
-fn fleets_take_the_restored_list_in_time() {
+fn fleets_accept_the_restored_list_in_time() {
     for size in [6, 60] {
         let mut fleet = VirtualFleet::new(size);
         let list = |entries: &[(u64, &str)]| {
@@ -148,9 +158,9 @@
         };
         fleet.published = (900, list(&[(300, "a"), (890, "b")]));
         fleet.run(Duration::from_secs(5));
-        let third: Vec<usize> = (0..size / 3).collect();
-        fleet.cut_off.extend(&third);
-        fleet.turned_away.extend(&third);
+        let partitioned: Vec<usize> = (0..size / 3).collect();
+        fleet.cut_off.extend(&partitioned);
+        fleet.turned_away.extend(&partitioned);
         fleet.run(Duration::from_secs(6));
         fleet.era = 1;
         fleet.published = (350, list(&[(300, "a"), (340, "c")]));
@@ -159,20 +169,27 @@
             known.entries.iter().any(|each| each.entry.id == id)
         };
         let knows = |fleet: &VirtualFleet, daemon: usize| lists(fleet, daemon, "c");
-        // The copy lacks one that may write again: it is kept by all meanwhile.
+        // The copy lacks `b`, which may write its entry again: all daemons keep it meanwhile.
         fleet.run(Duration::from_millis(7_800));
-        assert!((0..size).all(|daemon| lists(&fleet, daemon, "b")), "{size}: given up too soon");
+        assert!(
+            (0..size).all(|daemon| lists(&fleet, daemon, "b")),
+            "all {size} daemons must keep b for the grace time"
+        );
         fleet.run(Duration::from_millis(8_000));
-        assert!((size / 3..size).all(|daemon| knows(&fleet, daemon)), "{size}: all that reach it");
-        assert!(third.iter().all(|daemon| !knows(&fleet, *daemon)));
+        assert!(
+            (size / 3..size).all(|daemon| knows(&fleet, daemon)),
+            "daemons of {size} that reach the store must know c"
+        );
+        assert!(partitioned.iter().all(|daemon| !knows(&fleet, *daemon)), "partitioned daemons");
         fleet.cut_off.clear();
         fleet.turned_away.clear();
         fleet.run(Duration::from_secs(8) + StalenessBounds::default().recovery_time);
-        assert!((0..size).all(|daemon| knows(&fleet, daemon)), "{size}: all");
-        // What the copy lacks and nobody writes again is gone by then everywhere.
+        assert!((0..size).all(|daemon| knows(&fleet, daemon)), "all {size} daemons must know c");
+        // `b`, which the copy lacks and which never wrote again, must be removed everywhere by
+        // then.
         fleet.run(Duration::from_secs(16));
         let lists =
             fleet.cores.iter().map(|core| core.published_upstreams(fleet.now).entries.len());
-        assert!(lists.into_iter().all(|entries| entries == 2));
+        assert!(lists.into_iter().all(|entries| entries == 2), "each list must hold a and c");
     }
 }
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -18,10 +18,10 @@
 use reader_answer::answer_of_reader;
 use support::virtual_fleet::VirtualFleet;
 
-/// Longest answer of a platform that is in order.
-const READING: Duration = Duration::from_millis(390);
-/// Longest answer of a peer, after which it counts as lost.
-const ANSWER: Duration = Duration::from_millis(790);
+/// Longest time of a list read from a healthy platform.
+const READ_TIME: Duration = Duration::from_millis(390);
+/// Longest time of a heartbeat reply. A peer that takes longer counts as lost.
+const REPLY_TIME: Duration = Duration::from_millis(790);
 
 fn entry(id: &str, zone: &str) -> DirectoryEntry {
     DirectoryEntry {
@@ -43,11 +43,11 @@
     ZoneEvacuation { write_position: written, zone: zone.to_owned() }
 }
 
-fn staying(directory: &UpstreamDirectory) -> Vec<&str> {
+fn available_ids(directory: &UpstreamDirectory) -> Vec<&str> {
     directory.available_entries().map(|entry| entry.id.as_str()).collect()
 }
 
-/// Upstreams `a1` in zone a and `b1` in zone b, of which the latter is evacuated.
+/// A list of the upstreams `a1` in zone `a` and `b1` in zone `b`. Zone `b` is evacuated.
 fn evacuated() -> UpstreamDirectory {
     let mut directory = UpstreamDirectory::default();
     assert!(directory.replace_evacuations(at(1, 10), vec![evacuation(at(1, 9), "b")], None));
@@ -55,9 +55,9 @@
     directory
 }
 
-/// Guards against requests to the upstreams of an evacuated zone, and for pools of every kind.
+/// Guards against requests to upstreams of an evacuated zone, for pools of every kind.
 #[test]
-fn no_pool_calls_an_evacuated_zone() {
+fn no_pool_sends_to_an_evacuated_zone() {
     let mut daemon = Daemon::new();
     daemon.deadline = Duration::from_secs(20);
     daemon.evacuated = vec!["a".to_owned()];
@@ -66,28 +66,41 @@
         daemon.submit(path);
         daemon.advance(200);
     }
-    assert!(daemon.relays.is_empty() && daemon.batches.is_empty(), "sent to an evacuated zone");
+    assert!(
+        daemon.relays.is_empty() && daemon.batches.is_empty(),
+        "nothing may be sent to an evacuated zone"
+    );
     daemon.evacuated.clear();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.submit("/ask/2");
     daemon.submit("/digest/2");
     daemon.advance(300);
-    assert!(!daemon.relays.is_empty() && !daemon.batches.is_empty(), "the zone is open again");
+    assert!(
+        !daemon.relays.is_empty() && !daemon.batches.is_empty(),
+        "requests must be sent once the zone is open again"
+    );
 }
 
-/// Guards against an evacuation that takes effect later than its bound: every part takes its longest time.
+/// Guards against an evacuation that takes effect later than its bound, where every step of its
+/// propagation takes its longest time.
 #[test]
 fn longest_times_of_all_parts_add_up_to_less_than_the_bound() {
     for bound in [1, 2, 3, 5].map(Duration::from_secs) {
-        let worst = (0..50).map(|offset| last_request(bound, 10 * offset)).max();
-        let worst = worst.unwrap_or_default();
-        assert!(worst > bound / 4, "the evacuation came too early to be missed: {worst:?}");
-        assert!(worst < bound, "written {worst:?} after the request to evacuate, of {bound:?}");
+        let longest_time = (0..50).map(|offset| last_request(bound, 10 * offset)).max();
+        let longest_time = longest_time.unwrap_or_default();
+        assert!(
+            longest_time > bound / 4,
+            "the evacuation took effect before the worst case was reached: {longest_time:?}"
+        );
+        assert!(
+            longest_time < bound,
+            "last request sent {longest_time:?} after the evacuation, bound {bound:?}"
+        );
     }
 }
 
-/// Time from the request to evacuate until the last request may be written, if that came `offset`
-/// milliseconds into the pause of a reader that falls silent with its answer.
+/// Time from the evacuation until the last request may be sent. The evacuation comes `offset`
+/// milliseconds after a reply of the reader, which sends one more reply and then fails.
 fn last_request(bound: Duration, offset: u64) -> Duration {
     let slow = Duration::from_secs(60);
     let bounds = StalenessBounds {
@@ -103,13 +116,14 @@
     daemon.advance(offset);
     let evacuated_at = daemon.now;
     daemon.evacuated = vec!["a".to_owned()];
-    let answer = ANSWER.min(bound / 4);
+    let answer = REPLY_TIME.min(bound / 4);
     daemon.advance(answer.as_millis() as u64);
     daemon.feed(answer_of_reader((1, known), evacuated_at));
     let mut last = evacuated_at;
     while daemon.now < evacuated_at + bound * 2 {
         daemon.advance(10);
-        let answered = daemon.readings.first().is_some_and(|began| daemon.now >= *began + READING);
+        let answered =
+            daemon.readings.first().is_some_and(|began| daemon.now >= *began + READ_TIME);
         if answered {
             daemon.publish(&["n1", "n2"], &[]);
         }
@@ -123,34 +137,40 @@
     last.since(evacuated_at)
 }
 
-/// Guards against a reading of before the request that opens the zone again.
+/// Guards against a zone that is opened again by a list that was read before the evacuation.
 #[test]
-fn older_reading_does_not_open_a_zone() {
+fn older_list_does_not_open_a_zone() {
     let mut directory = evacuated();
     assert!(!directory.replace_evacuations(at(1, 8), Vec::new(), None));
-    assert_eq!(staying(&directory), ["a1"]);
+    assert_eq!(available_ids(&directory), ["a1"]);
     assert!(directory.replace_evacuations(at(1, 12), Vec::new(), None));
-    assert_eq!(staying(&directory), ["a1", "b1"]);
-    assert_eq!(directory.change_position(), at(1, 12), "peers hear of it");
+    assert_eq!(available_ids(&directory), ["a1", "b1"]);
+    assert_eq!(directory.change_position(), at(1, 12), "peers must learn of the change");
 }
 
-/// Guards against a zone that opens because the store came back from a copy of before its evacuation.
+/// Guards against a zone that is opened because its store was restored from a copy of before the
+/// evacuation.
 #[test]
-fn restored_store_that_lacks_an_evacuation_is_waited_for() {
+fn evacuation_that_the_copy_lacks_is_kept_for_the_grace_time() {
     let mut directory = evacuated();
     let grace = MonotonicTime::from_millis(5_000);
     directory.replace_evacuations(at(2, 5), Vec::new(), Some(grace));
     directory.replace_evacuations(at(2, 6), Vec::new(), None);
-    assert_eq!(staying(&directory), ["a1"], "the operator writes it again");
+    assert_eq!(
+        available_ids(&directory),
+        ["a1"],
+        "zone b must stay evacuated until the operator writes it again"
+    );
     assert!(!directory.remove_expired(MonotonicTime::from_millis(4_999)));
-    assert!(directory.remove_expired(grace), "it never came");
-    assert_eq!(staying(&directory), ["a1", "b1"]);
+    assert!(directory.remove_expired(grace), "the evacuation must end with the grace time");
+    assert_eq!(available_ids(&directory), ["a1", "b1"]);
     directory.replace_evacuations(at(3, 5), vec![evacuation(at(3, 4), "b")], Some(grace));
-    assert!(!directory.remove_expired(grace), "it was written again");
-    assert_eq!(staying(&directory), ["a1"]);
+    assert!(!directory.remove_expired(grace), "an evacuation that was written again must stay");
+    assert_eq!(available_ids(&directory), ["a1"]);
 }
 
-/// Guards against daemons that read for nobody and never hear of an evacuation, or of its end.
+/// Guards against daemons without platform reads of their own that never learn of an evacuation, or
+/// of its end.
 #[test]
 fn daemons_learn_of_an_evacuation_from_their_readers() {
     let mut fleet = VirtualFleet::new(74);
