--- a/crates/crocusdale_core/tests/forwarded_request_test.rs
+++ b/crates/crocusdale_core/tests/forwarded_request_test.rs
@@ -1,4 +1,4 @@
-//! Callers' own requests on their way to upstreams.
+//! Requests of callers that are forwarded to upstreams as they are.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -13,14 +13,17 @@
 
 use forward_daemon::Daemon;
 
-/// A shred order reaches an upstream that is full and says that it has not run it. The user need
-/// not come back: another upstream takes it, and it runs once.
+/// Guards against a refusal of a request that can still run. A shred request may run once; an
+/// upstream at its limit declares that it has not run it, so another upstream gets it.
 #[test]
-fn order_that_was_not_run_goes_to_another_upstream() {
+fn request_that_was_not_run_goes_to_another_upstream() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
     let first = daemon.last_relay();
-    assert!(first.needs_new_connection, "a kept connection may close just as the order is written");
+    assert!(
+        first.needs_new_connection,
+        "a reused connection may close just as the request is written"
+    );
     assert_eq!(first.workspace.as_deref(), Some("letters"));
     daemon.headed(first.attempt, 503, ExecutionStatus::Declined);
     let second = daemon.last_relay();
@@ -31,10 +34,11 @@
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
-/// The connection breaks off after a shred order was written. It may have run: a second upstream
-/// could shred twice, and "not run" could be a lie. The user hears at once that nobody knows.
+/// Guards against a shred request that runs twice. The connection breaks after the request was
+/// written, so it may have run: it must not be retried, nor reported as not run. The caller learns
+/// at once that the outcome is unknown.
 #[test]
-fn order_that_may_have_run_is_never_sent_again() {
+fn request_that_may_have_run_is_not_retried() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
     let first = daemon.last_relay();
@@ -46,10 +50,11 @@
     );
 }
 
-/// A question fails at an upstream whose health check is good. It may be asked again, and the user
-/// gets the answer of the second one; the failure of the first is dropped.
+/// Guards against a failure of one upstream, whose health check passes, that reaches the caller of
+/// a repeatable request. The caller gets the answer of the second upstream, and the first failure
+/// is dropped.
 #[test]
-fn question_that_failed_is_asked_elsewhere() {
+fn failed_repeatable_request_is_retried_elsewhere() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
@@ -62,24 +67,24 @@
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
-/// A question fails at both upstreams that it may be sent to. The user gets the second failure as
-/// its upstream gave it, not one of the system's own that says less.
+/// Guards against a generic error in place of the last upstream's own. A repeatable request fails
+/// at both upstreams that it may be sent to, and the caller gets the second failure unchanged.
 #[test]
-fn failure_of_the_last_upstream_is_passed_on() {
+fn failure_of_the_last_attempt_is_forwarded() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2", "n3"], &[]);
     daemon.submit("/ask/7");
     daemon.headed(daemon.last_relay().attempt, 500, ExecutionStatus::Ran);
     let second = daemon.last_relay();
     daemon.headed(second.attempt, 500, ExecutionStatus::Ran);
-    assert_eq!(daemon.relays.len(), 2, "two attempts are declared");
+    assert_eq!(daemon.relays.len(), 2, "the route allows two attempts");
     assert_eq!(daemon.passed_on, [second.attempt]);
 }
 
-/// A question fails, and the only other upstream has just left. The failure that was kept back is
-/// all that can be had, and the user gets it at once.
+/// Guards against a wait for a retry that can't be made. The request fails and the only other
+/// upstream has just left, so the caller gets the withheld failure at once.
 #[test]
-fn kept_failure_is_passed_on_if_nobody_else_is_there() {
+fn withheld_failure_is_forwarded_without_another_upstream() {
     let mut daemon = Daemon::new();
     daemon.submit("/ask/7");
     let first = daemon.last_relay();
@@ -90,10 +95,11 @@
     assert_eq!(daemon.passed_on, [first.attempt]);
 }
 
-/// A digest's engine dies in the middle of its stream. Another engine goes on; the pieces whose
-/// results were given up at the first event are made anew, and nobody makes them a third time.
+/// Guards against a stream that can't be resumed because its inputs were freed at its first event.
+/// The engine of a digest ends in the middle of the stream; the inputs are made again, once, and
+/// another engine resumes the stream.
 #[test]
-fn stream_is_taken_up_again_with_its_inputs_made_anew() {
+fn stream_is_resumed_after_its_inputs_are_made_again() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     daemon.advance(220);
@@ -103,7 +109,7 @@
     daemon.headed(first.attempt, 200, ExecutionStatus::Ran);
     daemon.attempt(first.attempt, AttemptEvent::StreamStarted);
     daemon.attempt(first.attempt, AttemptEvent::Broken(BreakReason::Cut));
-    assert_eq!(daemon.relays.len(), 1, "an engine would refuse it without its inputs");
+    assert_eq!(daemon.relays.len(), 1, "an engine would refuse the request without its inputs");
     daemon.advance(5_00);
     daemon.make_pieces();
     let second = daemon.last_relay();
@@ -114,10 +120,10 @@
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Answered, None)));
 }
 
-/// The engine that takes a stream up again answers with a failure. The caller has the head of a
-/// success: the failure must not be written behind it as if it were more of the stream.
+/// Guards against a failure body that is written behind the events of a stream. The engine that
+/// resumes the stream fails, while the caller already has the head of a successful answer.
 #[test]
-fn failure_never_follows_the_events_of_a_success() {
+fn failure_is_never_forwarded_after_the_events_of_a_stream() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/digest/7");
     daemon.advance(220);
@@ -135,9 +141,10 @@
     );
 }
 
-/// A caller leaves while its question runs. Its upstream would work on for nobody; it is told.
+/// Guards against an upstream that works for a caller which has disconnected: its repeatable
+/// request must be cancelled.
 #[test]
-fn work_of_a_caller_that_left_is_stopped() {
+fn repeatable_request_of_a_disconnected_caller_is_cancelled() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let attempt = daemon.last_relay().attempt;
@@ -145,20 +152,20 @@
     assert_eq!(daemon.cancelled, [attempt]);
 }
 
-/// A caller leaves while its shred order runs. To break it off would waste the one run that it has,
-/// and save nothing.
+/// Guards against a shred request that is cancelled when its caller disconnects. Cancelling would
+/// waste the only run that it may have, and save nothing.
 #[test]
-fn order_that_runs_is_not_broken_off() {
+fn running_request_that_must_not_repeat_is_not_cancelled() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
     daemon.feed(DaemonEvent::CallerDisconnected(call));
     assert!(daemon.cancelled.is_empty());
 }
 
-/// An upstream never answers. The user hears by the pipeline's time that nobody knows, neither
-/// sooner, as silence proves nothing, nor later.
+/// Guards against an unknown outcome that is reported too early or too late. Silence of the
+/// upstream proves nothing, so the caller gets it at the deadline of the pipeline.
 #[test]
-fn silent_upstream_is_waited_for_until_the_deadline() {
+fn silent_upstream_is_given_until_the_deadline() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/shred/7");
     daemon.advance(1_990);
@@ -167,10 +174,10 @@
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Unknown, Some(RefusalReason::Deadline))));
 }
 
-/// No upstream of the pool is there. The order has not run and never will; the user is told at
-/// once, and when to come back.
+/// Guards against a request that is queued although its pool has no upstreams. It is refused as not
+/// run at once, with a retry time.
 #[test]
-fn order_without_upstreams_is_refused_at_once() {
+fn request_without_upstreams_is_refused_at_once() {
     let mut daemon = Daemon::new();
     daemon.publish(&[], &[]);
     let call = daemon.submit("/shred/7");
@@ -178,7 +185,7 @@
     assert!(daemon.answers[0].1.retry_after.is_some());
 }
 
-/// A key was taken away, and its holder calls on. Nothing of it reaches an upstream.
+/// Guards against requests with a revoked key, or of an unknown path, that reach an upstream.
 #[test]
 fn unknown_key_and_path_are_refused() {
     let mut daemon = Daemon::new();
@@ -189,8 +196,9 @@
     assert!(daemon.relays.is_empty());
 }
 
-/// The process is told to end. It serves callers that still use an old address, refuses those that
-/// it could not finish, and answers whatever is open before it is killed.
+/// Guards against requests without an answer when a process ends. While it drains, it serves
+/// callers that still use its address, then refuses requests that it could not finish, and answers
+/// all open requests before it is killed.
 #[test]
 fn draining_daemon_answers_everything_before_its_end() {
     let mut daemon = Daemon::new();
@@ -199,19 +207,23 @@
     daemon.feed(DaemonEvent::DrainRequested);
     assert!(daemon.core.is_leaving());
     let kept = daemon.submit("/ask/7");
-    assert_eq!(daemon.answer(kept), None, "it is served");
+    assert_eq!(daemon.answer(kept), None, "a request just after the drain request must be served");
     daemon.advance(2_600);
     let late = daemon.submit("/ask/8");
     assert_eq!(daemon.answer(late), Some((OutcomeKind::Refused, Some(RefusalReason::Draining))));
     daemon.advance(4_400);
-    assert_eq!(daemon.answer(open), None, "there is time left");
+    assert_eq!(
+        daemon.answer(open),
+        None,
+        "the open request must not be answered before its time is over"
+    );
     daemon.advance(200);
     let unknown = (OutcomeKind::Unknown, Some(RefusalReason::Draining));
     assert_eq!(daemon.answer(open), Some(unknown));
 }
 
-/// A prompt's shared part is known to one engine. Requests of the same subject that come in at
-/// other daemons must find the same engine, or each would read the part again.
+/// Guards against prompt prefixes that several engines compute. Requests of one subject share a
+/// prefix, and must reach the same engine from every daemon.
 #[test]
 fn daemons_agree_on_the_engine_of_a_subject() {
     let (mut first, mut second) = (Daemon::new(), Daemon::new());
@@ -223,10 +235,11 @@
     assert_eq!(first.last_relay().upstream, second.last_relay().upstream);
 }
 
-/// An operator asks why a request took so long, and its log line says one attempt. It had been sent
-/// to a process that had moved: what was tried before stands beside the upstream that answered.
+/// Guards against log lines that hide why a request was slow. It was sent to a process that had
+/// moved, which does not count as an attempt; that upstream must be listed beside the one that
+/// answered.
 #[test]
-fn upstreams_that_ran_nothing_are_named() {
+fn upstreams_that_did_not_run_the_request_are_listed() {
     let mut daemon = Daemon::new();
     let call = daemon.submit("/ask/7");
     let first = daemon.last_relay();
@@ -240,23 +253,23 @@
     assert_eq!(stage.tried, [first.upstream]);
 }
 
-/// A piece of a request's second step fails by chance, as one in some hundreds does. Where its inputs
-/// had been given up as soon as they were fetched, the whole request was begun anew, and came late. So
-/// inputs that take up a thousandth of an upstream's memory stay until their step has ended; those of
-/// an eighth are given up, as the next requests need their room.
+/// Guards against requests that start from the beginning after a piece of their second step failed,
+/// as one in some hundreds does, and so answer late. Inputs of a thousandth of an upstream's memory
+/// stay until their step has ended. Those of an eighth are freed once they are fetched, as the next
+/// requests need the memory.
 #[test]
-fn light_inputs_stay_until_their_step_has_ended() {
-    for (path, given_up) in [("/light/7", 0), ("/heavy/7", 3)] {
+fn small_inputs_are_kept_until_their_step_has_ended() {
+    for (path, freed_inputs) in [("/light/7", 0), ("/heavy/7", 3)] {
         let mut daemon = Daemon::new();
         daemon.submit(path);
         daemon.advance(110);
         daemon.make_pieces();
         daemon.advance(110);
-        assert_eq!(daemon.batches.len(), 1, "the second step is under way");
+        assert_eq!(daemon.batches.len(), 1, "the second step must be running");
         daemon.advance(100);
-        assert_eq!(daemon.freed.len(), given_up, "{path}");
+        assert_eq!(daemon.freed.len(), freed_inputs, "inputs of {path} freed during the step");
         daemon.make_pieces();
         daemon.advance(100);
-        assert!(daemon.freed.len() >= 3, "{path}: nobody needs them any more");
+        assert!(daemon.freed.len() >= 3, "{path}: inputs must be freed after their step");
     }
 }
