--- a/crates/crocusdale_core/tests/home_regions_test.rs
+++ b/crates/crocusdale_core/tests/home_regions_test.rs
@@ -1,4 +1,4 @@
-//! Requests that may be worked on in some regions only.
+//! Requests that may be processed in some regions only.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
         .build()
 }
 
-/// A router in zone `a`, with an upstream of each pool in zones `a` of region `lakes`, `b` of region `coast`
-/// and `c` of no region that is known.
+/// A router in zone `a`. Each pool has an upstream in zone `a` of region `lakes`, in zone `b` of
+/// region `coast`, and in zone `c`, whose region is not known.
 fn router() -> UpstreamRouter {
     let regions = LabelSet::parse("a=lakes, b=coast").expect("labels");
     let router = UpstreamRouter::new("a", 1).regions(RegionMap::from(regions));
@@ -42,7 +42,7 @@
     router.reconfigured(&declarations(), &directory, NOW)
 }
 
-fn request(number: u64, stage: &str, homes: &[&str]) -> SlotRequest {
+fn request(number: u64, stage: &str, regions: &[&str]) -> SlotRequest {
     SlotRequest {
         call: CallId(number),
         branch: 0,
@@ -52,25 +52,30 @@
         failed_upstreams: Vec::new(),
         demand: None,
         digest: RequestDigest::of(&[b"request"]),
-        allowed_regions: AllowedRegions::new(homes.iter().map(|home| (*home).to_owned())),
+        allowed_regions: AllowedRegions::new(regions.iter().map(|region| (*region).to_owned())),
     }
 }
 
-fn chosen(router: &UpstreamRouter, request: SlotRequest) -> Result<Option<String>, ()> {
+fn acquired_upstream(router: &UpstreamRouter, request: SlotRequest) -> Result<Option<String>, ()> {
     let granted = router.acquire(request, NOW);
     granted.map(|grant| grant.map(|grant| grant.upstream)).map_err(|_| ())
 }
 
-/// Guards against a request that is worked on outside its homes, at first or after a wait.
+/// Guards against a request that is sent to an upstream outside its allowed regions, at once or
+/// after it was queued.
 #[test]
-fn request_reaches_upstreams_in_its_homes_only() {
+fn request_is_sent_within_its_allowed_regions_only() {
     for pool in ["notify", "reader"] {
         let router = router();
-        let first = chosen(&router, request(1, pool, &["coast"]));
+        let first = acquired_upstream(&router, request(1, pool, &["coast"]));
         assert_eq!(first, Ok(Some(format!("{pool}-b"))));
-        assert_eq!(chosen(&router, request(2, pool, &["coast"])), Ok(None), "it waits");
-        let near = router.serve_waiting(&[pool.to_owned()], NOW);
-        assert!(near.is_empty(), "other zones have room: {near:?}");
+        assert_eq!(
+            acquired_upstream(&router, request(2, pool, &["coast"])),
+            Ok(None),
+            "the request must be queued"
+        );
+        let grants = router.serve_waiting(&[pool.to_owned()], NOW);
+        assert!(grants.is_empty(), "upstreams outside coast must not be used: {grants:?}");
         let call = CallId(1);
         let served = router.release(&format!("{pool}-b"), call, AttemptReport::Unmeasured, NOW);
         let served: Vec<&str> = served.iter().map(|grant| grant.upstream.as_str()).collect();
@@ -78,35 +83,44 @@
     }
 }
 
-/// Guards against a request that waits for its deadline though no upstream may ever work on it.
+/// Guards against a request that is queued until its deadline although no upstream is in its
+/// allowed regions.
 #[test]
-fn request_without_an_upstream_in_its_homes_is_refused_at_once() {
-    for homes in [&["island"][..], &["nowhere", "island"]] {
-        assert_eq!(chosen(&router(), request(1, "notify", homes)), Err(()));
-        assert_eq!(chosen(&router(), request(1, "reader", homes)), Err(()));
+fn request_without_an_upstream_in_its_regions_is_refused_at_once() {
+    for regions in [&["island"][..], &["nowhere", "island"]] {
+        assert_eq!(acquired_upstream(&router(), request(1, "notify", regions)), Err(()));
+        assert_eq!(acquired_upstream(&router(), request(1, "reader", regions)), Err(()));
     }
 }
 
-/// Guards against an upstream whose region is not known and that is taken for a home.
+/// Guards against a request with allowed regions that is sent to an upstream whose region is not
+/// known.
 #[test]
-fn upstream_of_an_unknown_region_is_no_home() {
+fn upstream_of_an_unknown_region_is_not_allowed() {
     let router = router();
     for (number, zone) in [(1, "a"), (2, "b")] {
-        let upstream = chosen(&router, request(number, "notify", &["lakes", "coast"]));
+        let upstream = acquired_upstream(&router, request(number, "notify", &["lakes", "coast"]));
         assert_eq!(upstream, Ok(Some(format!("notify-{zone}"))));
     }
-    assert_eq!(chosen(&router, request(3, "notify", &["lakes", "coast"])), Ok(None));
-    assert_eq!(chosen(&router, request(4, "notify", &[])), Ok(Some("notify-c".to_owned())));
+    assert_eq!(acquired_upstream(&router, request(3, "notify", &["lakes", "coast"])), Ok(None));
+    assert_eq!(
+        acquired_upstream(&router, request(4, "notify", &[])),
+        Ok(Some("notify-c".to_owned()))
+    );
 }
 
-/// Guards against a route's homes that go before those of its workspace, or the other way round.
+/// Guards against allowed regions of a route that override those of its workspace, or the other way
+/// round.
 #[test]
-fn homes_of_route_and_workspace_both_bind() {
-    let homes =
+fn regions_of_route_and_workspace_both_apply() {
+    let allowed_regions =
         |regions: &[&str]| AllowedRegions::new(regions.iter().map(|each| (*each).to_owned()));
-    let both = homes(&["lakes", "coast"]).and(&homes(&["coast", "island"]));
+    let both = allowed_regions(&["lakes", "coast"]).and(&allowed_regions(&["coast", "island"]));
     let allowed = ["lakes", "coast", "island"].map(|region| both.allows(Some(region)));
     assert_eq!(allowed, [false, true, false]);
-    assert!(!homes(&["lakes"]).and(&homes(&["coast"])).allows(Some("lakes")), "none is left");
-    assert!(homes(&[]).and(&homes(&[])).allows(None));
+    assert!(
+        !allowed_regions(&["lakes"]).and(&allowed_regions(&["coast"])).allows(Some("lakes")),
+        "no region may be allowed by both"
+    );
+    assert!(allowed_regions(&[]).and(&allowed_regions(&[])).allows(None));
 }
--- a/crates/crocusdale_core/tests/pool_section_test.rs
+++ b/crates/crocusdale_core/tests/pool_section_test.rs
@@ -1,4 +1,4 @@
-//! Large batched pools, which several daemons dispatch.
+//! Large batched pools, which are divided into sections with a dispatcher each.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -12,16 +12,16 @@
 
 use forward_daemon::Daemon;
 
-/// Upstreams that one daemon should have to call at most.
-const MOST_UPSTREAMS: usize = 64;
+/// Bound on the number of upstreams in one section.
+const MAX_SECTION_UPSTREAMS: usize = 64;
 /// Pieces of one request.
-const PIECES: usize = 3;
+const PIECES_PER_REQUEST: usize = 3;
 
-fn names(count: usize) -> Vec<String> {
+fn process_names(count: usize) -> Vec<String> {
     (0..count).map(|index| format!("i-{index:x} born {}", index * 7)).collect()
 }
 
-/// Answers what is passed to engines, and what gets their places then.
+/// Answers all requests that are forwarded to engines, and those that get the freed slots.
 fn answer_relays(daemon: &mut Daemon) {
     while !daemon.relays.is_empty() {
         for relay in std::mem::take(&mut daemon.relays) {
@@ -31,31 +31,39 @@
     }
 }
 
-/// Guards against a pool whose one dispatcher has hundreds of upstreams to call, and against small pools
-/// whose calls are formed in two places.
+/// Guards against a dispatcher with hundreds of upstreams to call, and against small pools whose
+/// calls are formed by two dispatchers.
 #[test]
-fn each_section_is_small_and_each_upstream_in_one() {
+fn sections_are_small_and_hold_each_upstream_once() {
     for upstreams in [1, 5, 20, 43, 48, 49, 96, 97, 250, 600, 1_500] {
         let count = PoolSection::count(upstreams);
         assert_eq!(count == 1, upstreams <= 48, "{upstreams} upstreams");
         let sections: Vec<PoolSection> = PoolSection::all("scan", count).collect();
         let mut sizes = vec![0; count];
-        for name in names(upstreams) {
-            let holders = sections
+        for name in process_names(upstreams) {
+            let holding_sections = sections
                 .iter()
                 .enumerate()
                 .filter(|(_, section)| section.contains_hash(stable_hash(&[&name])));
-            let holders: Vec<usize> = holders.map(|(index, _)| index).collect();
-            assert_eq!(holders.len(), 1, "{name} of {upstreams}");
-            sizes[holders[0]] += 1;
+            let holding_sections: Vec<usize> = holding_sections.map(|(index, _)| index).collect();
+            assert_eq!(
+                holding_sections.len(),
+                1,
+                "sections that hold {name} of {upstreams} upstreams"
+            );
+            sizes[holding_sections[0]] += 1;
         }
-        assert!(sizes.iter().all(|size| *size <= MOST_UPSTREAMS), "{upstreams}: {sizes:?}");
+        assert!(
+            sizes.iter().all(|size| *size <= MAX_SECTION_UPSTREAMS),
+            "{upstreams} upstreams in sections of {sizes:?}"
+        );
     }
 }
 
-/// Guards against daemons that take one name for different upstreams because their lists differ.
+/// Guards against daemons whose lists differ and that take one section name for different
+/// upstreams.
 #[test]
-fn name_of_a_section_says_what_belongs_to_it() {
+fn section_name_determines_its_upstreams() {
     for count in [1, 2, 8, 16] {
         for section in PoolSection::all("scan", count) {
             assert_eq!(PoolSection::from_name(&section.to_string()), section);
@@ -63,12 +71,16 @@
     }
     assert_eq!(PoolSection::from_name("scan"), PoolSection::new("scan", 0, 1));
     assert_eq!(PoolSection::new("scan", 0, 1).to_string(), "scan");
-    for odd in ["scan#", "scan#1", "scan#x/2", "a#b"] {
-        assert_eq!(PoolSection::from_name(odd), PoolSection::new(odd, 0, 1), "a pool of that name");
+    for pool_name in ["scan#", "scan#1", "scan#x/2", "a#b"] {
+        assert_eq!(
+            PoolSection::from_name(pool_name),
+            PoolSection::new(pool_name, 0, 1),
+            "{pool_name} is a pool name"
+        );
     }
 }
 
-/// Guards against sections that get no requests, or a request that has no second choice.
+/// Guards against sections that get no requests, and against a request without a second choice.
 #[test]
 fn requests_draw_two_different_sections_evenly() {
     for count in [2, 4, 8, 16] {
@@ -83,12 +95,15 @@
         }
         assert_eq!(drawn.len(), count);
         let (least, most) = (drawn.values().min(), drawn.values().max());
-        assert!(most < least.map(|least| least * 2).as_ref(), "{drawn:?}");
+        assert!(
+            most < least.map(|least| least * 2).as_ref(),
+            "sections must be drawn evenly: {drawn:?}"
+        );
     }
 }
 
-/// Guards against pieces that are called in another section than their own, results that are given up at
-/// another dispatcher than the one that counts them, and upstreams that get no calls.
+/// Guards against pieces that are called by a section other than their own, results that are freed
+/// at a dispatcher which doesn't count them, and upstreams that get no calls.
 #[test]
 fn pool_of_many_upstreams_works_in_sections() {
     let mut daemon = Daemon::new();
@@ -111,16 +126,21 @@
     let answered =
         |call| daemon.answer(call).is_some_and(|(kind, _)| kind == OutcomeKind::Answered);
     assert_eq!(calls.iter().filter(|call| answered(**call)).count(), calls.len());
-    assert!(called.len() > 30, "{} upstreams of both sections", called.len());
-    assert_eq!(daemon.freed.len(), calls.len() * PIECES, "all results are given up");
+    assert!(
+        called.len() > 30,
+        "{} upstreams of both sections were called, more than 30 expected",
+        called.len()
+    );
+    assert_eq!(daemon.freed.len(), calls.len() * PIECES_PER_REQUEST, "all results must be freed");
     let waiting = daemon.core.dump(daemon.now).waiting_pieces;
     let sections = waiting.iter().filter(|(name, _)| PoolSection::from_name(name).pool == "scan");
     assert_eq!(sections.count(), PoolSection::count(100));
 }
 
-/// Guards against pieces that are lost when a pool is cut another way because upstreams came or went.
+/// Guards against queued pieces that are lost when the number of sections changes because upstreams
+/// joined or left.
 #[test]
-fn pieces_that_wait_outlive_another_cut_of_the_pool() {
+fn queued_pieces_survive_a_change_of_the_sections() {
     let mut daemon = Daemon::new();
     daemon.stages = (0..60).map(|index| format!("s{index}")).collect();
     daemon.publish(&["n1"], &[]);
@@ -137,7 +157,7 @@
     let answered =
         |call| daemon.answer(call).is_some_and(|(kind, _)| kind == OutcomeKind::Answered);
     let answered = calls.iter().filter(|call| answered(**call)).count();
-    assert_eq!(answered, calls.len());
+    assert_eq!(answered, calls.len(), "all requests must be answered");
     let waiting = daemon.core.dump(daemon.now).waiting_pieces;
     assert!(waiting.iter().any(|(name, _)| name == "scan"), "{waiting:?}");
     assert!(waiting.iter().all(|(name, _)| !name.starts_with("scan#")), "{waiting:?}");
