--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -1,10 +1,10 @@
-//! How old the list of published upstreams may be where a choice rests on it.
+//! Bounds on the age of the list of published upstreams that a routing decision rests on.
 //!
-//! What was seen: a daemon sent requests to an upstream 3.03 s and 3.12 s after its notice (bound 3 s),
-//! in calm, while its peers knew. Nothing that it wrote tells why, and the day did not show it again.
-//! What was shown: the list was renewed in the background, and nothing that was sent asked how old it
-//! was. The longest times of the parts came to 3.5 s, and to no bound at all for a process that was
-//! held up; one part took an answer for fresher than it was. These tests play each part at its worst.
+//! Guards against requests to an upstream after its leaving notice: two were sent 3.03 s and 3.12 s
+//! after it, with a bound of 3 s, while the peers of that daemon knew the notice. Its log did not
+//! show why. The list was renewed in the background, and no routing decision checked its age. The
+//! longest times of all steps added up to 3.5 s, and to no bound at all for a paused process, and
+//! one step took a reply for fresher than it was. The tests let each step take its longest time.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -26,18 +26,19 @@
 use reader_answer::{answer_of_reader, answer_over_link};
 use support::virtual_fleet::VirtualFleet;
 
-/// Time from a notice until the upstream must get nothing more: the shortest that the users state.
+/// Bound on the time from a leaving notice until the last request to the upstream: the shortest
+/// that users state.
 const NOTICE_BOUND: Duration = Duration::from_millis(2_000);
-/// Longest answer of a platform that is in order, the list's way over a slow link included.
-const READING: Duration = Duration::from_millis(390);
-/// Longest answer of a peer, after which it counts as lost.
-const ANSWER: Duration = Duration::from_millis(790);
-/// Pause between two requests.
-const REQUEST_PACE: u64 = 10;
+/// Longest time of a list read from a healthy platform, including the transfer over a slow link.
+const READ_TIME: Duration = Duration::from_millis(390);
+/// Longest time of a heartbeat reply. A peer that takes longer counts as lost.
+const REPLY_TIME: Duration = Duration::from_millis(790);
+/// Pause between two requests, in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 10;
 
-/// Sends requests until `until`, and answers readings that take `reading`, the notice of `n1` in them
-/// if they began after it was given at `notice`. Returns until when the last request to `n1` may be
-/// written.
+/// Sends requests until `until`. List reads are answered after `reading`, and hold the leaving
+/// notice of `n1` if they began at or after `notice`. Returns the time by which the last request to
+/// `n1` must be written.
 fn last_request_to_leaving(
     daemon: &mut Daemon,
     notice: MonotonicTime,
@@ -46,7 +47,7 @@
 ) -> Option<MonotonicTime> {
     let mut last = None;
     while daemon.now < until {
-        daemon.advance(REQUEST_PACE);
+        daemon.advance(REQUEST_INTERVAL_MS);
         let answered = daemon.readings.first().filter(|began| daemon.now >= **began + reading);
         if answered.is_some_and(|began| *began >= notice) {
             daemon.publish(&["n1", "n2"], &["n1"]);
@@ -64,13 +65,14 @@
     last
 }
 
-/// An upstream gives notice right after the daemon that reads for this one has read and answered a
-/// heartbeat; the answer is under way for as long as one may be, and then that daemon falls silent.
-/// This one must notice, read by itself, and have an answer that takes as long as one may; a request
-/// that it chooses an upstream for has then still to be sent.
+/// Guards against requests to an upstream long after its leaving notice, in the worst case. The
+/// notice comes right after the daemon that reads for this one has read the list and answered a
+/// heartbeat. The reply takes its longest time, and then that daemon fails. This daemon must detect
+/// that, read the list itself in the longest time of a read, and send a request that already has
+/// its upstream.
 #[test]
 fn longest_times_of_all_parts_add_up_to_less_than_the_bound() {
-    let mut worst = Duration::ZERO;
+    let mut longest_time = Duration::ZERO;
     for offset in 0..50 {
         let mut daemon = Daemon::new();
         daemon.publish(&["n1", "n2"], &[]);
@@ -81,23 +83,26 @@
         daemon.advance(500);
         daemon.feed(answer_of_reader((1, known), daemon.now));
         daemon.advance(10 * offset);
-        assert!(daemon.readings.is_empty(), "the peer reads");
+        assert!(daemon.readings.is_empty(), "the peer must read the list for this daemon");
         let notice = daemon.now;
-        daemon.advance(ANSWER.as_millis() as u64);
+        daemon.advance(REPLY_TIME.as_millis() as u64);
         daemon.feed(answer_of_reader((1, known), notice));
         let until = notice + Duration::from_secs(4);
-        let last = last_request_to_leaving(&mut daemon, notice, until, READING);
-        worst = worst.max(last.map_or(Duration::ZERO, |last| last.since(notice)));
+        let last = last_request_to_leaving(&mut daemon, notice, until, READ_TIME);
+        longest_time = longest_time.max(last.map_or(Duration::ZERO, |last| last.since(notice)));
     }
-    assert!(worst > Duration::from_secs(1), "the notice came too early to be missed: {worst:?}");
-    assert!(worst < NOTICE_BOUND, "written {worst:?} after the notice");
+    assert!(
+        longest_time > Duration::from_secs(1),
+        "the notice was learned before the worst case was reached: {longest_time:?}"
+    );
+    assert!(longest_time < NOTICE_BOUND, "last request written {longest_time:?} after the notice");
 }
 
-/// A process gets no processor for three seconds, and the first thing that it finds is a request. Its
-/// list is as old as that; the notice of an upstream lies in between. Users' requests must wait for a
-/// reading, which takes some milliseconds, and go elsewhere.
+/// Guards against requests that are sent with an outdated list after a process pause. The process
+/// gets no processor time for three seconds, in which an upstream gives notice. Requests must wait
+/// for a read, which takes some milliseconds, and go elsewhere.
 #[test]
-fn daemon_that_wakes_reads_before_it_sends() {
+fn daemon_reads_the_list_after_a_pause_before_it_sends() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(100);
@@ -105,18 +110,22 @@
     for _ in 0..8 {
         daemon.submit("/ask/it");
     }
-    assert!(daemon.relays.is_empty(), "sent by a list that is 3.1 s old");
-    assert_eq!(daemon.readings.len(), 1, "the list is read at once");
+    assert!(daemon.relays.is_empty(), "no request may be sent with a list of 3.1 s");
+    assert_eq!(daemon.readings.len(), 1, "the list must be read at once");
     daemon.advance(20);
     daemon.publish(&["n1", "n2"], &["n1"]);
     let called: Vec<&str> = daemon.relays.iter().map(|relay| relay.upstream.as_str()).collect();
-    assert!(!called.is_empty(), "the requests go on");
-    assert!(called.iter().all(|upstream| *upstream == "n2"), "{called:?}");
+    assert!(!called.is_empty(), "the requests must be sent after the read");
+    assert!(
+        called.iter().all(|upstream| *upstream == "n2"),
+        "all requests must go to n2: {called:?}"
+    );
 }
 
-/// The same at the dispatcher of a batched pool, whose pieces wait for a call.
+/// Guards against calls that the dispatcher of a batched pool forms with an outdated list after a
+/// process pause.
 #[test]
-fn dispatcher_that_wakes_reads_before_it_calls() {
+fn dispatcher_reads_the_list_after_a_pause_before_it_calls() {
     let mut daemon = Daemon::new();
     daemon.deadline = Duration::from_secs(20);
     daemon.publish(&["n1"], &[]);
@@ -124,50 +133,54 @@
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.submit("/digest/1");
     daemon.advance(150);
-    assert!(daemon.batches.is_empty(), "called by a list that is 3.25 s old");
+    assert!(daemon.batches.is_empty(), "no call may be sent with a list of 3.25 s");
     daemon.publish(&["n1"], &["s1"]);
     daemon.advance(150);
     let called: Vec<&str> = daemon.batches.iter().map(|each| each.upstream.as_str()).collect();
     assert_eq!(called, ["s2"]);
 }
 
-/// The platform does not answer, as in an outage. Users must not pay for it: their requests go on by
-/// the list that is known, after four tenths of a second at most.
+/// Guards against requests that wait through an outage of the platform. They must be sent with the
+/// known list after 0.4 s at most.
 #[test]
-fn requests_go_on_while_the_platform_is_silent() {
+fn requests_are_sent_in_an_outage_of_the_platform() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(100);
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.submit("/ask/it");
     daemon.advance(410);
-    assert_eq!(daemon.relays.len(), 1, "the request is sent on");
+    assert_eq!(daemon.relays.len(), 1, "the request must be sent");
     daemon.submit("/ask/it");
-    assert_eq!(daemon.relays.len(), 2, "and so is each that follows");
+    assert_eq!(daemon.relays.len(), 2, "the next request must be sent at once");
 }
 
-/// A process freezes amid a reading, and the first thing that it notices when it wakes is that the
-/// reading took too long; the answer lies unread. Taken for an outage of the platform, that would have
-/// it send requests by a list that is 3.1 s old.
+/// Guards against a process pause that counts as an outage of the platform. The process pauses
+/// during a read and then finds that the read took too long, while the answer lies unread in its
+/// socket. It must not send requests with the outdated list.
 #[test]
-fn reading_that_slept_proves_no_outage() {
+fn read_that_spans_a_pause_is_no_sign_of_an_outage() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(500);
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(510);
-    assert_eq!(daemon.readings.len(), 1, "a reading is under way");
+    assert_eq!(daemon.readings.len(), 1, "a read must be running");
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.submit("/ask/it");
-    assert!(daemon.relays.is_empty(), "sent by a list that is 3.5 s old");
+    assert!(daemon.relays.is_empty(), "no request may be sent with a list of 3.5 s");
     daemon.feed(DaemonEvent::DirectoryReadFailed);
-    assert_eq!(daemon.relays.len(), 1, "the reading that was begun awake failed too");
+    assert_eq!(
+        daemon.relays.len(),
+        1,
+        "the request must be sent once a read that began after the pause failed"
+    );
 }
 
-/// Answers of peers are under way for up to 0.8 s, those of the platform for up to 0.4 s, while
-/// upstreams give notice all the time. A daemon that takes its list for younger than it is sends
-/// requests to upstreams that have left.
+/// Guards against requests to upstreams that have left, from a daemon that takes its list for
+/// younger than it is. Replies of peers take up to 0.8 s and those of the platform up to 0.4 s,
+/// while upstreams give notice all the time.
 #[test]
 fn no_daemon_takes_its_list_for_younger_than_it_is() {
     for seed in 0..6 {
@@ -183,28 +196,34 @@
                 fleet.published = (revision, vec![(revision, entry(revision))]);
                 notices.push((fleet.now, revision));
             }
-            assert_honest(&fleet, &notices);
+            assert_ages_are_true(&fleet, &notices);
         }
     }
 }
 
-/// Every daemon knows whatever was published before its list is as old as it says.
-fn assert_honest(fleet: &VirtualFleet, notices: &[(MonotonicTime, u64)]) {
+/// Asserts that every daemon knows all that was published before the time which the age of its list
+/// stands for.
+fn assert_ages_are_true(fleet: &VirtualFleet, notices: &[(MonotonicTime, u64)]) {
     for core in &fleet.cores {
         let dump = core.dump(fleet.now);
         let Some(age) = dump.directory_age_ms.map(Duration::from_millis) else { continue };
         let due = notices.iter().filter(|(at, _)| *at + age + Duration::from_millis(1) < fleet.now);
         let due = due.map(|(_, revision)| *revision).max().unwrap_or_default();
         let known = core.published_upstreams(fleet.now).position.revision;
-        assert!(known >= due, "{}: {age:?} old, {known} of {due}", dump.instance.vm);
+        assert!(
+            known >= due,
+            "{}: list of {age:?} at revision {known}, at least {due} expected",
+            dump.instance.vm
+        );
     }
 }
 
-/// A daemon is cut off, and reads again 1.6 s after a last reading in vain began, in which time it may
-/// have been back. An upstream that is missing may have lapsed, or left meanwhile; it is waited for,
-/// but three seconds after its return the users count on this daemon again.
+/// Guards against a missing upstream that is kept too long after a partition. The daemon reads the
+/// list 1.6 s after its last failed read began, and the partition may have ended at any time
+/// between. The entry of the upstream may have expired, so it is kept, but no longer than three
+/// seconds after the end of the partition.
 #[test]
-fn daemon_that_is_back_waits_for_nobody_beyond_what_users_allow() {
+fn missing_upstream_is_removed_within_the_recovery_time() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(500);
@@ -212,7 +231,7 @@
     daemon.advance(500);
     let mut back = daemon.now;
     for _ in 0..5 {
-        back = daemon.readings.pop().expect("a reading is under way");
+        back = daemon.readings.pop().expect("a read is running");
         daemon.advance(900);
         daemon.feed(DaemonEvent::DirectoryReadFailed);
         while daemon.readings.is_empty() {
@@ -224,13 +243,13 @@
         daemon.advance(10);
     }
     let known = daemon.core.published_upstreams(daemon.now).entries;
-    assert!(known.iter().all(|each| each.entry.id != "n1"), "n1 is still waited for");
+    assert!(known.iter().all(|each| each.entry.id != "n1"), "n1 must be removed");
 }
 
-/// A daemon that lets another one read for it failed to read once, long ago, and its list was kept young
-/// by that one since. It fails once more, and the next reading lacks an upstream, which has left.
-/// Reckoned from the first failure that would be an outage of many seconds, in which the entry may have
-/// lapsed: the upstream would be waited for, and get requests for two seconds more.
+/// Guards against two failed reads far apart that count as one long outage. Between them, a peer
+/// kept the list of this daemon fresh. After the second, an upstream is missing, which has left.
+/// With an outage of many seconds its entry might have expired, and it would be kept and get
+/// requests for two more seconds.
 #[test]
 fn two_failures_far_apart_are_no_outage() {
     let mut daemon = following_daemon();
@@ -240,19 +259,20 @@
         daemon.advance(100);
         daemon.feed(answer_of_reader((1, known), daemon.now));
     }
-    assert!(daemon.readings.is_empty(), "the peer reads");
+    assert!(daemon.readings.is_empty(), "the peer must read the list for this daemon");
     daemon.advance(1_110);
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     daemon.advance(300);
     daemon.publish(&["n2"], &[]);
     let known = daemon.core.published_upstreams(daemon.now).entries;
-    assert!(known.iter().all(|each| each.entry.id != "n1"), "n1 is still waited for");
+    assert!(known.iter().all(|each| each.entry.id != "n1"), "n1 must be removed");
 }
 
-/// The same daemon, whose list is young in spite of its failure, freezes for three seconds. That old
-/// failure must not stand for an outage now.
+/// Guards against an old failed read that counts as an outage and lifts the limit on the age of the
+/// list. The list was kept fresh by a peer since the failure, and then the process pauses for three
+/// seconds.
 #[test]
-fn failure_of_long_ago_does_not_lift_the_limit() {
+fn old_failure_does_not_lift_the_age_limit() {
     let mut daemon = following_daemon();
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     let known = daemon.core.dump(daemon.now).directory_revision;
@@ -262,10 +282,11 @@
     }
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.submit("/ask/it");
-    assert!(daemon.relays.is_empty(), "sent by a list that is 3 s old");
+    assert!(daemon.relays.is_empty(), "no request may be sent with a list of 3 s");
 }
 
-/// A daemon whose list a peer reads, and which has begun to read itself for once.
+/// A daemon whose list a peer reads, and which has started one read of its own because of the
+/// list's age.
 fn following_daemon() -> Daemon {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
@@ -274,12 +295,12 @@
     let known = daemon.core.dump(daemon.now).directory_revision;
     daemon.feed(answer_of_reader((1, known), daemon.now));
     daemon.advance(1_300);
-    assert_eq!(daemon.readings.len(), 1, "it reads for age");
+    assert_eq!(daemon.readings.len(), 1, "the daemon must read the list because of its age");
     daemon.readings.clear();
     daemon
 }
 
-/// An upstream whose every entry differs from the one before.
+/// An entry of one upstream. Its number of slots tells its revisions apart.
 fn entry(slots: u64) -> DirectoryEntry {
     DirectoryEntry {
         started_at_ms: None,
@@ -292,10 +313,10 @@
     }
 }
 
-/// Guards against a reader whose small link is filled by the list, so that its readings count as silence
-/// of the platform, and notices as unknown.
+/// Guards against a reader whose slow network link is filled by the list, so that its reads time
+/// out like an outage of the platform and its peers miss notices.
 #[test]
-fn daemon_with_a_small_link_reads_for_nobody() {
+fn daemon_with_a_slow_link_is_no_reader() {
     for (link_mbps, reads) in [(1_000.0, false), (10.0, true)] {
         let mut daemon = Daemon::new();
         daemon.publish(&["n1", "n2"], &[]);
@@ -304,14 +325,18 @@
             daemon.feed(answer_over_link((1, known), daemon.now, link_mbps));
             daemon.advance(300);
         }
-        assert_eq!(!daemon.readings.is_empty(), reads, "a peer with {link_mbps} Mbit/s");
+        assert_eq!(
+            !daemon.readings.is_empty(),
+            reads,
+            "own reads beside a peer with {link_mbps} Mbit/s"
+        );
     }
 }
 
-/// Guards against requests by an old list whose next reading only takes its time: thousands of upstreams
-/// on a link of ten megabits.
+/// Guards against requests that are sent with an outdated list because the next read takes long: a
+/// list of thousands of upstreams over a link of 10 Mbit/s.
 #[test]
-fn reading_of_a_large_list_is_waited_for() {
+fn requests_wait_for_a_read_of_a_large_list() {
     let mut daemon = Daemon::new();
     let plain: Vec<String> = (0..1_000).map(|each| format!("n{each}")).collect();
     let all: Vec<&str> = plain.iter().map(String::as_str).collect();
@@ -320,7 +345,7 @@
     daemon.now = daemon.now + Duration::from_secs(3);
     daemon.submit("/ask/it");
     daemon.advance(600);
-    assert!(daemon.relays.is_empty(), "sent by a list that is 3.5 s old");
+    assert!(daemon.relays.is_empty(), "no request may be sent with a list of 3.5 s");
     daemon.publish(&["n0"], &[]);
     let called: Vec<&str> = daemon.relays.iter().map(|relay| relay.upstream.as_str()).collect();
     assert_eq!(called, ["n0"]);
