--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all daemons together.
+//! Rate limits that upstreams announce for the requests of all daemons together.
 
 #[path = "support/forward_daemon.rs"]
 #[allow(dead_code, reason = "no test file uses all of it")]
@@ -26,10 +26,10 @@
 use limited_upstream::{LIMITED, LimitedUpstream, allowed};
 use support::vm_name;
 
-/// Rates that upstreams name, in requests a second.
+/// Rate limits of upstreams, in requests a second.
 const RATES: [f64; 10] = [0.0, 0.1, 0.2, 0.5, 1.0, 2.5, 7.0, 20.0, 100.0, 1_000.0];
-/// Sizes of fleets.
-const SIZES: [usize; 9] = [1, 2, 3, 6, 7, 20, 74, 195, 410];
+/// Numbers of daemons in a fleet.
+const FLEET_SIZES: [usize; 9] = [1, 2, 3, 6, 7, 20, 74, 195, 410];
 
 fn rate(per_second: f64) -> RequestRate {
     RequestRate::from_per_second(per_second).expect("a rate")
@@ -40,54 +40,59 @@
     UpstreamNotice { rate, ..UpstreamNotice::default() }
 }
 
-/// The answer of `upstream` to a request that was sent just now says `notice`.
-fn hear(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice) {
+/// Handles a notice of `upstream` in the answer to a request that was sent now.
+fn handle_notice(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice) {
     let sent = daemon.now;
-    hear_late(daemon, upstream, notice, sent);
+    handle_late_notice(daemon, upstream, notice, sent);
 }
 
-fn hear_late(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice, sent: MonotonicTime) {
+fn handle_late_notice(
+    daemon: &mut Daemon,
+    upstream: &str,
+    notice: UpstreamNotice,
+    sent: MonotonicTime,
+) {
     let upstream = upstream.to_owned();
     daemon.feed(DaemonEvent::UpstreamNoticed { upstream, notice, sent });
 }
 
-/// A daemon of a fleet of one that has settled.
-fn settled() -> Daemon {
+/// The only daemon of a fleet, 4 s after its start, with the upstreams `n1` and `n2`.
+fn settled_daemon() -> Daemon {
     let mut daemon = Daemon::new();
     daemon.advance(4_000);
     daemon.publish(&["n1", "n2"], &[]);
     daemon
 }
 
-/// Sends a request each 20 ms for `millis`; returns the upstreams that got them.
-fn ask_for(daemon: &mut Daemon, millis: u64) -> Vec<String> {
-    let mut asked = Vec::new();
+/// Sends a request every 20 ms for `millis` milliseconds. Returns the upstreams that got them.
+fn send_requests_for(daemon: &mut Daemon, millis: u64) -> Vec<String> {
+    let mut called_upstreams = Vec::new();
     for _ in 0..millis / 20 {
         daemon.submit("/ask/it");
-        asked.extend(answer_relays(daemon));
+        called_upstreams.extend(answer_relays(daemon));
         daemon.advance(20);
-        asked.extend(answer_relays(daemon));
+        called_upstreams.extend(answer_relays(daemon));
     }
-    asked
+    called_upstreams
 }
 
 fn answer_relays(daemon: &mut Daemon) -> Vec<String> {
-    let mut asked = Vec::new();
+    let mut called_upstreams = Vec::new();
     for relay in std::mem::take(&mut daemon.relays) {
-        asked.push(relay.upstream.clone());
+        called_upstreams.push(relay.upstream.clone());
         daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
         daemon.attempt(relay.attempt, AttemptEvent::ResponseForwarded);
     }
-    asked
+    called_upstreams
 }
 
-fn count_of(asked: &[String], upstream: &str) -> usize {
-    asked.iter().filter(|each| *each == upstream).count()
+fn count_calls(called_upstreams: &[String], upstream: &str) -> usize {
+    called_upstreams.iter().filter(|each| *each == upstream).count()
 }
 
-/// Guards against an upstream that names a rate and gets as many requests as before.
+/// Guards against an upstream that announces a rate limit and gets as many requests as before.
 #[test]
-fn limited_upstream_gets_what_it_takes_from_all_daemons_together() {
+fn requests_of_all_daemons_stay_within_the_rate_limit() {
     for (size, per_second) in [(6, 1.0), (6, 4.0), (74, 1.0)] {
         let mut upstream = LimitedUpstream::new(size, 2, 1);
         upstream.load = 60.0;
@@ -98,17 +103,17 @@
         let most = upstream.most_of_told(bound_from);
         assert!(
             most <= allowed(per_second),
-            "{size} daemons, {per_second} a second: {most} requests in a window"
+            "{size} daemons, limit {per_second} a second: {most} requests in a window"
         );
     }
 }
 
-/// Guards against parts that come to more than the bound: every daemon has all that it may have at one
+/// Guards against quotas whose sum exceeds the rate limit. Every daemon uses its full burst at one
 /// moment, goes on at its rate, and writes each request as late as it may.
 #[test]
-fn quotas_of_all_daemons_come_to_the_bound_at_most() {
+fn quotas_of_all_daemons_stay_within_the_rate_limit() {
     let longest = (LIMIT_WINDOW + CONNECT_TIMEOUT).as_secs_f64();
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let names: Vec<String> = (0..size).map(vm_name).collect();
         let share = |name: &String| RateShare::new(name, names.iter().map(String::as_str));
         let shares: Vec<RateShare> = names.iter().map(share).collect();
@@ -118,19 +123,28 @@
             let quotas: Vec<RateQuota> = shares.iter().filter_map(quota).collect();
             let most = |quota: &RateQuota| f64::from(quota.depth) + quota.per_second * longest;
             let sum: usize = quotas.iter().map(|quota| most(quota).floor() as usize).sum();
-            assert!(sum <= allowed(per_second), "{size} daemons, {per_second} a second: {sum}");
+            assert!(
+                sum <= allowed(per_second),
+                "{size} daemons, limit {per_second} a second: sum of quotas {sum}"
+            );
             let used: f64 = quotas.iter().map(|quota| quota.per_second).sum();
-            assert!(used > 0.999 * per_second, "{size} daemons, {per_second} a second: {used}");
+            assert!(
+                used > 0.999 * per_second,
+                "{size} daemons, limit {per_second} a second: only {used} usable"
+            );
             let sole = RateQuota::new(rate(per_second), hash, &shares[0], RateUse::Sole);
-            // Before and after a change of the dispatcher.
+            // The dispatchers before and after a change may each use a full burst.
             let sole = sole.expect("a dispatcher has a quota");
             let sum = 2.0 * f64::from(sole.depth) + sole.per_second * longest;
-            assert!(sum.floor() as usize <= allowed(per_second), "dispatcher, {per_second}: {sum}");
+            assert!(
+                sum.floor() as usize <= allowed(per_second),
+                "dispatcher, limit {per_second} a second: quota {sum}"
+            );
         }
     }
 }
 
-/// Guards against a daemon that uses more than its part because it knows more daemons than others do.
+/// Guards against a daemon that exceeds its share because it knows more daemons than its peers do.
 #[test]
 fn knowing_more_daemons_never_raises_a_quota() {
     let names: Vec<String> = (0..120).map(vm_name).collect();
@@ -142,15 +156,18 @@
         };
         for known in 1..120 {
             let (before, after) = (quota(known), quota(known + 1));
-            assert!(after.0 <= before.0 && after.1 <= before.1, "{known} known, {per_second}");
+            assert!(
+                after.0 <= before.0 && after.1 <= before.1,
+                "{known} daemons known, limit {per_second} a second: {before:?} to {after:?}"
+            );
         }
     }
 }
 
-/// Guards against daemons that hear of a rate too late. One daemon is told by an answer, and each part of
-/// the way to the others takes its longest time: news gather, are under way to the readers, each daemon has
-/// just asked its reader, its next question and the answer are as late, and what was chosen a moment before
-/// is written as late as it may be.
+/// Guards against daemons that learn of a rate limit too late. One daemon gets it in an answer, and
+/// each step of its propagation takes its longest time: updates are collected, and are late to
+/// reach the readers; each daemon has just queried its reader, and its next query and the reply are
+/// late; requests chosen a moment before are written as late as they may be.
 #[test]
 fn longest_times_of_all_parts_add_up_to_less_than_the_bound() {
     for (size, seeds) in [(6, 12), (60, 3), (410, 1)] {
@@ -169,14 +186,14 @@
         }
         let sum = worst + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
-        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?}");
+        assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?} in all");
     }
 }
 
-/// Guards against more requests than the bound from all daemons, those included that no answer has told,
-/// where news and writes are as late as they may be.
+/// Guards against more requests than the rate limit allows from all daemons, also from those that
+/// got no answer with the limit, where updates and writes are as late as they may be.
 #[test]
-fn all_daemons_keep_the_bound_with_late_news_and_writes() {
+fn all_daemons_keep_the_rate_limit_with_late_updates_and_writes() {
     for (size, per_second, load) in
         [(3, 1.0, 60.0), (6, 1.0, 60.0), (6, 0.3, 60.0), (74, 2.0, 150.0), (410, 1.0, 400.0)]
     {
@@ -190,16 +207,19 @@
         let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(14));
         let told = upstream.most_of_told(bound_from);
-        assert!(told <= allowed(per_second), "{size} daemons: {told} of those told");
+        assert!(
+            told <= allowed(per_second),
+            "{size} daemons: {told} requests of daemons that know the limit"
+        );
         let all = upstream.most_in_a_window(bound_from, |arrival| arrival.at >= bound_from);
-        assert!(all <= allowed(per_second), "{size} daemons: {all}");
+        assert!(all <= allowed(per_second), "{size} daemons: {all} requests in a window");
     }
 }
 
-/// Guards against a limited upstream that is left idle although callers wait for it, where most daemons
-/// have no part of its rate.
+/// Guards against a limited upstream that stays idle although requests are queued, where most
+/// daemons have no share of its rate.
 #[test]
-fn rate_that_an_upstream_names_is_used() {
+fn announced_rate_is_used_up() {
     for (size, load) in [(3, 30.0), (6, 30.0), (74, 200.0), (410, 600.0)] {
         let mut upstream = LimitedUpstream::new(size, 0, 5);
         upstream.load = load;
@@ -208,13 +228,14 @@
         let from = upstream.fleet.now;
         upstream.run(Duration::from_secs(20));
         let used = upstream.used(from);
-        assert!((0.9..=1.1).contains(&used), "{size} daemons: {used} a second");
+        assert!((0.9..=1.1).contains(&used), "{size} daemons: {used} requests a second");
     }
 }
 
-/// Guards against the loss of the whole rate where daemons are cut off, restart, or are new.
+/// Guards against a rate that goes unused while some daemons are partitioned, restart or have just
+/// joined.
 #[test]
-fn rate_is_used_while_some_daemons_are_away() {
+fn rate_is_used_while_some_daemons_are_unreachable() {
     let mut upstream = LimitedUpstream::new(12, 2, 5);
     upstream.load = 100.0;
     upstream.name_rate(2.0);
@@ -224,13 +245,13 @@
     let bound_from = upstream.fleet.now;
     upstream.run(Duration::from_secs(20));
     let used = upstream.used(bound_from);
-    assert!((1.0..=2.2).contains(&used), "{used} a second");
+    assert!((1.0..=2.2).contains(&used), "{used} requests a second");
     let all = upstream.most_in_a_window(bound_from + LIMIT_WINDOW, |_| true);
-    assert!(all <= allowed(2.0), "{all}");
+    assert!(all <= allowed(2.0), "{all} requests in a window");
 }
 
-/// Guards against an upstream that is spared for good: those that may not call it can't hear that it takes
-/// any number again.
+/// Guards against a rate limit that never ends. Daemons without a share send no requests to the
+/// upstream, so no answer tells them that the limit has ended.
 #[test]
 fn all_daemons_learn_that_a_limit_has_ended() {
     for (size, load) in [(6, 60.0), (74, 200.0)] {
@@ -241,16 +262,16 @@
         assert_eq!(upstream.knowing(), size);
         upstream.rate = None;
         upstream.run(Duration::from_secs(10));
-        assert_eq!(upstream.knowing(), 0, "{size} daemons");
+        assert_eq!(upstream.knowing(), 0, "none of {size} daemons may keep the limit");
         let from = upstream.fleet.now;
         upstream.run(Duration::from_secs(5));
         assert!(upstream.used(from) > load / 6.0, "{size} daemons: {}", upstream.used(from));
     }
 }
 
-/// Guards against a process that starts again and has heard nothing.
+/// Guards against a restarted daemon that serves before it has learned of a rate limit.
 #[test]
-fn daemon_that_starts_again_knows_the_rate_before_it_serves() {
+fn restarted_daemon_knows_the_rate_limit_before_it_serves() {
     let mut upstream = LimitedUpstream::new(6, 2, 1);
     upstream.tell(3, limited(1.0));
     upstream.run(Duration::from_secs(3));
@@ -261,42 +282,46 @@
     assert_eq!(upstream.knowing(), 6);
 }
 
-/// Guards against an answer that was begun before the upstream named a rate and comes after the one that
-/// names it.
+/// Guards against an outdated answer that ends or raises a rate limit. Its request was sent before
+/// the upstream set the limit, and it arrives after the answer that announces the limit.
 #[test]
-fn answer_that_was_overtaken_does_not_end_a_limit() {
-    let mut daemon = settled();
+fn outdated_answer_does_not_end_a_limit() {
+    let mut daemon = settled_daemon();
     let before = daemon.now;
     daemon.advance(100);
-    hear(&mut daemon, LIMITED_HERE, limited(0.5));
-    hear_late(&mut daemon, LIMITED_HERE, UpstreamNotice::default(), before);
-    hear_late(&mut daemon, LIMITED_HERE, limited(50.0), before);
-    let asked = ask_for(&mut daemon, 4_000);
-    assert!(count_of(&asked, LIMITED_HERE) <= 3, "{}", count_of(&asked, LIMITED_HERE));
-    hear(&mut daemon, LIMITED_HERE, UpstreamNotice::default());
-    assert!(count_of(&ask_for(&mut daemon, 1_000), LIMITED_HERE) > 10);
+    handle_notice(&mut daemon, LIMITED_UPSTREAM, limited(0.5));
+    handle_late_notice(&mut daemon, LIMITED_UPSTREAM, UpstreamNotice::default(), before);
+    handle_late_notice(&mut daemon, LIMITED_UPSTREAM, limited(50.0), before);
+    let called_upstreams = send_requests_for(&mut daemon, 4_000);
+    assert!(
+        count_calls(&called_upstreams, LIMITED_UPSTREAM) <= 3,
+        "{} requests",
+        count_calls(&called_upstreams, LIMITED_UPSTREAM)
+    );
+    handle_notice(&mut daemon, LIMITED_UPSTREAM, UpstreamNotice::default());
+    assert!(count_calls(&send_requests_for(&mut daemon, 1_000), LIMITED_UPSTREAM) > 10);
 }
 
-/// Guards against a limit that goes with the upstream's entry, which lapses and comes back.
+/// Guards against a rate limit that is lost when the upstream's entry expires and returns.
 #[test]
-fn entry_that_comes_back_is_still_limited() {
-    let mut daemon = settled();
-    hear(&mut daemon, LIMITED_HERE, limited(0.5));
+fn limit_outlasts_the_return_of_an_entry() {
+    let mut daemon = settled_daemon();
+    handle_notice(&mut daemon, LIMITED_UPSTREAM, limited(0.5));
     daemon.publish(&["n2"], &[]);
     daemon.advance(3_000);
     daemon.publish(&["n1", "n2"], &[]);
-    assert!(count_of(&ask_for(&mut daemon, 2_000), LIMITED_HERE) <= 3);
+    assert!(count_calls(&send_requests_for(&mut daemon, 2_000), LIMITED_UPSTREAM) <= 3);
 }
 
-/// Guards against callers that wait until their deadline for an upstream that takes no more: who can't have
-/// a place before it is refused at once, with the time at which there is one.
+/// Guards against requests that wait for their deadline at a limited upstream. A request that can
+/// get no slot before its deadline is refused at once, with the time at which a slot is free.
 #[test]
-fn request_beyond_the_rates_is_refused_at_once() {
-    let mut daemon = settled();
+fn request_beyond_the_rate_limit_is_refused_at_once() {
+    let mut daemon = settled_daemon();
     daemon.publish(&["n1"], &[]);
-    hear(&mut daemon, "n1", limited(0.93));
+    handle_notice(&mut daemon, "n1", limited(0.93));
     daemon.advance(1_000);
-    let (mut refused, mut sent, mut let_in) = (0, 0, Vec::new());
+    let (mut refused, mut sent, mut admitted) = (0, 0, Vec::new());
     for _ in 0..300 {
         let call = daemon.submit("/ask/it");
         if daemon.answer(call).is_some() {
@@ -306,7 +331,7 @@
             assert!(answer.retry_after.is_some_and(|after| !after.is_zero()));
             refused += 1;
         } else {
-            let_in.push(call);
+            admitted.push(call);
         }
         sent += answer_relays(&mut daemon).len();
         daemon.advance(20);
@@ -318,16 +343,16 @@
     }
     let late =
         daemon.answers.iter().filter(|(_, answer)| answer.reason == Some(RefusalReason::Deadline));
-    assert_eq!(late.count(), 0, "nobody is held to the deadline");
+    assert_eq!(late.count(), 0, "no request may wait for its deadline");
     let answered = Some((OutcomeKind::Answered, None));
-    let served = let_in.iter().filter(|call| daemon.answer(**call) == answered).count();
-    assert_eq!(served, let_in.len(), "later ones don't take the places of those that wait");
+    let served = admitted.iter().filter(|call| daemon.answer(**call) == answered).count();
+    assert_eq!(served, admitted.len(), "all queued requests must be answered");
     assert!(refused > 200 && sent >= 5, "{refused} refused, {sent} sent");
 }
 
-/// Guards against requests that wait for an upstream's next place while later ones take it.
+/// Guards against later requests that take an upstream's next slot from a queued one.
 #[test]
-fn place_goes_to_the_request_that_has_waited() {
+fn next_slot_goes_to_the_queued_request() {
     let limiter = Arc::new(RateLimiter::default());
     let declarations = read("", "first").expect("declarations");
     let mut list = UpstreamDirectory::default();
@@ -356,24 +381,24 @@
     assert_eq!(granted, [1]);
 }
 
-/// Guards against a chain of steps that is begun although no engine takes its last one.
+/// Guards against a multi-step request that starts although no engine accepts its last step.
 #[test]
-fn chained_request_beyond_the_rates_does_not_begin() {
-    let mut daemon = settled();
+fn chained_request_beyond_the_rate_limit_does_not_start() {
+    let mut daemon = settled_daemon();
     for engine in ["r1", "r2"] {
-        hear(&mut daemon, engine, limited(0.0));
+        handle_notice(&mut daemon, engine, limited(0.0));
     }
     let call = daemon.submit("/digest/it");
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::Overload))));
-    assert!(daemon.batches.is_empty(), "no pieces are made in vain");
+    assert!(daemon.batches.is_empty(), "no piece may be sent to a batched upstream");
 }
 
-/// Guards against streams that go on at a limited engine without being counted.
+/// Guards against streams that resume at a limited engine without counting against its rate limit.
 #[test]
-fn resumed_streams_keep_to_the_rate() {
-    let mut daemon = settled();
-    hear(&mut daemon, "r1", limited(0.5));
-    let mut asked = Vec::new();
+fn resumed_streams_count_against_the_rate_limit() {
+    let mut daemon = settled_daemon();
+    handle_notice(&mut daemon, "r1", limited(0.5));
+    let mut called_upstreams = Vec::new();
     for _ in 0..40 {
         daemon.submit("/digest/it");
         for _ in 0..10 {
@@ -381,25 +406,29 @@
                 daemon.make_pieces();
             }
             for relay in std::mem::take(&mut daemon.relays) {
-                asked.push(relay.upstream.clone());
+                called_upstreams.push(relay.upstream.clone());
                 daemon.headed(relay.attempt, 200, ExecutionStatus::Ran);
-                // It is cut, and goes on at another engine.
+                // The connection breaks, and another engine resumes the stream.
                 let cut = crocusdale_core::pipeline::BreakReason::Cut;
                 daemon.attempt(relay.attempt, AttemptEvent::Broken(cut));
             }
             daemon.advance(10);
         }
     }
-    assert!(count_of(&asked, "r2") > 20, "streams are sent");
-    assert!(count_of(&asked, "r1") <= 4, "{} in 4 s", count_of(&asked, "r1"));
+    assert!(count_calls(&called_upstreams, "r2") > 20, "streams must be sent to r2");
+    assert!(
+        count_calls(&called_upstreams, "r1") <= 4,
+        "{} requests to r1 in 4 s",
+        count_calls(&called_upstreams, "r1")
+    );
 }
 
-/// Guards against a dispatcher that calls a limited upstream as soon as it is free, and tells it of each
-/// result besides.
+/// Guards against a dispatcher that calls a limited upstream as soon as it is idle, and sends it
+/// requests to free results on top.
 #[test]
-fn batched_upstream_that_names_a_rate_gets_as_many_calls() {
-    let mut daemon = settled();
-    hear(&mut daemon, "s1", limited(1.0));
+fn calls_of_a_batched_upstream_stay_within_the_rate_limit() {
+    let mut daemon = settled_daemon();
+    handle_notice(&mut daemon, "s1", limited(1.0));
     let (mut calls, mut others) = (0, 0);
     for round in 0..40 {
         for _ in 0..10 {
@@ -411,22 +440,22 @@
             others += usize::from(batch.upstream == "s2");
             daemon.make_pieces();
         }
-        // The dispatcher before it may call it for two seconds more.
-        assert!(calls == 0 || round >= 10, "called in round {round}");
+        // The dispatcher before this one may send calls for two more seconds.
+        assert!(calls == 0 || round >= 10, "s1 was called in round {round}");
         daemon.relays.clear();
     }
-    // Eight seconds, of which a dispatcher waits two for the one before it.
+    // The test takes 8 s, of which a dispatcher waits 2 s for the one before it.
     assert!((4..=8).contains(&calls), "{calls} calls in 8 s");
-    assert!(others > 20, "the other one works: {others}");
-    assert!(!daemon.spared.is_empty(), "it is not told of results");
+    assert!(others > 20, "calls to s2: {others}");
+    assert!(!daemon.spared.is_empty(), "no request to free results may be sent to s1");
 }
 
-/// Name of the limited upstream of a single daemon.
-const LIMITED_HERE: &str = "n1";
+/// Name of the limited upstream in tests with a single daemon.
+const LIMITED_UPSTREAM: &str = "n1";
 
-/// Guards against a limit of the process that had the id before.
+/// Guards against a rate limit that outlasts the process which announced it.
 #[test]
-fn upstream_that_starts_again_has_said_nothing() {
+fn rate_limit_ends_with_its_process() {
     let mut upstream = LimitedUpstream::new(6, 1, 1);
     upstream.tell(0, limited(0.0));
     upstream.run(Duration::from_secs(3));
@@ -436,5 +465,9 @@
     upstream.load = 60.0;
     let from = upstream.fleet.now;
     upstream.run(Duration::from_secs(5));
-    assert!(upstream.used(from) > 10.0, "{LIMITED} in its next life: {}", upstream.used(from));
+    assert!(
+        upstream.used(from) > 10.0,
+        "restarted {LIMITED}: {} requests a second",
+        upstream.used(from)
+    );
 }
