--- a/crates/crocusdale_core/tests/declarations_test.rs
+++ b/crates/crocusdale_core/tests/declarations_test.rs
@@ -1,4 +1,4 @@
-//! Declarations and settings are taken whole or not at all, and every error says where it is.
+//! Declarations and settings are accepted whole or not at all, and every error names its place.
 
 use crocusdale_core::configuration::{
     ConfigurationErrorKind as Kind, DECLARATIONS_LIMIT, Declarations, LabelSet, ProcessSettings,
@@ -6,10 +6,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Seed of the proptests: CI gives the same verdict every time.
+/// Fixed seed of the property tests, so that each run in CI has the same result.
 const SEED: u64 = 20_261_202;
 
-const RIGHT: &str = "\
+/// Declarations that the check accepts. The tests replace single lines of them.
+const VALID_DECLARATIONS: &str = "\
 [deployment]
 name = small
 key_life_ms = 9000
@@ -35,24 +36,29 @@
 level = 1
 ";
 
-/// Replaces a line of the right text, and tells what the check finds.
-fn errors_after(line: &str, replacement: &str) -> Vec<(Kind, String, String)> {
-    assert!(RIGHT.contains(line), "{line}");
-    let text = RIGHT.replacen(line, replacement, 1);
-    let errors = Declarations::check("test.ini", &text).expect_err("it is broken");
+/// Replaces a line of the valid declarations. Returns the kind, section and key of each error.
+fn errors_after_replacement(line: &str, replacement: &str) -> Vec<(Kind, String, String)> {
+    assert!(VALID_DECLARATIONS.contains(line), "the valid declarations must contain {line}");
+    let text = VALID_DECLARATIONS.replacen(line, replacement, 1);
+    let errors =
+        Declarations::check("test.ini", &text).expect_err("invalid declarations must be rejected");
     errors.into_iter().map(|error| (error.kind, error.section, error.key)).collect()
 }
 
 #[test]
-fn right_declarations_are_accepted() {
-    let declarations = Declarations::check("test.ini", RIGHT).expect("they are right");
+fn valid_declarations_are_accepted() {
+    let declarations = Declarations::check("test.ini", VALID_DECLARATIONS)
+        .expect("valid declarations must be accepted");
     let labels = LabelSet::parse("job=read").expect("they are labels");
-    assert_eq!(declarations.pipeline_for(&labels).expect("it matches").name, "read");
+    assert_eq!(
+        declarations.pipeline_for(&labels).expect("a pipeline must match job=read").name,
+        "read"
+    );
     assert_eq!(declarations.level_for(&labels), 1);
 }
 
 #[test]
-fn broken_declarations_are_rejected_where_they_are_broken() {
+fn invalid_declarations_are_rejected_with_section_and_key() {
     let cases: &[(&str, &str, Kind, &str, &str)] = &[
         ("name = small", "", Kind::MissingKey, "deployment", "name"),
         ("name = small", "name = two words", Kind::BadValue, "deployment", "name"),
@@ -98,37 +104,43 @@
         ("[priority quick]", "[workspace mail]", Kind::RepeatedSection, "workspace mail", ""),
     ];
     for (line, replacement, kind, section, key) in cases {
-        let errors = errors_after(line, replacement);
-        let wanted = (*kind, (*section).to_owned(), (*key).to_owned());
-        assert!(errors.contains(&wanted), "{line} -> {replacement}: {errors:?}");
+        let errors = errors_after_replacement(line, replacement);
+        let expected = (*kind, (*section).to_owned(), (*key).to_owned());
+        assert!(
+            errors.contains(&expected),
+            "{line} -> {replacement}: expected {expected:?}, got {errors:?}"
+        );
     }
 }
 
 #[test]
 fn every_error_is_reported_at_once() {
-    let text = RIGHT.replace("zone = a", "zone = ?").replace("level = 1", "level = x");
-    let errors = Declarations::check("test.ini", &text).expect_err("it is broken");
+    let text = VALID_DECLARATIONS.replace("zone = a", "zone = ?").replace("level = 1", "level = x");
+    let errors =
+        Declarations::check("test.ini", &text).expect_err("invalid declarations must be rejected");
     assert_eq!(errors.len(), 2, "{errors:?}");
 }
 
 #[test]
-fn unknown_key_names_the_nearest_one() {
-    let text = RIGHT.replace("key_life_ms", "keylife_ms");
-    let errors = Declarations::check("test.ini", &text).expect_err("it is broken");
+fn error_of_an_unknown_key_suggests_the_nearest_one() {
+    let text = VALID_DECLARATIONS.replace("key_life_ms", "keylife_ms");
+    let errors =
+        Declarations::check("test.ini", &text).expect_err("invalid declarations must be rejected");
     assert!(errors[0].accepted.starts_with("`key_life_ms` is nearest"), "{}", errors[0]);
 }
 
 #[test]
-fn text_over_the_limit_is_refused_unread() {
+fn text_over_the_size_limit_is_rejected_unparsed() {
     let text = "#".repeat(DECLARATIONS_LIMIT + 1);
-    let errors = Declarations::check("test.ini", &text).expect_err("it is too large");
+    let errors =
+        Declarations::check("test.ini", &text).expect_err("a text over the limit must be rejected");
     assert_eq!(errors[0].kind, Kind::TooLarge);
 }
 
 #[test]
-fn settings_need_their_addresses() {
+fn settings_without_addresses_are_rejected() {
     let errors = ProcessSettings::check("entry.ini", "[daemon]\nname = a\nzone = z\n");
-    let errors = errors.expect_err("sections are missing");
+    let errors = errors.expect_err("missing sections must be rejected");
     let sections: Vec<&str> = errors.iter().map(|error| error.section.as_str()).collect();
     assert_eq!(sections, ["listen", "platform"]);
 }
@@ -141,20 +153,20 @@
     })]
 
     #[test]
-    fn no_bytes_make_the_reader_panic(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn no_bytes_make_the_parser_panic(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let text = String::from_utf8_lossy(&bytes);
         let _ = Declarations::check("any", &text);
         let _ = ProcessSettings::check("any", &text);
     }
 
     #[test]
-    fn no_edit_makes_the_reader_panic(
-        start in 0..RIGHT.len(),
+    fn no_edit_makes_the_parser_panic(
+        start in 0..VALID_DECLARATIONS.len(),
         length in 0..40_usize,
         insert in "[\\[\\]=,|!*();#a-z0-9 \n]{0,40}",
     ) {
-        let end = (start + length).min(RIGHT.len());
-        let text = format!("{}{insert}{}", &RIGHT[..start], &RIGHT[end..]);
+        let end = (start + length).min(VALID_DECLARATIONS.len());
+        let text = format!("{}{insert}{}", &VALID_DECLARATIONS[..start], &VALID_DECLARATIONS[end..]);
         let _ = Declarations::check("edited", &text);
     }
 }
--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -1,4 +1,4 @@
-//! Which model engines the requests of a large fleet find, in virtual time.
+//! Choice of model engines by the daemons of a large fleet, in virtual time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 /// Time from a request's first token to its last. Every other request generates a dozen events, the
 /// others some seventy.
 const SERVICE_TIMES: [Duration; 2] = [Duration::from_millis(600), Duration::from_millis(4_000)];
-/// Time to read a prompt.
-const READ_TIME: Duration = Duration::from_millis(80);
-/// Tokens of the part that a quarter of all subjects share, of a subject's own part, and of the
-/// request's.
-const PROMPT: [u32; 3] = [2_500, 3_800, 2_900];
-/// Parts that are shared by many subjects.
-const ROOTS: u64 = 4;
-/// Time for which an engine keeps a part that nobody uses.
-const PART_LIFE: Duration = Duration::from_secs(20);
-
-/// A load as the users expect it once their fleets have grown, and the engines for it.
+/// Time in which an engine processes a prompt.
+const PROMPT_TIME: Duration = Duration::from_millis(80);
+/// Tokens of the three parts of a prompt: the part that a quarter of all subjects share, the part
+/// of the subject, and the part of the request.
+const PROMPT_PART_TOKENS: [u32; 3] = [2_500, 3_800, 2_900];
+/// Number of prompt parts that many subjects share.
+const SHARED_PARTS: u64 = 4;
+/// Time for which an engine caches an unused prompt part.
+const PART_CACHE_TIME: Duration = Duration::from_secs(20);
+
+/// Load that users expect once their fleets have grown, and the engines that serve it.
 struct FleetLoad {
     daemons: usize,
     engines: usize,
@@ -36,20 +36,21 @@
     /// Requests a second.
     rate: u64,
     subjects: u64,
-    /// Part of the requests that are about one subject.
+    /// Fraction of the requests, 0 to 1, that are about one single subject.
     hot_share: f64,
 }
 
-/// What a load came to.
+/// Result of a simulated load.
 struct LoadOutcome {
-    /// Part of the requests about a subject of late whose engine has kept its part.
-    known: f64,
-    /// Part of the requests that found their engine with as many requests as it has places.
+    /// Fraction, 0 to 1, of the requests about a recent subject that reached an engine which has
+    /// cached its prompt part.
+    cached: f64,
+    /// Fraction, 0 to 1, of the requests whose engine had no free slot.
     queued: f64,
 }
 
 impl FleetLoad {
-    fn play(&self, seed: u64) -> LoadOutcome {
+    fn simulate(&self, seed: u64) -> LoadOutcome {
         let declarations = declarations(self.rules);
         let directory = directory(self.engines);
         let routers: Vec<UpstreamRouter> = (0..self.daemons)
@@ -61,17 +62,17 @@
             .collect();
         let mut random = SmallRng::seed_from_u64(seed);
         let mut open: BTreeMap<(MonotonicTime, u64), (usize, String)> = BTreeMap::new();
-        let mut unread: BTreeMap<(MonotonicTime, u64), (usize, String)> = BTreeMap::new();
-        let mut used: HashMap<(String, u64), MonotonicTime> = HashMap::new();
-        let mut asked: HashMap<u64, MonotonicTime> = HashMap::new();
+        let mut unprocessed: BTreeMap<(MonotonicTime, u64), (usize, String)> = BTreeMap::new();
+        let mut last_uses: HashMap<(String, u64), MonotonicTime> = HashMap::new();
+        let mut last_requests: HashMap<u64, MonotonicTime> = HashMap::new();
         let mut running: HashMap<String, usize> = HashMap::new();
-        let (mut known, mut counted, mut queued, mut settled) = (0, 0, 0, 0);
+        let (mut cached, mut recent_requests, mut queued, mut measured_requests) = (0, 0, 0, 0);
         let seconds = 20;
         for number in 0..self.rate * seconds {
             let now = MonotonicTime::from_start(Duration::from_secs_f64(
                 number as f64 / self.rate as f64,
             ));
-            while let Some(entry) = unread.first_entry().filter(|entry| entry.key().0 <= now) {
+            while let Some(entry) = unprocessed.first_entry().filter(|entry| entry.key().0 <= now) {
                 let ((_, call), (daemon, engine)) = entry.remove_entry();
                 routers[daemon].record_first_event(&engine, CallId(call));
             }
@@ -86,27 +87,28 @@
             let daemon = random.random_range(0..self.daemons);
             let grant = routers[daemon].acquire(request(number, subject), now);
             let Ok(Some(grant)) = grant else { continue };
-            let is_kept =
-                |last: Option<MonotonicTime>| last.is_some_and(|last| now.since(last) < PART_LIFE);
-            let kept_there = is_kept(used.insert((grant.upstream.clone(), subject), now));
-            if is_kept(asked.insert(subject, now)) {
-                counted += 1;
-                known += u32::from(kept_there);
+            let is_recent = |last: Option<MonotonicTime>| {
+                last.is_some_and(|last| now.since(last) < PART_CACHE_TIME)
+            };
+            let is_cached = is_recent(last_uses.insert((grant.upstream.clone(), subject), now));
+            if is_recent(last_requests.insert(subject, now)) {
+                recent_requests += 1;
+                cached += u32::from(is_cached);
             }
             let load = running.entry(grant.upstream.clone()).or_default();
-            // The first quarter is what the daemons learn from.
+            // The first quarter of the requests only warms up the daemons.
             if number > self.rate * seconds / 4 {
-                settled += 1;
+                measured_requests += 1;
                 queued += u32::from(*load >= self.rules.slots as usize);
             }
             *load += 1;
-            unread.insert((now + READ_TIME, number), (daemon, grant.upstream.clone()));
+            unprocessed.insert((now + PROMPT_TIME, number), (daemon, grant.upstream.clone()));
             let end = now + SERVICE_TIMES[number as usize % 2];
             open.insert((end, number), (daemon, grant.upstream));
         }
         LoadOutcome {
-            known: f64::from(known) / f64::from(counted),
-            queued: f64::from(queued) / f64::from(settled),
+            cached: f64::from(cached) / f64::from(recent_requests),
+            queued: f64::from(queued) / f64::from(measured_requests),
         }
     }
 }
@@ -137,11 +139,11 @@
     let part = |id, tokens| PromptPart { id, tokens };
     let demand = EngineDemand {
         parts: vec![
-            part(2_000_000 + subject % ROOTS, PROMPT[0]),
-            part(subject, PROMPT[1]),
-            part(1_000_000 + number, PROMPT[2]),
+            part(2_000_000 + subject % SHARED_PARTS, PROMPT_PART_TOKENS[0]),
+            part(subject, PROMPT_PART_TOKENS[1]),
+            part(1_000_000 + number, PROMPT_PART_TOKENS[2]),
         ],
-        prompt_tokens: PROMPT.iter().map(|tokens| u64::from(*tokens)).sum(),
+        prompt_tokens: PROMPT_PART_TOKENS.iter().map(|tokens| u64::from(*tokens)).sum(),
         output_tokens: 60,
     };
     SlotRequest {
@@ -157,54 +159,56 @@
     }
 }
 
-// Eighty daemons stand before sixty engines of 64 places each, 160 requests a second about 1,100
-// subjects. A daemon that takes each of its own requests for eighty finds every engine full,
-// forgets subjects and sends requests anywhere: most shared parts are read again, which takes the
-// engines two thirds of their time.
+/// Guards against a large fleet that spreads each subject over many engines: 80 daemons before 60
+/// engines of 64 slots, 160 requests a second about 1,100 subjects. A daemon that counts each of
+/// its own requests as eighty finds every engine full, forgets subjects and sends requests
+/// anywhere. Most shared parts would be processed again, which takes the engines two thirds of
+/// their time.
 #[test]
-fn large_fleet_finds_the_engine_that_knows_the_subject() {
+fn large_fleet_reuses_cached_subjects() {
     let rules = EngineRules { slots: 64, token_memory: 550_000 };
     let load =
         FleetLoad { daemons: 80, engines: 60, rules, rate: 160, subjects: 1_100, hot_share: 0.0 };
-    let outcome = load.play(1);
-    assert!(outcome.known > 0.9, "{}", outcome.known);
+    let outcome = load.simulate(1);
+    assert!(outcome.cached > 0.9, "fraction of cached subjects: {}", outcome.cached);
 
-    assert!(outcome.queued < 0.1, "{}", outcome.queued);
+    assert!(outcome.queued < 0.1, "fraction of queued requests: {}", outcome.queued);
 }
 
-// The same fleet before engines of few places: sixty daemons, ninety engines of 12.
+/// Guards against the same failure with engines of few slots: 60 daemons before 90 engines of 12.
 #[test]
-fn engines_of_few_places_are_found_too() {
+fn large_fleet_reuses_cached_subjects_with_few_slots() {
     let rules = EngineRules { slots: 12, token_memory: 470_000 };
     let load =
         FleetLoad { daemons: 60, engines: 90, rules, rate: 180, subjects: 1_100, hot_share: 0.0 };
-    let outcome = load.play(1);
-    assert!(outcome.known > 0.8, "{}", outcome.known);
+    let outcome = load.simulate(1);
+    assert!(outcome.cached > 0.8, "fraction of cached subjects: {}", outcome.cached);
 
-    assert!(outcome.queued < 0.1, "{}", outcome.queued);
+    assert!(outcome.queued < 0.1, "fraction of queued requests: {}", outcome.queued);
 }
 
-// A third of all requests are about one subject, more than one engine can run. No daemon sees more
-// than a few of them; the engine must not be given more than it has places for all the same.
+/// Guards against an engine that is overloaded by a hot subject. A third of all requests are about
+/// one subject, more than one engine can run, and no daemon sees more than a few of them. The
+/// engine must not get more requests than it has slots.
 #[test]
-fn subject_that_everybody_asks_for_spreads() {
+fn hot_subject_spreads_over_engines() {
     let rules = EngineRules { slots: 24, token_memory: 550_000 };
     let load =
         FleetLoad { daemons: 80, engines: 60, rules, rate: 400, subjects: 1_100, hot_share: 0.3 };
-    let outcome = load.play(1);
+    let outcome = load.simulate(1);
 
-    assert!(outcome.queued < 0.1, "{}", outcome.queued);
-    assert!(outcome.known > 0.8, "{}", outcome.known);
+    assert!(outcome.queued < 0.1, "fraction of queued requests: {}", outcome.queued);
+    assert!(outcome.cached > 0.8, "fraction of cached subjects: {}", outcome.cached);
 }
 
-// A fleet of the size of today keeps subjects together as before.
+/// Guards against a small fleet that no longer keeps the requests of a subject on one engine.
 #[test]
-fn small_fleet_finds_the_engine_that_knows_the_subject() {
+fn small_fleet_reuses_cached_subjects() {
     let rules = EngineRules { slots: 96, token_memory: 560_000 };
     let load =
         FleetLoad { daemons: 6, engines: 18, rules, rate: 120, subjects: 330, hot_share: 0.1 };
-    let outcome = load.play(1);
-    assert!(outcome.known > 0.9, "{}", outcome.known);
+    let outcome = load.simulate(1);
+    assert!(outcome.cached > 0.9, "fraction of cached subjects: {}", outcome.cached);
 
-    assert!(outcome.queued < 0.1, "{}", outcome.queued);
+    assert!(outcome.queued < 0.1, "fraction of queued requests: {}", outcome.queued);
 }
