--- a/crates/crocusdale_core/examples/decision_slopes.rs
+++ b/crates/crocusdale_core/examples/decision_slopes.rs
@@ -1,8 +1,8 @@
-//! Measures the time of single decisions: `decision_slopes`.
+//! Measures the time of single decisions. Usage: `decision_slopes`.
 //!
-//! Prints the time of a check of declarations by size, and of a whole request through the core
-//! (five stages: every event and command of it) by numbers of workers and workspaces, and of one
-//! line of a stream. Medians of several rounds.
+//! Prints the time to check declarations, by their size; the time of a whole request with five
+//! stages in the core, all its events and commands included, by the numbers of workers and
+//! workspaces; and the time of one line of a stream. Each time is the median of several rounds.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,9 @@
 };
 use serde_json::value::RawValue;
 
+/// Number of runs of which the median is printed.
 const ROUNDS: usize = 9;
+/// Number of requests in one run.
 const REQUESTS: u64 = 2_000;
 
 fn main() {
@@ -25,7 +27,7 @@
         let text = declarations(workers, 350);
         let time = median(|| {
             let start = Instant::now();
-            Declarations::check("large", &text).expect("they are right");
+            Declarations::check("large", &text).expect("valid declarations");
             start.elapsed()
         });
         println!("{workers:>8} {:>10.0} {:>12.2}", text.len() as f64 / 1024.0, millis(time));
@@ -33,7 +35,7 @@
     println!("\n{:>8} {:>10} {:>12} {:>12}", "workers", "workspaces", "request us", "decision us");
     for (workers, workspaces) in [(60, 35), (200, 100), (600, 350), (2_000, 1_000)] {
         let time = median(|| request_time(workers, workspaces));
-        // Admission, five picks of an upstream and five answers.
+        // A request has 11 decisions: its admission, five choices of an upstream and five answers.
         let decision = time / 11;
         println!("{workers:>8} {workspaces:>10} {:>12.2} {:>12.2}", micros(time), micros(decision));
     }
@@ -48,8 +50,8 @@
     let mut commands = Vec::new();
     let text = declarations(workers, workspaces);
     core.handle(DaemonEvent::ConfigurationWatched(Some((1, text))), now, &mut commands);
-    let roster = VmList { revision: 1, vms: Vec::new() };
-    core.handle(DaemonEvent::VmListRead(Some(roster)), now, &mut commands);
+    let vm_list = VmList { revision: 1, vms: Vec::new() };
+    core.handle(DaemonEvent::VmListRead(Some(vm_list)), now, &mut commands);
     assert!(core.is_ready());
     let requests: Vec<CallerRequest> =
         (0..REQUESTS).map(|index| request(index, workspaces)).collect();
@@ -104,7 +106,7 @@
     let mut assembler = StreamAssembler::new(attempt);
     let start = Instant::now();
     for line in &lines {
-        assembler.take(line).expect("the lines are right");
+        assembler.take(line).expect("lines in order");
     }
     start.elapsed() / u32::try_from(LINES).expect("a small number")
 }
--- a/crates/crocusdale_core/examples/directory_slopes.rs
+++ b/crates/crocusdale_core/examples/directory_slopes.rs
@@ -1,7 +1,8 @@
-//! Measures what published upstreams cost a daemon, by their number: `directory_slopes`.
+//! Measures the time that published upstreams cost a daemon, by their number. Usage:
+//! `directory_slopes`.
 //!
-//! Prints the time of taking a list in which one upstream has changed, of making a router for it, and of
-//! choosing an upstream of one. Medians of several rounds.
+//! Prints the times to accept a list in which one upstream has changed, to build a router for it,
+//! and to choose an upstream for one request. Each time is the median of several rounds.
 
 use std::time::{Duration, Instant};
 
@@ -11,6 +12,7 @@
 use crocusdale_core::identity::{CallId, MonotonicTime, RequestDigest};
 use crocusdale_core::routing::{DirectoryEntry, SlotRequest, UpstreamDirectory, UpstreamRouter};
 
+/// Number of runs of which the median is printed.
 const ROUNDS: usize = 21;
 const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
@@ -22,30 +24,30 @@
         let declarations = declarations();
         let mut router = UpstreamRouter::new("z0", 1).reconfigured(&declarations, &directory, NOW);
         let mut revision = 1;
-        let taken = median(|| {
+        let list_time = median(|| {
             revision += 10;
             let list = list(upstreams, revision);
             let start = Instant::now();
             directory.replace(revision, list, None);
             start.elapsed()
         });
-        let made = median(|| {
+        let router_time = median(|| {
             let start = Instant::now();
             router = router.reconfigured(&declarations, &directory, NOW);
             start.elapsed()
         });
         let mut number = 0;
-        let chosen = median(|| {
+        let choice_time = median(|| {
             number += 1;
             let start = Instant::now();
-            router.acquire(request(number), NOW).expect("there is room");
+            router.acquire(request(number), NOW).expect("a usable upstream");
             start.elapsed()
         });
         println!(
             "{upstreams:>9} {:>12.3} {:>12.3} {:>12.2}",
-            millis(taken),
-            millis(made),
-            millis(chosen) * 1e3
+            millis(list_time),
+            millis(router_time),
+            millis(choice_time) * 1e3
         );
     }
 }
--- a/crates/crocusdale_core/examples/fleet_slopes.rs
+++ b/crates/crocusdale_core/examples/fleet_slopes.rs
@@ -1,9 +1,11 @@
-//! Measures what control costs in a fleet, in virtual time: `fleet_slopes [SIZE ...]`.
+//! Measures the cost of the control plane of a fleet, in virtual time. Usage: `fleet_slopes [SIZE
+//! ...]`.
 //!
-//! Runs SIZE cores (6, 50, 150 and 410 unless given) over eight zones of two regions, with the
-//! messages that the daemons would exchange, and prints per size: messages and bytes for each
-//! daemon and second, processor time of the decisions, reads of the platform, and the time until
-//! a change is in force and a lost zone is noticed.
+//! Runs SIZE daemon cores (6, 50, 150 and 410 by default) in eight availability zones of two
+//! regions and delivers their messages. Prints for each size: messages and bytes a second for each
+//! daemon, processor time of the decisions, reads of the platform, the time until a new
+//! configuration is in force everywhere, and the time until all daemons have detected the loss of a
+//! zone.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,17 +21,18 @@
 use prost::Message as _;
 
 const ZONES: usize = 8;
-/// One way within a region, and between regions.
-const NEAR: Duration = Duration::from_micros(500);
-const FAR: Duration = Duration::from_millis(30);
-/// Time after which the news of the start has spread.
+/// One-way network latency within a region.
+const LOCAL_LATENCY: Duration = Duration::from_micros(500);
+/// One-way network latency between regions.
+const REMOTE_LATENCY: Duration = Duration::from_millis(30);
+/// Time after the start by which the traffic of the start has ended.
 const WARM_UP: Duration = Duration::from_secs(180);
-/// How long the configuration service holds a watch.
-const WATCH_HOLD: Duration = Duration::from_secs(10);
-/// Time after which a call of a lost daemon counts as failed.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// Bytes that HTTP/2 and TCP add to a message, about, in each direction.
-const FRAMING: usize = 120;
+/// Time after which the configuration service answers a watch without a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which a heartbeat to a lost daemon counts as failed.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Approximate number of bytes that HTTP/2 and TCP add to a message in each direction.
+const FRAMING_BYTES: usize = 120;
 
 enum Delivery {
     Event(DaemonEvent),
@@ -38,7 +41,7 @@
 }
 
 #[derive(Default)]
-struct Tally {
+struct FleetMetrics {
     exchanges: u64,
     bytes: u64,
     fetched_bytes: u64,
@@ -52,10 +55,10 @@
     lost: Vec<bool>,
     queue: BTreeMap<(MonotonicTime, u64), (usize, Delivery)>,
     sequence: u64,
-    roster: VmList,
+    vm_list: VmList,
     published: (u64, String),
     outage: bool,
-    tally: Tally,
+    metrics: FleetMetrics,
 }
 
 fn main() {
@@ -82,32 +85,32 @@
 fn measure(size: usize) {
     let mut fleet = Fleet::start(size);
     fleet.run(WARM_UP);
-    fleet.tally = Tally::default();
+    fleet.metrics = FleetMetrics::default();
     let (steady, count) = (60, size as f64);
     fleet.run(Duration::from_secs(steady));
-    let tally = std::mem::take(&mut fleet.tally);
+    let metrics = std::mem::take(&mut fleet.metrics);
     let seconds = steady as f64;
-    let messages = tally.exchanges as f64 * 2.0 / count / seconds;
-    // Each byte is sent by one daemon and received by another.
-    let bytes = tally.bytes as f64 * 2.0 / count / seconds;
-    let share = tally.spent.as_secs_f64() / count / seconds * 100.0;
-    let reads = tally.reads.values().sum::<u64>() as f64 / seconds;
+    let messages = metrics.exchanges as f64 * 2.0 / count / seconds;
+    // Each byte counts twice: it is sent by one daemon and received by another.
+    let bytes = metrics.bytes as f64 * 2.0 / count / seconds;
+    let share = metrics.spent.as_secs_f64() / count / seconds * 100.0;
+    let reads = metrics.reads.values().sum::<u64>() as f64 / seconds;
 
     let force = fleet.publish_and_wait(2);
-    let text = fleet.tally.fetched_bytes as f64 / count / 1024.0;
+    let text = fleet.metrics.fetched_bytes as f64 / count / 1024.0;
 
     fleet.outage = true;
-    fleet.release_watchers();
+    fleet.end_watches();
     fleet.run(Duration::from_secs(60));
     fleet.outage = false;
-    fleet.tally = Tally::default();
+    fleet.metrics = FleetMetrics::default();
     fleet.run(Duration::from_secs(20));
-    let peak = fleet.tally.reads.values().max().copied().unwrap_or_default();
+    let peak = fleet.metrics.reads.values().max().copied().unwrap_or_default();
 
-    fleet.tally = Tally::default();
+    fleet.metrics = FleetMetrics::default();
     let (zone, zone_seconds) = fleet.lose_zone();
-    let survivors = count - count / ZONES as f64;
-    let zone_bytes = fleet.tally.bytes as f64 * 2.0 / survivors / zone_seconds;
+    let remaining_daemons = count - count / ZONES as f64;
+    let zone_bytes = fleet.metrics.bytes as f64 * 2.0 / remaining_daemons / zone_seconds;
     println!(
         "{size:>5} {messages:>9.2} {bytes:>9.0} {share:>8.3} {reads:>8.1} {force:>9.0} {text:>9.1} {peak:>9} {zone:>9.0} {zone_bytes:>9.0}"
     );
@@ -127,27 +130,27 @@
             lost: vec![false; size],
             queue: BTreeMap::new(),
             sequence: 0,
-            roster: VmList { revision: 1, vms },
+            vm_list: VmList { revision: 1, vms },
             published: (1, declarations(1)),
             outage: false,
-            tally: Tally::default(),
+            metrics: FleetMetrics::default(),
         };
         for index in 0..size {
             let mut commands = Vec::new();
             fleet.cores[index].start(now, &mut commands);
-            fleet.carry_out(index, commands);
+            fleet.execute_commands(index, commands);
         }
         fleet
     }
 
     fn run(&mut self, length: Duration) {
         let until = self.now + length;
-        while let Some((rank, _)) = self.queue.first_key_value() {
-            if rank.0 > until {
+        while let Some((queue_key, _)) = self.queue.first_key_value() {
+            if queue_key.0 > until {
                 break;
             }
-            let Some((rank, (index, delivery))) = self.queue.pop_first() else { break };
-            self.now = rank.0;
+            let Some((queue_key, (index, delivery))) = self.queue.pop_first() else { break };
+            self.now = queue_key.0;
             if !self.lost[index] {
                 self.deliver(index, delivery);
             }
@@ -162,7 +165,7 @@
             Delivery::Event(event) => self.cores[index].handle(event, self.now, &mut commands),
             Delivery::Exchange { from, message, sent } => {
                 let reply = self.cores[index].exchange(&message, self.now, &mut commands);
-                self.tally.bytes += wire_size(&reply);
+                self.metrics.bytes += wire_size(&reply);
                 let event = DaemonEvent::HeartbeatAnswered { message: Box::new(reply), sent };
                 self.push(from, self.latency(index, from), Delivery::Event(event));
             }
@@ -170,16 +173,16 @@
                 let fetched = self.cores[index].configuration_after(known);
                 let fetched = fetched.map(|(revision, text)| (revision, text.to_string()));
                 let size = fetched.as_ref().map_or(0, |(_, text)| text.len());
-                self.tally.fetched_bytes += size as u64;
+                self.metrics.fetched_bytes += size as u64;
                 let event = DaemonEvent::ConfigurationFetched(fetched);
                 self.push(from, self.latency(index, from), Delivery::Event(event));
             }
         }
-        self.tally.spent += start.elapsed();
-        self.carry_out(index, commands);
+        self.metrics.spent += start.elapsed();
+        self.execute_commands(index, commands);
     }
 
-    fn carry_out(&mut self, index: usize, commands: Vec<Command>) {
+    fn execute_commands(&mut self, index: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::SetTimer { timer, at } => {
@@ -194,7 +197,7 @@
                     self.push(to, self.latency(index, to), delivery);
                 }
                 Command::WatchConfiguration { known } => self.watch(index, known),
-                Command::ReadVmList { known } => self.read_roster(index, known),
+                Command::ReadVmList { known } => self.read_vm_list(index, known),
                 _ => {}
             }
         }
@@ -202,11 +205,11 @@
 
     fn exchange(&mut self, index: usize, vm: String, message: Box<ExchangeMessage>) {
         let to = position(&vm);
-        self.tally.exchanges += 1;
-        self.tally.bytes += wire_size(&message);
+        self.metrics.exchanges += 1;
+        self.metrics.bytes += wire_size(&message);
         if self.lost[to] {
             let event = DaemonEvent::HeartbeatFailed(vm);
-            self.push(index, PATIENCE, Delivery::Event(event));
+            self.push(index, HEARTBEAT_TIMEOUT, Delivery::Event(event));
         } else {
             let delivery = Delivery::Exchange { from: index, message, sent: self.now };
             self.push(to, self.latency(index, to), delivery);
@@ -216,54 +219,55 @@
     fn watch(&mut self, index: usize, known: u64) {
         self.count_read();
         if self.outage {
-            self.push(index, NEAR, Delivery::Event(DaemonEvent::ConfigurationWatchFailed));
+            self.push(index, LOCAL_LATENCY, Delivery::Event(DaemonEvent::ConfigurationWatchFailed));
         } else if known != self.published.0 {
             let event = DaemonEvent::ConfigurationWatched(Some(self.published.clone()));
-            self.push(index, NEAR, Delivery::Event(event));
+            self.push(index, LOCAL_LATENCY, Delivery::Event(event));
         } else {
             let event = DaemonEvent::ConfigurationWatched(None);
-            self.push(index, WATCH_HOLD, Delivery::Event(event));
+            self.push(index, WATCH_TIMEOUT, Delivery::Event(event));
         }
     }
 
-    fn read_roster(&mut self, index: usize, known: u64) {
+    fn read_vm_list(&mut self, index: usize, known: u64) {
         self.count_read();
-        let read = (known == 0).then(|| self.roster.clone());
+        let read = (known == 0).then(|| self.vm_list.clone());
         let event =
             if self.outage { DaemonEvent::VmListReadFailed } else { DaemonEvent::VmListRead(read) };
-        self.push(index, NEAR, Delivery::Event(event));
+        self.push(index, LOCAL_LATENCY, Delivery::Event(event));
     }
 
     fn count_read(&mut self) {
-        *self.tally.reads.entry(self.now.since_start().as_secs()).or_default() += 1;
+        *self.metrics.reads.entry(self.now.since_start().as_secs()).or_default() += 1;
     }
 
-    /// Ends the watches that wait: with news, or with an error in an outage.
-    fn release_watchers(&mut self) {
-        let mut waiting = Vec::new();
+    /// Ends all open watches: with the published configuration, or with an error in an outage.
+    fn end_watches(&mut self) {
+        let mut watching_daemons = Vec::new();
         self.queue.retain(|_, (index, delivery)| {
             let is_watch =
                 matches!(delivery, Delivery::Event(DaemonEvent::ConfigurationWatched(None)));
             if is_watch {
-                waiting.push(*index);
+                watching_daemons.push(*index);
             }
             !is_watch
         });
-        for index in waiting {
+        for index in watching_daemons {
             let event = if self.outage {
                 DaemonEvent::ConfigurationWatchFailed
             } else {
                 DaemonEvent::ConfigurationWatched(Some(self.published.clone()))
             };
-            self.push(index, NEAR, Delivery::Event(event));
+            self.push(index, LOCAL_LATENCY, Delivery::Event(event));
         }
     }
 
-    /// Publishes a revision; gives the milliseconds until it is in force everywhere.
+    /// Publishes a configuration revision. Returns the milliseconds until it is in force at every
+    /// daemon, infinity if that takes longer than 60 s.
     fn publish_and_wait(&mut self, revision: u64) -> f64 {
-        self.tally = Tally::default();
+        self.metrics = FleetMetrics::default();
         self.published = (revision, declarations(revision));
-        self.release_watchers();
+        self.end_watches();
         let start = self.now;
         let step = Duration::from_millis(10);
         while self.cores.iter().any(|core| core.dump(self.now).revision != revision) {
@@ -275,8 +279,9 @@
         self.now.since(start).as_secs_f64() * 1e3
     }
 
-    /// Loses the first zone; gives the milliseconds until every survivor takes every lost daemon
-    /// for unreachable, and the seconds that were run.
+    /// Stops all daemons of the first zone. Returns the time until every other daemon has marked
+    /// all of them as unreachable, or 120 s if some have not by then, in milliseconds and in
+    /// seconds.
     fn lose_zone(&mut self) -> (f64, f64) {
         let start = self.now;
         for index in (0..self.cores.len()).step_by(ZONES) {
@@ -301,7 +306,7 @@
 
     fn latency(&self, from: usize, to: usize) -> Duration {
         let region = |index: usize| (index % ZONES) / (ZONES / 2);
-        if region(from) == region(to) { NEAR } else { FAR }
+        if region(from) == region(to) { LOCAL_LATENCY } else { REMOTE_LATENCY }
     }
 
     fn push(&mut self, index: usize, after: Duration, delivery: Delivery) {
@@ -312,7 +317,7 @@
 
 fn wire_size(message: &ExchangeMessage) -> u64 {
     let size = peer::ExchangeMessage::from(message.clone()).encoded_len();
-    (size + FRAMING) as u64
+    (size + FRAMING_BYTES) as u64
 }
 
 fn name(index: usize) -> String {
@@ -341,7 +346,8 @@
     }
 }
 
-/// Declarations of the size that is designed for: 600 workers, 350 workspaces, 19 pipelines.
+/// Declarations of the size that the system is designed for: 600 workers, 350 workspaces, 19
+/// pipelines.
 fn declarations(revision: u64) -> String {
     let mut text = format!("[deployment]\nname = large-{revision}\nkey_life_ms = 20000\n");
     for index in 0..600 {
