--- a/crates/crocusdale_core/src/membership/member_view.rs
+++ b/crates/crocusdale_core/src/membership/member_view.rs
@@ -160,8 +160,8 @@
         self.period
     }
 
-    /// Adds peers that are new in the VM list `vm_list`, and removes those that are no longer in it.
-    /// In a deployment with a VM list, gossip adds no peers.
+    /// Adds peers that are new in the VM list `vm_list`, and removes those that are no longer in
+    /// it. In a deployment with a VM list, gossip adds no peers.
     pub fn update_peers(&mut self, vm_list: &VmList, now: MonotonicTime) {
         let own = &self.own.instance.vm;
         self.peers.retain(|vm, _| vm_list.get(vm).is_some());
