--- a/crates/crocusdale_core/src/configuration/section_reader.rs
+++ b/crates/crocusdale_core/src/configuration/section_reader.rs
@@ -140,7 +140,7 @@
         }
         let Some((spec, name)) = find_spec(specs, header, errors) else { continue };
         if !seen.insert((spec.name, name.clone())) {
-            let accepted = "at most one section with this header";
+            let accepted = "each section once";
             errors.report(ConfigurationErrorKind::RepeatedSection, (header, ""), header, accepted);
             continue;
         }
@@ -193,7 +193,7 @@
                 ConfigurationErrorKind::RepeatedKey,
                 (header, key),
                 value,
-                "at most one value for each key of a section",
+                "each key once",
             );
             continue;
         }
@@ -235,10 +235,8 @@
 fn describe_form(form: KeyForm) -> String {
     match form {
         KeyForm::Name => "1 to 64 letters, digits, `-`, `_`, `.`".into(),
-        KeyForm::Address => "an IP address and a port, such as 127.0.0.1:8080".into(),
-        KeyForm::Addresses => {
-            "IP addresses with ports, such as 127.0.0.1:8080, separated by commas".into()
-        }
+        KeyForm::Address => "IP address and port, as 127.0.0.1:8080".into(),
+        KeyForm::Addresses => "IP addresses with ports, separated by commas".into(),
         KeyForm::Count { min, max } => format!("a whole number from {min} to {max}"),
         KeyForm::Duration { min, max } => {
             format!("milliseconds, a whole number from {min} to {max}")
