--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -212,7 +212,10 @@
             "{size} daemons: {told} requests of daemons that know the limit"
         );
         let all = upstream.max_in_window(bound_from, |arrival| arrival.at >= bound_from);
-        assert!(all <= max_allowed_requests(per_second), "{size} daemons: {all} requests in a window");
+        assert!(
+            all <= max_allowed_requests(per_second),
+            "{size} daemons: {all} requests in a window"
+        );
     }
 }
 
