--- a/crates/crocusdale_core/src/pipeline/piece_order.rs
+++ b/crates/crocusdale_core/src/pipeline/piece_order.rs
@@ -12,7 +12,8 @@
     pub request: String,
     /// Digest that repeats of the request share; `None` if the sending daemon does not tell it.
     pub digest: Option<RequestDigest>,
-    /// Configuration section of the pool that runs the pieces.
+    /// Name of the pool section, one shard of a batched pool with its own dispatcher, that runs the
+    /// pieces. The name of the whole pool until a section is chosen.
     pub pool: String,
     /// Position of the step in its pipeline.
     pub step: u32,
@@ -22,8 +23,8 @@
     pub result_bytes: u64,
     /// Input from which the pieces are computed.
     pub source: PieceSource,
-    /// Configuration section of the pool whose upstreams hold the inputs, if the inputs are large
-    /// and no other step reads them. They can then be freed as soon as they are fetched.
+    /// Name of the pool section whose upstreams hold the inputs, if the inputs are large and no
+    /// other step reads them. They can then be freed as soon as they are fetched.
     pub inputs_pool: Option<String>,
     /// Availability zone that will read the results, if it is known.
     pub zone: Option<String>,
@@ -33,7 +34,8 @@
     pub is_flood: bool,
     /// Time by which the results are needed for the request to meet its latency objective.
     pub target_end: MonotonicTime,
-    /// Time after which the results are of no use.
+    /// Latest time at which the step can end for the request to meet its deadline. The dispatcher
+    /// fails pieces that can't be computed by then.
     pub expires: MonotonicTime,
     /// Whether another dispatcher may already have worked on these pieces.
     pub is_resubmission: bool,
--- a/crates/crocusdale_core/src/pipeline/shard_action.rs
+++ b/crates/crocusdale_core/src/pipeline/shard_action.rs
@@ -45,12 +45,14 @@
     CancelPieces {
         /// Attempt that the pieces belong to.
         attempt: AttemptId,
-        /// Configuration section of the pool that runs the pieces.
+        /// Name of the pool section, one shard of a batched pool with its own dispatcher, that
+        /// runs the pieces.
         pool: String,
     },
     /// Free results that are no longer needed.
     FreeResults {
-        /// Configuration section of the pool whose upstreams store the results.
+        /// Name of the pool section, one shard of a batched pool with its own dispatcher, whose
+        /// upstreams store the results.
         pool: String,
         /// Handles of the results.
         results: Vec<ResultHandle>,
--- a/crates/crocusdale_core/src/pipeline/step_run.rs
+++ b/crates/crocusdale_core/src/pipeline/step_run.rs
@@ -13,8 +13,8 @@
     /// Position of the step in the pipeline's plan.
     pub(super) step: usize,
     pub(super) stage: String,
-    /// Configuration section of the pool that runs the step's pieces; for other steps, the
-    /// stage name.
+    /// Name of the pool section, one shard of a batched pool with its own dispatcher, that runs the
+    /// step's pieces. The stage name until a section is chosen, and for steps without pieces.
     pub(super) pool_section: String,
     pub(super) work: StepWork,
     pub(super) started_at: MonotonicTime,
