--- a/crates/crocusdale_core/src/pipeline/attempt.rs
+++ b/crates/crocusdale_core/src/pipeline/attempt.rs
@@ -26,7 +26,7 @@
     pub needs_new_connection: bool,
     /// Priority level; 0 is the most urgent.
     pub level: u8,
-    /// Time after which the call must no longer be written.
+    /// Deadline of the request, after which the call must no longer be written.
     pub expires: MonotonicTime,
 }
 
--- a/crates/crocusdale_core/src/pipeline/claim_steps.rs
+++ b/crates/crocusdale_core/src/pipeline/claim_steps.rs
@@ -1,5 +1,5 @@
-//! Requests that must run at most once: their keys are claimed at witnesses, and their outcomes can
-//! be looked up later.
+//! Requests that must run at most once. Their idempotency keys are claimed at witnesses, which are
+//! daemons that store a register for each key. Their outcomes can be looked up later.
 
 use std::time::Duration;
 
@@ -44,6 +44,9 @@
 
     /// Looks up the outcome of `key`, which this daemon will not run. `refusal` is the answer if
     /// the key never ran anywhere; `None` if the caller asked only for the outcome.
+    ///
+    /// The lookup writes a tombstone to each register of the key that is still empty, so that no
+    /// daemon can claim the key later.
     pub fn start_lookup(
         &mut self,
         call: CallId,
@@ -72,7 +75,7 @@
         actions
     }
 
-    /// Handles the reply of a witness; `None` if no reply came.
+    /// Handles the reply of a witness to a write to its register; `None` if no reply came.
     pub fn handle_register_reply(
         &mut self,
         call: CallId,
@@ -112,6 +115,8 @@
         }
     }
 
+    /// Starts the request once enough witnesses granted its claim, or abandons the key once they no
+    /// longer can.
     pub(super) fn advance_claim(
         &mut self,
         call: CallId,
@@ -125,7 +130,7 @@
             ClaimVerdict::Granted => {
                 active_run.witnesses = Some(poll.witnesses().clone());
                 active_run.poll = None;
-                active_run.run.begin(now, actions);
+                active_run.run.start_first_steps(now, actions);
             }
             ClaimVerdict::Impossible => self.abandon_claim(call, now, actions),
         }
@@ -134,8 +139,8 @@
     /// Abandons a key that can't be claimed.
     ///
     /// This process incarnation never runs the key from here on, so its own claims count as
-    /// tombstones. It writes tombstones to the other registers to prove that no daemon will run the
-    /// key.
+    /// tombstones. It writes tombstones to the registers whose content is not known, to prove that
+    /// no daemon will run the key.
     pub(super) fn abandon_claim(
         &mut self,
         call: CallId,
@@ -214,8 +219,8 @@
     /// new run.
     ///
     /// Guards against a lookup that reads the claims of a run of this same process incarnation. The
-    /// lookup would count them as claims that never run, and answer "not run" while the request is
-    /// running.
+    /// lookup would take them for claims of a request that never runs, and answer "not run" while
+    /// the request is running.
     pub(super) fn take_lookups(&mut self, key: &RequestKey) -> Vec<CallId> {
         let matching = self.lookups.iter().filter(|(_, lookup)| lookup.key == *key);
         let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
--- a/crates/crocusdale_core/src/pipeline/request_run.rs
+++ b/crates/crocusdale_core/src/pipeline/request_run.rs
@@ -10,9 +10,9 @@
 use crate::identity::{AttemptId, CallId, MonotonicTime};
 use crate::routing::{AttemptReport, SlotGrant, SlotRequest};
 
-/// Minimum retry delay for a caller whose request was shed. If less time is left until the
-/// request's deadline, that time is the minimum instead. A batched call takes a few tenths of a
-/// second, so the queues have moved on by then.
+/// Minimum retry delay that the caller of a refused forwarded request receives. If less time
+/// remains until the request's deadline, that time is the minimum instead. A batched call takes a
+/// few tenths of a second, so the queues have moved on after this delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of times that the batched steps of a request are run again because a result was
 /// gone when it was needed.
@@ -28,6 +28,7 @@
     pub(super) step_runs: Vec<StepRun>,
     pub(super) stage_costs: Vec<StageCost>,
     pub(super) attempt_counts: AttemptCounts,
+    /// Sequence number in the newest attempt id; 0 before the first attempt.
     pub(super) last_sequence: u32,
     /// Whether a part of the response was passed on to the caller.
     pub(super) has_sent_response: bool,
@@ -40,7 +41,8 @@
     /// Attempt count and tried upstreams of the forwarded step, kept while its inputs are computed
     /// again.
     pub(super) forward_history: Option<(u32, Vec<String>)>,
-    /// Time after which the pool that refused the request is expected to have capacity again.
+    /// Time after which the reason of the latest refusal or piece failure is expected to be over: a
+    /// pool has capacity again, or a quarantine has ended. `None` if none has stated such a time.
     pub(super) retry_after: Option<Duration>,
 }
 
@@ -78,15 +80,15 @@
     }
 
     /// Starts the steps that need no results of other steps.
-    pub fn begin(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
+    pub fn start_first_steps(&mut self, now: MonotonicTime, actions: &mut Vec<ShardAction>) {
         self.start_ready_steps(now, actions);
     }
 
     /// Sends an attempt to the upstream that the router assigned.
     ///
-    /// The deadline is checked here and, through `expires`, again right before the call is written.
-    /// This guards against a process that was paused in between and still believes that there is
-    /// time.
+    /// The deadline is checked here. The order carries the deadline in its field `expires`, and it
+    /// is checked again right before the call is written. The second check guards against a process
+    /// that was paused in between and would send a call whose deadline has passed.
     pub fn dispatch(
         &mut self,
         grant: SlotGrant,
@@ -241,19 +243,21 @@
         }
     }
 
-    /// Handles the router's refusal to assign an upstream, for a reason that holds for the time
-    /// `left`.
+    /// Handles a refusal to assign an upstream, for a reason that is expected to hold for another
+    /// `retry_after`. If the forwarded request is refused, its caller receives this time as the
+    /// retry delay, unless the minimum retry delay is longer.
     pub fn handle_lasting_refusal(
         &mut self,
-        (reason, left): (RefusalReason, Duration),
+        (reason, retry_after): (RefusalReason, Duration),
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) -> Option<FinalAnswer> {
-        self.retry_after = Some(left);
+        self.retry_after = Some(retry_after);
         self.handle_refusal(reason, now, actions)
     }
 
-    /// Ends the run without an answer and cancels everything that is still open.
+    /// Ends the run without an answer. Cancels its attempts and its queued slot requests, and frees
+    /// the results of its batched steps.
     pub fn finish_unanswered(
         &mut self,
         reason: RefusalReason,
@@ -268,9 +272,10 @@
         let mut outcome =
             FinalOutcome::new(outcome_kind, &self.plan.request.key).with_reason(reason);
         if outcome_kind == OutcomeKind::Refused && self.plan.forward_rules().is_some() {
-            // A caller that retries at once meets the queue for which it was refused. A retry delay
-            // longer than the caller's deadline is told as well, so that the caller does not retry
-            // in vain.
+            // A caller that retries at once meets the queue for which it was refused. The caller
+            // receives the retry delay in the field `retry_after_ms` even if the delay ends after
+            // the request's deadline. With a shorter delay, the caller would retry while the reason
+            // of the refusal still holds.
             let min_retry_after = self.plan.deadline.since(now).min(MIN_RETRY_AFTER);
             let retry_after = self
                 .retry_after
--- a/crates/crocusdale_core/src/pipeline/request_shard.rs
+++ b/crates/crocusdale_core/src/pipeline/request_shard.rs
@@ -115,7 +115,7 @@
         debug_assert!(!plan.needs_claim);
         actions.push(set_timer(TimerKey::Deadline(call), plan.deadline));
         let mut run = RequestRun::new(call, self.own_instance.process_hash(), plan);
-        run.begin(now, actions);
+        run.start_first_steps(now, actions);
         let active_run = ActiveRun { run, poll: None, witnesses: None, waiting_calls: Vec::new() };
         self.runs.insert(call, active_run);
     }
@@ -237,12 +237,12 @@
         }
     }
 
-    /// Ends the runs with the digest `digest`, which is quarantined for the time `left`, unless an
-    /// attempt was already sent to an upstream.
+    /// Ends the runs with the digest `digest`, unless an attempt was already sent to an upstream.
+    /// `ttl` is the remaining time of the digest's quarantine.
     pub fn end_quarantined(
         &mut self,
         digest: RequestDigest,
-        left: Duration,
+        ttl: Duration,
         now: MonotonicTime,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -251,7 +251,7 @@
         });
         let calls: Vec<CallId> = matching.map(|(call, _)| *call).collect();
         for call in calls {
-            self.handle_lasting_refusal(call, (RefusalReason::Quarantined, left), now, actions);
+            self.handle_lasting_refusal(call, (RefusalReason::Quarantined, ttl), now, actions);
         }
     }
 
