--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -122,7 +122,7 @@
     let may_write = || engine.now() <= order.write_by;
     let answer = engine
         .connections()
-        .call_while(order.address, request, MAX_ANSWER_BYTES, BATCH_TIMEOUT, may_write)
+        .call_if(order.address, request, MAX_ANSWER_BYTES, BATCH_TIMEOUT, may_write)
         .await;
     match answer {
         Ok(answer) => {
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -127,7 +127,7 @@
         max_bytes: usize,
         timeout: Duration,
     ) -> Result<Response<Bytes>, SendFault> {
-        self.call_while(address, request, max_bytes, timeout, || true).await
+        self.call_if(address, request, max_bytes, timeout, || true).await
     }
 
     /// Like [`ConnectionPool::call`], but sends the request only if `may_write` returns true once
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Returns whether the request may have been written.
-    pub async fn call_while(
+    pub async fn call_if(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
