--- a/crates/crocusdaled/src/forwarding/relay_client.rs
+++ b/crates/crocusdaled/src/forwarding/relay_client.rs
@@ -174,8 +174,12 @@
 ) -> AttemptEvent {
     info!(engine.telemetry.log, "attempt_failed";
         "request" => &call.attempt, "upstream" => &order.upstream,
-        "written" => fault.written, "cause" => &fault.cause);
-    if fault.written { AttemptEvent::Broken(BreakReason::Cut) } else { AttemptEvent::NotSent }
+        "written" => fault.may_be_written, "cause" => &fault.cause);
+    if fault.may_be_written {
+        AttemptEvent::Broken(BreakReason::Cut)
+    } else {
+        AttemptEvent::NotSent
+    }
 }
 
 fn upstream_request(call: &RelayCall, headers: http::HeaderMap) -> Request<Full<Bytes>> {
--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -132,9 +132,9 @@
         }
         Err(fault) => {
             info!(engine.telemetry.log, "batch_failed";
-                "upstream" => &order.upstream, "written" => fault.written,
+                "upstream" => &order.upstream, "written" => fault.may_be_written,
                 "cause" => &fault.cause);
-            if fault.written { BatchOutcome::Broken } else { BatchOutcome::NotSent }
+            if fault.may_be_written { BatchOutcome::Broken } else { BatchOutcome::NotSent }
         }
     }
 }
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -51,18 +51,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendFault {
     /// Whether any byte of the request may have been written to the connection.
-    pub written: bool,
+    pub may_be_written: bool,
     /// Description of the error for the log.
     pub cause: String,
 }
 
 impl SendFault {
     fn unwritten(cause: &impl ToString) -> Self {
-        Self { written: false, cause: cause.to_string() }
+        Self { may_be_written: false, cause: cause.to_string() }
     }
 
     fn broken(cause: &impl ToString) -> Self {
-        Self { written: true, cause: cause.to_string() }
+        Self { may_be_written: true, cause: cause.to_string() }
     }
 }
 
--- a/crates/crocusdaled/tests/late_write_test.rs
+++ b/crates/crocusdaled/tests/late_write_test.rs
@@ -29,7 +29,7 @@
     let pool = ConnectionPool::default();
     let patience = Duration::from_secs(2);
     let answer = pool.call_if(address, request, 1_000, patience, || false).await;
-    assert!(!answer.expect_err("not sent").written, "the refusal is true");
+    assert!(!answer.expect_err("not sent").may_be_written, "the refusal is true");
     drop(pool);
     server.await.expect("the upstream saw the connection close");
     assert_eq!(heard.load(Ordering::SeqCst), 0, "no byte came");
