--- a/crates/crocusdaled/src/upstream/batch_client.rs
+++ b/crates/crocusdaled/src/upstream/batch_client.rs
@@ -122,7 +122,7 @@
     let may_write = || engine.now() <= order.write_by;
     let answer = engine
         .connections()
-        .call_while(order.address, request, MAX_ANSWER_BYTES, BATCH_TIMEOUT, may_write)
+        .call_if(order.address, request, MAX_ANSWER_BYTES, BATCH_TIMEOUT, may_write)
         .await;
     match answer {
         Ok(answer) => {
@@ -132,9 +132,9 @@
         }
         Err(fault) => {
             info!(engine.telemetry.log, "batch_failed";
-                "upstream" => &order.upstream, "written" => fault.written,
+                "upstream" => &order.upstream, "written" => fault.may_be_written,
                 "cause" => &fault.cause);
-            if fault.written { BatchOutcome::Broken } else { BatchOutcome::NotSent }
+            if fault.may_be_written { BatchOutcome::Broken } else { BatchOutcome::NotSent }
         }
     }
 }
--- a/crates/crocusdaled/src/upstream/connection_pool.rs
+++ b/crates/crocusdaled/src/upstream/connection_pool.rs
@@ -51,18 +51,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendFault {
     /// Whether any byte of the request may have been written to the connection.
-    pub written: bool,
+    pub may_be_written: bool,
     /// Description of the error for the log.
     pub cause: String,
 }
 
 impl SendFault {
     fn unwritten(cause: &impl ToString) -> Self {
-        Self { written: false, cause: cause.to_string() }
+        Self { may_be_written: false, cause: cause.to_string() }
     }
 
     fn broken(cause: &impl ToString) -> Self {
-        Self { written: true, cause: cause.to_string() }
+        Self { may_be_written: true, cause: cause.to_string() }
     }
 }
 
@@ -127,7 +127,7 @@
         max_bytes: usize,
         timeout: Duration,
     ) -> Result<Response<Bytes>, SendFault> {
-        self.call_while(address, request, max_bytes, timeout, || true).await
+        self.call_if(address, request, max_bytes, timeout, || true).await
     }
 
     /// Like [`ConnectionPool::call`], but sends the request only if `may_write` returns true once
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Returns whether the request may have been written.
-    pub async fn call_while(
+    pub async fn call_if(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
