--- a/crates/crocusdaled/tests/cold_upstream_test.rs
+++ b/crates/crocusdaled/tests/cold_upstream_test.rs
@@ -48,7 +48,7 @@
     let fleet = fleet().await?;
     wait_for(SOON, "both engines are called", async || {
         send_streams(&fleet, 12).await;
-        fleet.engines.iter().all(|engine| !engine.executed_requests().is_empty())
+        fleet.engine_workers.iter().all(|engine| !engine.executed_requests().is_empty())
     })
     .await?;
     // Daemons that have started of late send nothing to cold engines.
--- a/crates/crocusdaled/tests/crashing_request_test.rs
+++ b/crates/crocusdaled/tests/crashing_request_test.rs
@@ -33,13 +33,13 @@
 /// Publishes another engine in place of those that have crashed.
 fn replace_crashed(fleet: &mut PublishedFleet) -> Result<()> {
     let crashed = |engine: &WorkerStandIn| runs(std::slice::from_ref(engine)) > 0;
-    for id in fleet.engines.iter().filter(|engine| crashed(engine)).map(WorkerStandIn::id) {
+    for id in fleet.engine_workers.iter().filter(|engine| crashed(engine)).map(WorkerStandIn::id) {
         fleet.store.remove(id);
     }
-    let engine = WorkerStandIn::start(&format!("engine-{}", fleet.engines.len()))?;
+    let engine = WorkerStandIn::start(&format!("engine-{}", fleet.engine_workers.len()))?;
     engine.set_fault(WorkerFault::Crash);
     fleet.store.publish(engine.id(), &engine.entry("reader", "ready"));
-    fleet.engines.push(engine);
+    fleet.engine_workers.push(engine);
     Ok(())
 }
 
@@ -66,7 +66,7 @@
 async fn crashing_request_is_stopped_at_all_daemons() -> Result<()> {
     let binary = env!("CARGO_BIN_EXE_crocusdaled");
     let mut fleet = PublishedFleet::start(binary, env!("CARGO_TARGET_TMPDIR"), 3).await?;
-    for engine in &fleet.engines {
+    for engine in &fleet.engine_workers {
         engine.set_fault(WorkerFault::Crash);
     }
     for index in 0..3 {
@@ -74,19 +74,19 @@
         wait_for(SOON, "an engine crashes under it", async || {
             let caller = fleet.daemons[index].caller;
             let _ = IngressCaller::once(caller, &crashing(&format!("try-{index}"))).await;
-            runs(&fleet.engines) > index
+            runs(&fleet.engine_workers) > index
         })
         .await?;
         replace_crashed(&mut fleet)?;
     }
     wait_refused(&fleet, "refused", LASTING).await?;
-    let crashed = runs(&fleet.engines);
+    let crashed = runs(&fleet.engine_workers);
     for index in 0..30 {
         let caller = fleet.daemons[index % 3].caller;
         let answer = IngressCaller::once(caller, &crashing(&format!("again-{index}"))).await?;
         assert_eq!(answer.status, 503, "try {index}");
     }
-    assert_eq!(runs(&fleet.engines), crashed, "no engine got it again");
+    assert_eq!(runs(&fleet.engine_workers), crashed, "no engine got it again");
     assert!(crashed <= 4, "{crashed} engines crashed");
     // Others are served as before.
     let other = IngressRequest::new("/digest/7", "other").field("x-pieces", "1");
--- a/crates/crocusdaled/tests/limited_upstream_test.rs
+++ b/crates/crocusdaled/tests/limited_upstream_test.rs
@@ -32,7 +32,7 @@
 async fn worker_that_names_a_rate_gets_no_more_from_three_daemons() -> Result<()> {
     let binary = env!("CARGO_BIN_EXE_crocusdaled");
     let fleet = PublishedFleet::start(binary, env!("CARGO_TARGET_TMPDIR"), 3).await?;
-    let limited = &fleet.plain[0];
+    let limited = &fleet.plain_workers[0];
     send_for(&fleet, Duration::from_secs(1)).await?;
     assert!(!limited.executed_requests().is_empty(), "it is used");
     limited.set_fault(WorkerFault::Limited);
--- a/crates/crocusdaled/tests/published_platform_test.rs
+++ b/crates/crocusdaled/tests/published_platform_test.rs
@@ -54,17 +54,19 @@
         let answer = IngressCaller::once(daemon.caller, &digest(&format!("digest{index}"))).await?;
         assert_eq!((answer.status, answer.body, answer.is_complete), (200, events(0), true));
     }
-    let seen: Vec<_> = fleet.plain.iter().flat_map(WorkerStandIn::executed_requests).collect();
+    let seen: Vec<_> =
+        fleet.plain_workers.iter().flat_map(WorkerStandIn::executed_requests).collect();
     let first = seen.iter().find(|seen| seen.attempt == "ask0").expect("it ran");
     assert_eq!(first.target, "POST /ask/7?page=2");
     assert_eq!(&first.body[..], b"letter ask0");
     assert_eq!(first.headers["x-tenant"], "letters");
     assert!(!first.headers.contains_key("x-api-key"));
-    let inputs: Vec<_> = fleet.engines.iter().flat_map(WorkerStandIn::executed_requests).collect();
+    let inputs: Vec<_> =
+        fleet.engine_workers.iter().flat_map(WorkerStandIn::executed_requests).collect();
     let inputs = inputs[0].headers["x-inputs"].to_str()?.split(',').count();
     assert_eq!(inputs, 3);
     wait_for(SOON, "all results are given up", async || {
-        fleet.stages.iter().map(|stage| stage.released_results().len()).sum::<usize>() == 9
+        fleet.batch_workers.iter().map(|stage| stage.released_results().len()).sum::<usize>() == 9
     })
     .await
 }
@@ -83,7 +85,8 @@
     while let Some(answer) = calls.join_next().await {
         assert_eq!(answer??.body, events(0));
     }
-    let made: Vec<usize> = fleet.stages.iter().flat_map(WorkerStandIn::batch_sizes).collect();
+    let made: Vec<usize> =
+        fleet.batch_workers.iter().flat_map(WorkerStandIn::batch_sizes).collect();
     assert_eq!(made.iter().sum::<usize>(), 90);
     assert!(made.len() < 30, "{} calls for thirty requests", made.len());
     Ok(())
@@ -99,12 +102,15 @@
     for index in 0..40 {
         IngressCaller::once(caller, &digest(&format!("earlier{index}"))).await?;
     }
-    let used =
-        fleet.engines.iter().position(|engine| !engine.executed_requests().is_empty()).unwrap_or(0);
-    fleet.engines[used].set_fault(WorkerFault::TruncatedStream(2));
+    let used = fleet
+        .engine_workers
+        .iter()
+        .position(|engine| !engine.executed_requests().is_empty())
+        .unwrap_or(0);
+    fleet.engine_workers[used].set_fault(WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(caller, &digest("second")).await?;
     assert_eq!((answer.status, answer.body, answer.is_complete), (200, events(0), true));
-    let other = fleet.engines[1 - used].executed_requests();
+    let other = fleet.engine_workers[1 - used].executed_requests();
     let resumed = other.iter().find(|seen| seen.attempt == "second").expect("it went on there");
     assert_eq!(resumed.headers["last-event-id"], "1");
     Ok(())
@@ -123,12 +129,13 @@
     }
     for (fault, attempt) in [(WorkerFault::WrongProcess, "moved"), (WorkerFault::InputGone, "gone")]
     {
-        set_fault(&fleet.engines, WorkerFault::None);
+        set_fault(&fleet.engine_workers, WorkerFault::None);
         let seen = |engine: &WorkerStandIn| engine.executed_requests().len();
-        let before: Vec<usize> = fleet.engines.iter().map(seen).collect();
+        let before: Vec<usize> = fleet.engine_workers.iter().map(seen).collect();
         IngressCaller::once(caller, &digest(&format!("before-{attempt}"))).await?;
-        let used = fleet.engines.iter().zip(before).position(|(each, before)| seen(each) > before);
-        fleet.engines[used.unwrap_or(0)].set_fault(fault);
+        let used =
+            fleet.engine_workers.iter().zip(before).position(|(each, before)| seen(each) > before);
+        fleet.engine_workers[used.unwrap_or(0)].set_fault(fault);
         let answer = IngressCaller::once(caller, &digest(attempt)).await?;
         assert_eq!(
             (answer.status, answer.body, answer.is_complete),
@@ -143,7 +150,7 @@
 #[tokio::test]
 async fn stream_that_nobody_finishes_looks_broken() -> Result<()> {
     let fleet = fleet(1).await?;
-    set_fault(&fleet.engines, WorkerFault::TruncatedStream(2));
+    set_fault(&fleet.engine_workers, WorkerFault::TruncatedStream(2));
     let answer = IngressCaller::once(fleet.daemons[0].caller, &digest("torn")).await?;
     assert!(!answer.is_complete);
     assert!(events(0).starts_with(&answer.body), "{}", answer.body);
@@ -158,15 +165,15 @@
     let caller = fleet.daemons[0].caller;
     for (fault, attempt) in [(WorkerFault::Foreign, "foreign"), (WorkerFault::Unsigned, "unsigned")]
     {
-        set_fault(&fleet.plain, fault);
+        set_fault(&fleet.plain_workers, fault);
         let answer = IngressCaller::once(caller, &IngressRequest::new("/shred/7", attempt)).await?;
         assert_eq!(answer.status, 502, "{fault:?}");
-        assert_eq!(runs(&fleet.plain, attempt), 1, "{fault:?}");
+        assert_eq!(runs(&fleet.plain_workers, attempt), 1, "{fault:?}");
     }
-    set_fault(&fleet.plain, WorkerFault::Silent);
+    set_fault(&fleet.plain_workers, WorkerFault::Silent);
     let request = IngressRequest::new("/shred/7", "silent").field("x-deadline-ms", "500");
     let answer = IngressCaller::once(caller, &request).await?;
-    assert_eq!((answer.status, runs(&fleet.plain, "silent")), (504, 1));
+    assert_eq!((answer.status, runs(&fleet.plain_workers, "silent")), (504, 1));
     Ok(())
 }
 
@@ -174,12 +181,12 @@
 #[tokio::test]
 async fn full_workers_make_an_honest_refusal() -> Result<()> {
     let fleet = fleet(1).await?;
-    set_fault(&fleet.plain, WorkerFault::Full);
+    set_fault(&fleet.plain_workers, WorkerFault::Full);
     let request = IngressRequest::new("/shred/7", "full");
     let answer = IngressCaller::once(fleet.daemons[0].caller, &request).await?;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
-    assert_eq!(runs(&fleet.plain, "full"), 0);
+    assert_eq!(runs(&fleet.plain_workers, "full"), 0);
     Ok(())
 }
 
@@ -188,7 +195,7 @@
 #[tokio::test]
 async fn leaving_worker_gets_nothing() -> Result<()> {
     let fleet = fleet(2).await?;
-    let leaving = &fleet.plain[0];
+    let leaving = &fleet.plain_workers[0];
     fleet.store.publish(leaving.id(), &leaving.entry("notify", "draining"));
     wait_for(SOON, "nothing reaches it any more", async || {
         let before = leaving.executed_requests().len();
@@ -209,7 +216,7 @@
 #[tokio::test]
 async fn worker_that_starts_again_is_used_and_foreign_entries_are_not() -> Result<()> {
     let fleet = fleet(1).await?;
-    let (again, other) = (&fleet.plain[0], &fleet.plain[1]);
+    let (again, other) = (&fleet.plain_workers[0], &fleet.plain_workers[1]);
     fleet.store.publish(again.id(), &again.entry("notify", "draining"));
     fleet.store.publish("torn", &json!({ "service": "notify", "address": "127.0.0.1:9" }));
     fleet.store.publish("odd", &again.entry("notify", "resting"));
@@ -402,8 +409,8 @@
     };
     ask("earlier", 20).await?;
     fleet.store.set_mode(StoreMode::Silent);
-    let seen = |index: usize| fleet.plain[index].executed_requests().len();
-    fleet.plain[0].set_fault(WorkerFault::Leaving);
+    let seen = |index: usize| fleet.plain_workers[index].executed_requests().len();
+    fleet.plain_workers[0].set_fault(WorkerFault::Leaving);
     wait_for(SOON, "the worker answers once more", async || {
         let before = seen(0);
         let _ = ask("once", 1).await;
@@ -413,10 +420,10 @@
     let before = seen(0);
     ask("after", 40).await?;
     assert_eq!(seen(0), before, "it has said that it leaves");
-    fleet.plain[1].set_fault(WorkerFault::Backoff);
+    fleet.plain_workers[1].set_fault(WorkerFault::Backoff);
     let refused = IngressCaller::once(caller, &IngressRequest::new("/ask/7", "refused")).await?;
     assert_eq!(refused.status, 503);
-    fleet.plain[1].set_fault(WorkerFault::None);
+    fleet.plain_workers[1].set_fault(WorkerFault::None);
     let before = seen(1);
     for index in 0..10 {
         // With less time than the worker wants to be left alone for, it is refused at once.
--- a/crates/crocusdaled/tests/store_drill_test.rs
+++ b/crates/crocusdaled/tests/store_drill_test.rs
@@ -24,7 +24,7 @@
 /// Raises the store's revision as workers do that renew their entries.
 fn renew_entries(fleet: &PublishedFleet, times: usize) {
     for _ in 0..times {
-        for worker in &fleet.plain {
+        for worker in &fleet.plain_workers {
             fleet.store.publish(worker.id(), &worker.entry("notify", "ready"));
         }
     }
@@ -68,7 +68,7 @@
         fleet.store.restore(&backup);
         let worker = WorkerStandIn::start(&format!("later-{drill}"))?;
         fleet.store.publish(worker.id(), &worker.entry("notify", "ready"));
-        for old in &fleet.plain {
+        for old in &fleet.plain_workers {
             fleet.store.publish(old.id(), &old.entry("notify", "draining"));
         }
         wait_for(SOON, "the new worker gets requests", async || {
@@ -109,7 +109,7 @@
 async fn worker_that_the_copy_does_not_know_is_kept() -> Result<()> {
     let fleet = fleet().await?;
     let worker = WorkerStandIn::start("within")?;
-    for old in &fleet.plain {
+    for old in &fleet.plain_workers {
         fleet.store.publish(old.id(), &old.entry("notify", "draining"));
     }
     let backup = fleet.store.backup();
@@ -136,7 +136,7 @@
 async fn worker_that_left_within_the_lost_seconds_gets_nothing() -> Result<()> {
     let fleet = fleet().await?;
     let backup = fleet.store.backup();
-    let leaving = &fleet.plain[0];
+    let leaving = &fleet.plain_workers[0];
     fleet.store.publish(leaving.id(), &leaving.entry("notify", "draining"));
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.store.remove(leaving.id());
