--- a/crates/crocusdale_core/tests/support/virtual_fleet.rs
+++ b/crates/crocusdale_core/tests/support/virtual_fleet.rs
@@ -78,8 +78,8 @@
     /// Random generator of response times. `None` means that peers and the platform respond in
     /// their usual times.
     pub slowness: Option<SmallRng>,
-    /// Whether each heartbeat takes [`MAX_HEARTBEAT_LATENCY`] to arrive, and each probe of an upstream
-    /// takes its longest duration.
+    /// Whether each heartbeat takes [`MAX_HEARTBEAT_LATENCY`] to arrive, and each probe of an
+    /// upstream takes its longest duration.
     pub heartbeats_are_late: bool,
     /// Whether only daemons that read the platform send and receive crash records and rate limits.
     /// Otherwise random heartbeats could spread them faster than in the worst case.
