--- a/crates/crocusdale_core/tests/support/mod.rs
+++ b/crates/crocusdale_core/tests/support/mod.rs
@@ -97,14 +97,14 @@
     /// Index of the daemon that sent the query and receives the reply.
     pub sender: usize,
     /// Incarnation of that daemon. A reply to an earlier incarnation is dropped.
-    pub life: u64,
+    pub incarnation: u64,
     pub message: Message,
 }
 
 /// One daemon with its pending timers.
 pub struct Node {
     pub core: DaemonCore,
-    pub life: u64,
+    pub incarnation: u64,
     timers: BTreeMap<(MonotonicTime, u64), TimerKey>,
     /// Whether the daemon is paused: its timers don't fire, and queries to it get no answer.
     pub paused: bool,
@@ -126,7 +126,7 @@
     pub declarations: String,
     pub roster: VmList,
     sequence: u64,
-    lives: u64,
+    last_incarnation: u64,
 }
 
 impl CoreFleet {
@@ -145,7 +145,7 @@
             declarations: DECLARATIONS.to_owned(),
             roster: VmList { revision: 1, vms },
             sequence: 0,
-            lives: 0,
+            last_incarnation: 0,
         };
         for index in 0..count {
             let node = fleet.new_node(index);
@@ -157,10 +157,11 @@
     }
 
     fn new_node(&mut self, index: usize) -> Node {
-        self.lives += 1;
-        let own = InstanceId::new(vm_name(index), self.lives);
-        let core = DaemonCoreBuilder::new(own, zone(index)).seed(self.lives).build(self.now);
-        Node { core, life: self.lives, timers: BTreeMap::new(), paused: false }
+        self.last_incarnation += 1;
+        let own = InstanceId::new(vm_name(index), self.last_incarnation);
+        let core =
+            DaemonCoreBuilder::new(own, zone(index)).seed(self.last_incarnation).build(self.now);
+        Node { core, incarnation: self.last_incarnation, timers: BTreeMap::new(), paused: false }
     }
 
     /// Gives the VM list and the configuration to a daemon.
@@ -223,7 +224,7 @@
     pub fn submit(&mut self, index: usize, request: CallerRequest) {
         let key = request.key.clone();
         let call = self.nodes[index].core.open_call(&key);
-        self.calls.insert((index, self.nodes[index].life, call), key);
+        self.calls.insert((index, self.nodes[index].incarnation, call), key);
         self.feed(index, DaemonEvent::Submitted { call, request: Box::new(request) });
     }
 
@@ -231,7 +232,7 @@
     /// age.
     pub fn inquire(&mut self, index: usize, key: &RequestKey, age_ms: Option<u64>) {
         let call = self.nodes[index].core.open_call(key);
-        self.calls.insert((index, self.nodes[index].life, call), key.clone());
+        self.calls.insert((index, self.nodes[index].incarnation, call), key.clone());
         let age = age_ms.map(Duration::from_millis);
         self.feed(index, DaemonEvent::Inquired { call, key: key.clone(), age });
     }
@@ -241,40 +242,40 @@
     pub fn deliver(&mut self, position: usize, again: bool) {
         let envelope =
             if again { self.network[position].clone() } else { self.network.remove(position) };
-        let (sender, life) = (envelope.sender, envelope.life);
+        let (sender, incarnation) = (envelope.sender, envelope.incarnation);
         match envelope.message {
             // No daemon runs yet on a VM that was added to the list.
             Message::RecordOutcome { witness, .. } if vm_index(&witness) >= self.nodes.len() => {}
             Message::Register { call, witness, .. } if vm_index(&witness) >= self.nodes.len() => {
                 let message = Message::RegisterReply { call, witness, reply: None };
-                self.network.push(Envelope { sender, life, message });
+                self.network.push(Envelope { sender, incarnation, message });
             }
             Message::Register { call, witness, key, witnesses, is_tombstone } => {
                 let at = vm_index(&witness);
                 if self.nodes[at].paused {
                     return;
                 }
-                let claimant = InstanceId::new(vm_name(sender), life);
+                let claimant = InstanceId::new(vm_name(sender), incarnation);
                 let claimant = (!is_tombstone).then_some(&claimant);
                 let mut commands = Vec::new();
                 let node = &self.nodes[at];
                 let reply = node.core.witness(&key, claimant, &witnesses, self.now, &mut commands);
                 let message = Message::RegisterReply { call, witness, reply: Some(reply) };
-                self.network.push(Envelope { sender, life, message });
+                self.network.push(Envelope { sender, incarnation, message });
             }
             Message::AskHolder { call, key, holder } => {
                 let node = &self.nodes[vm_index(&holder.vm)];
                 let reply = (!node.paused).then(|| node.core.holder_reply(&key, &holder));
                 let message = Message::HolderReply { call, reply };
-                self.network.push(Envelope { sender, life, message });
+                self.network.push(Envelope { sender, incarnation, message });
             }
             Message::RecordOutcome { witness, key, body } => {
-                let holder = InstanceId::new(vm_name(sender), life);
+                let holder = InstanceId::new(vm_name(sender), incarnation);
                 let witness = &self.nodes[vm_index(&witness)].core;
                 witness.record_outcome(&key, &holder, &body, self.now);
             }
             Message::RegisterReply { .. } | Message::HolderReply { .. }
-                if self.nodes[sender].life != life || self.nodes[sender].paused => {}
+                if self.nodes[sender].incarnation != incarnation || self.nodes[sender].paused => {}
             Message::RegisterReply { call, witness, reply } => {
                 self.feed(sender, DaemonEvent::WitnessReplied { call, witness, reply });
             }
@@ -302,8 +303,8 @@
         position: usize,
         event: impl FnOnce(AttemptId) -> AttemptEvent,
     ) {
-        let (index, life, order) = self.attempts.remove(position);
-        if self.nodes[index].life == life {
+        let (index, incarnation, order) = self.attempts.remove(position);
+        if self.nodes[index].incarnation == incarnation {
             let event = event(order.attempt);
             self.feed(index, DaemonEvent::Attempt { attempt: order.attempt, event });
         }
@@ -330,8 +331,9 @@
     }
 
     fn execute(&mut self, index: usize, command: Command) {
-        let life = self.nodes[index].life;
-        let mut send = |message| self.network.push(Envelope { sender: index, life, message });
+        let incarnation = self.nodes[index].incarnation;
+        let mut send =
+            |message| self.network.push(Envelope { sender: index, incarnation, message });
         match command {
             Command::AskWitness { call, witness, key, witnesses, is_tombstone } => {
                 send(Message::Register { call, witness, key, witnesses, is_tombstone });
@@ -351,10 +353,10 @@
                 let text = |field: &str| body[field].as_str().unwrap_or_default().to_owned();
                 let key = RequestKey::new(text("workspace"), text("key"));
                 *self.runs.entry(key).or_default() += 1;
-                self.attempts.push((index, life, order));
+                self.attempts.push((index, incarnation, order));
             }
             Command::Reply { call, answer } => {
-                if let Some(key) = self.calls.get(&(index, life, call)) {
+                if let Some(key) = self.calls.get(&(index, incarnation, call)) {
                     self.answers.push((key.clone(), answer));
                 }
             }
