--- a/crates/crocusdale_core/tests/directory_changes_test.rs
+++ b/crates/crocusdale_core/tests/directory_changes_test.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn leaving(id: &str) -> DirectoryEntry {
+fn leaving_entry(id: &str) -> DirectoryEntry {
     DirectoryEntry { leaving: true, ..entry(id) }
 }
 
@@ -53,7 +53,7 @@
             let known = published.iter().position(|(_, each)| each.id == *id);
             match (known, random.random_range(0..3)) {
                 (Some(index), 0) => drop(published.remove(index)),
-                (Some(index), 1) => published[index] = (revision - 1, leaving(id)),
+                (Some(index), 1) => published[index] = (revision - 1, leaving_entry(id)),
                 (Some(index), _) => published[index].0 = revision - 1,
                 (None, _) => published.push((revision - 1, entry(id))),
             }
@@ -79,7 +79,7 @@
     reader.replace(100, all(90).collect(), None);
     let known = reader.position();
     let mut renewed: Vec<_> = all(190).collect();
-    renewed[7] = (190, leaving("w7"));
+    renewed[7] = (190, leaving_entry("w7"));
     renewed.remove(3);
     reader.replace(200, renewed, None);
     let sent = reader.changes_since(known, NOW);
@@ -110,8 +110,8 @@
     assert_eq!(available_ids(&peer), ["a"]);
 }
 
-/// Guards against an entry that expires here although the peer has read it again unchanged: the
-/// peer would send no change of it.
+/// Guards against an entry that expires on one daemon although a peer has read it again unchanged:
+/// the peer would send no change of it.
 #[test]
 fn position_of_a_daemon_with_expired_entries_covers_their_return() {
     let mut reader = UpstreamDirectory::default();
@@ -138,9 +138,10 @@
     fleet.run(Duration::from_secs(4));
     // The first page is read at revision 1,001, before the notice at 1,005. The second page is read
     // later and holds a change at 1,008.
-    fleet.published = (1_001, vec![first(900, "early"), (1_008, leaving("late"))]);
+    fleet.published = (1_001, vec![first(900, "early"), (1_008, leaving_entry("late"))]);
     fleet.run(Duration::from_secs(6));
-    fleet.published = (1_020, vec![(1_005, leaving("early")), (1_008, leaving("late"))]);
+    fleet.published =
+        (1_020, vec![(1_005, leaving_entry("early")), (1_008, leaving_entry("late"))]);
     fleet.run(Duration::from_secs(8));
     for core in &fleet.cores {
         let list = core.published_upstreams(fleet.now);
@@ -160,7 +161,7 @@
     for step in 0..10_u64 {
         let revision = 2_000 + step * 1_000;
         let mut published: Vec<_> = all(revision - 10).collect();
-        published[step as usize] = (revision - 5, leaving(&format!("w{step}")));
+        published[step as usize] = (revision - 5, leaving_entry(&format!("w{step}")));
         fleet.published = (revision, published);
         fleet.run(Duration::from_millis(6_000 + step * 1_000));
     }
@@ -171,8 +172,8 @@
     );
 }
 
-/// Guards against an upstream that is missing here until it changes. Its entry was removed here,
-/// while a peer has read it again unchanged.
+/// Guards against an upstream that is missing on one daemon until its entry changes. The entry has
+/// expired there, while a peer has read it again unchanged.
 #[test]
 fn removed_upstream_returns_with_the_next_list() {
     let mut reader = UpstreamDirectory::default();
@@ -182,9 +183,9 @@
     }
     let grace = MonotonicTime::from_millis(2_000);
     peer.replace(110, vec![(90, entry("a"))], Some(grace));
-    let asked = reader.position();
+    let requested_position = reader.position();
     reader.replace(120, vec![(90, entry("a")), (115, entry("b"))], None);
-    peer.merge(reader.changes_since(asked, NOW), NOW);
+    peer.merge(reader.changes_since(requested_position, NOW), NOW);
     assert_eq!(
         peer.position(),
         at(110),
--- a/crates/crocusdale_core/tests/limited_upstream_test.rs
+++ b/crates/crocusdale_core/tests/limited_upstream_test.rs
@@ -35,7 +35,7 @@
     RequestRate::from_per_second(per_second).expect("a rate")
 }
 
-fn limited(per_second: f64) -> UpstreamNotice {
+fn rate_notice(per_second: f64) -> UpstreamNotice {
     let rate = RateNotice::Limited(rate(per_second));
     UpstreamNotice { rate, ..UpstreamNotice::default() }
 }
@@ -171,20 +171,20 @@
 #[test]
 fn longest_times_of_all_parts_add_up_to_less_than_the_bound() {
     for (size, seeds) in [(6, 12), (60, 3), (410, 1)] {
-        let mut worst = Duration::ZERO;
+        let mut longest_time = Duration::ZERO;
         for seed in 0..seeds {
             let mut upstream = LimitedUpstream::new(size, 2, seed);
             upstream.fleet.tell_by_readers_only();
             upstream.fleet.questions_are_late = true;
-            upstream.tell(seed as usize % size, limited(1.0));
-            let told = upstream.fleet.now;
+            upstream.tell(seed as usize % size, rate_notice(1.0));
+            let notice_time = upstream.fleet.now;
             while upstream.knowing() < size {
                 upstream.run(Duration::from_millis(10));
-                assert!(upstream.fleet.now.since(told) < Duration::from_secs(20));
+                assert!(upstream.fleet.now.since(notice_time) < Duration::from_secs(20));
             }
-            worst = worst.max(upstream.fleet.now.since(told));
+            longest_time = longest_time.max(upstream.fleet.now.since(notice_time));
         }
-        let sum = worst + CONNECT_TIMEOUT;
+        let sum = longest_time + CONNECT_TIMEOUT;
         println!("{size} daemons: {sum:?}");
         assert!(sum < StalenessBounds::default().recovery_time, "{size} daemons: {sum:?} in all");
     }
@@ -206,10 +206,10 @@
         upstream.name_rate(per_second);
         let bound_from = upstream.fleet.now + StalenessBounds::default().recovery_time;
         upstream.run(Duration::from_secs(14));
-        let told = upstream.most_of_told(bound_from);
+        let informed_requests = upstream.most_of_told(bound_from);
         assert!(
-            told <= allowed(per_second),
-            "{size} daemons: {told} requests of daemons that know the limit"
+            informed_requests <= allowed(per_second),
+            "{size} daemons: {informed_requests} requests of daemons that know the limit"
         );
         let all = upstream.most_in_a_window(bound_from, |arrival| arrival.at >= bound_from);
         assert!(all <= allowed(per_second), "{size} daemons: {all} requests in a window");
@@ -273,7 +273,7 @@
 #[test]
 fn restarted_daemon_knows_the_rate_limit_before_it_serves() {
     let mut upstream = LimitedUpstream::new(6, 2, 1);
-    upstream.tell(3, limited(1.0));
+    upstream.tell(3, rate_notice(1.0));
     upstream.run(Duration::from_secs(3));
     upstream.fleet.restart(0);
     while !upstream.fleet.cores[0].is_ready() {
@@ -289,9 +289,9 @@
     let mut daemon = settled_daemon();
     let before = daemon.now;
     daemon.advance(100);
-    handle_notice(&mut daemon, LIMITED_UPSTREAM, limited(0.5));
+    handle_notice(&mut daemon, LIMITED_UPSTREAM, rate_notice(0.5));
     handle_late_notice(&mut daemon, LIMITED_UPSTREAM, UpstreamNotice::default(), before);
-    handle_late_notice(&mut daemon, LIMITED_UPSTREAM, limited(50.0), before);
+    handle_late_notice(&mut daemon, LIMITED_UPSTREAM, rate_notice(50.0), before);
     let called_upstreams = send_requests_for(&mut daemon, 4_000);
     assert!(
         count_calls(&called_upstreams, LIMITED_UPSTREAM) <= 3,
@@ -306,7 +306,7 @@
 #[test]
 fn limit_outlasts_the_return_of_an_entry() {
     let mut daemon = settled_daemon();
-    handle_notice(&mut daemon, LIMITED_UPSTREAM, limited(0.5));
+    handle_notice(&mut daemon, LIMITED_UPSTREAM, rate_notice(0.5));
     daemon.publish(&["n2"], &[]);
     daemon.advance(3_000);
     daemon.publish(&["n1", "n2"], &[]);
@@ -319,7 +319,7 @@
 fn request_beyond_the_rate_limit_is_refused_at_once() {
     let mut daemon = settled_daemon();
     daemon.publish(&["n1"], &[]);
-    handle_notice(&mut daemon, "n1", limited(0.93));
+    handle_notice(&mut daemon, "n1", rate_notice(0.93));
     daemon.advance(1_000);
     let (mut refused, mut sent, mut admitted) = (0, 0, Vec::new());
     for _ in 0..300 {
@@ -386,7 +386,7 @@
 fn chained_request_beyond_the_rate_limit_does_not_start() {
     let mut daemon = settled_daemon();
     for engine in ["r1", "r2"] {
-        handle_notice(&mut daemon, engine, limited(0.0));
+        handle_notice(&mut daemon, engine, rate_notice(0.0));
     }
     let call = daemon.submit("/digest/it");
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::Overload))));
@@ -397,7 +397,7 @@
 #[test]
 fn resumed_streams_count_against_the_rate_limit() {
     let mut daemon = settled_daemon();
-    handle_notice(&mut daemon, "r1", limited(0.5));
+    handle_notice(&mut daemon, "r1", rate_notice(0.5));
     let mut called_upstreams = Vec::new();
     for _ in 0..40 {
         daemon.submit("/digest/it");
@@ -428,7 +428,7 @@
 #[test]
 fn calls_of_a_batched_upstream_stay_within_the_rate_limit() {
     let mut daemon = settled_daemon();
-    handle_notice(&mut daemon, "s1", limited(1.0));
+    handle_notice(&mut daemon, "s1", rate_notice(1.0));
     let (mut calls, mut others) = (0, 0);
     for round in 0..40 {
         for _ in 0..10 {
@@ -457,7 +457,7 @@
 #[test]
 fn rate_limit_ends_with_its_process() {
     let mut upstream = LimitedUpstream::new(6, 1, 1);
-    upstream.tell(0, limited(0.0));
+    upstream.tell(0, rate_notice(0.0));
     upstream.run(Duration::from_secs(3));
     assert_eq!(upstream.knowing(), 6);
     upstream.start_again();
--- a/crates/crocusdale_core/tests/list_age_test.rs
+++ b/crates/crocusdale_core/tests/list_age_test.rs
@@ -229,9 +229,9 @@
     daemon.advance(500);
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(500);
-    let mut back = daemon.now;
+    let mut recovered_at = daemon.now;
     for _ in 0..5 {
-        back = daemon.readings.pop().expect("a read is running");
+        recovered_at = daemon.readings.pop().expect("a read is running");
         daemon.advance(900);
         daemon.feed(DaemonEvent::DirectoryReadFailed);
         while daemon.readings.is_empty() {
@@ -239,7 +239,7 @@
         }
     }
     daemon.publish(&["n2"], &[]);
-    while daemon.now < back + (Duration::from_millis(3_000) - CONNECT_TIMEOUT) {
+    while daemon.now < recovered_at + (Duration::from_millis(3_000) - CONNECT_TIMEOUT) {
         daemon.advance(10);
     }
     let known = daemon.core.published_upstreams(daemon.now).entries;
@@ -252,7 +252,7 @@
 /// requests for two more seconds.
 #[test]
 fn two_failures_far_apart_are_no_outage() {
-    let mut daemon = following_daemon();
+    let mut daemon = daemon_with_reading_peer();
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     let known = daemon.core.dump(daemon.now).directory_revision;
     for _ in 0..50 {
@@ -273,7 +273,7 @@
 /// seconds.
 #[test]
 fn old_failure_does_not_lift_the_age_limit() {
-    let mut daemon = following_daemon();
+    let mut daemon = daemon_with_reading_peer();
     daemon.feed(DaemonEvent::DirectoryReadFailed);
     let known = daemon.core.dump(daemon.now).directory_revision;
     for _ in 0..50 {
@@ -287,7 +287,7 @@
 
 /// A daemon whose list a peer reads, and which has started one read of its own because of the
 /// list's age.
-fn following_daemon() -> Daemon {
+fn daemon_with_reading_peer() -> Daemon {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(500);
--- a/crates/crocusdale_core/tests/published_upstreams_test.rs
+++ b/crates/crocusdale_core/tests/published_upstreams_test.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn leaving(id: &str) -> DirectoryEntry {
+fn leaving_entry(id: &str) -> DirectoryEntry {
     DirectoryEntry { leaving: true, ..entry(id) }
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn expired_entry_with_a_leaving_notice_is_removed_at_once() {
     let mut directory = UpstreamDirectory::default();
-    directory.replace(5, vec![(3, entry("u1")), (4, leaving("u2"))], None);
+    directory.replace(5, vec![(3, entry("u1")), (4, leaving_entry("u2"))], None);
     let grace = MonotonicTime::from_millis(2_000);
     assert!(directory.replace(9, vec![(8, entry("u1"))], Some(grace)));
     assert_eq!(directory.entries().count(), 1, "u2 must be removed");
@@ -67,7 +67,7 @@
 #[test]
 fn older_list_does_not_override_a_leaving_notice() {
     let mut directory = UpstreamDirectory::default();
-    directory.replace(9, vec![(8, leaving("u1"))], None);
+    directory.replace(9, vec![(8, leaving_entry("u1"))], None);
     assert!(!directory.replace(7, vec![(3, entry("u1"))], None));
     assert!(available_ids(&directory).is_empty());
 }
@@ -90,7 +90,7 @@
     assert!(directory.replace(5, vec![(3, entry("u1"))], None));
     assert!(!directory.replace(6, vec![(6, entry("u1"))], None));
     assert_eq!(directory.change_position(), 3.into());
-    assert!(directory.replace(7, vec![(7, leaving("u1"))], None));
+    assert!(directory.replace(7, vec![(7, leaving_entry("u1"))], None));
     assert_eq!(directory.change_position(), 7.into());
 }
 
--- a/crates/crocusdale_core/tests/store_restore_test.rs
+++ b/crates/crocusdale_core/tests/store_restore_test.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn leaving(id: &str) -> DirectoryEntry {
+fn leaving_entry(id: &str) -> DirectoryEntry {
     DirectoryEntry { leaving: true, ..entry(id) }
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// A list with the upstreams `a` and `b`, read at revision 900 of era 1.
-fn known() -> UpstreamDirectory {
+fn known_directory() -> UpstreamDirectory {
     let mut directory = UpstreamDirectory::default();
     directory.replace(at(1, 900), vec![(300, entry("a")), (890, entry("b"))], None);
     directory
@@ -56,7 +56,7 @@
 
 #[test]
 fn list_of_a_later_era_is_accepted_at_any_revision() {
-    let mut directory = known();
+    let mut directory = known_directory();
     assert!(directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("c"))], None));
     assert_eq!(available_ids(&directory), ["a", "c"]);
     assert!(directory.change_position() > at(1, 900));
@@ -70,7 +70,7 @@
 
 #[test]
 fn upstream_that_the_copy_lacks_is_kept_for_the_grace_time() {
-    let mut directory = known();
+    let mut directory = known_directory();
     directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE_END));
     assert_eq!(available_ids(&directory), ["a", "b"]);
     // The upstream writes its entry again and is kept.
@@ -81,7 +81,7 @@
 
 #[test]
 fn upstream_that_never_writes_again_is_removed() {
-    let mut directory = known();
+    let mut directory = known_directory();
     directory.replace(at(2, 350), vec![(300, entry("a"))], Some(GRACE_END));
     directory.replace(at(2, 360), vec![(300, entry("a"))], None);
     assert_eq!(
@@ -96,8 +96,8 @@
 
 #[test]
 fn leaving_notice_that_the_copy_lacks_is_kept() {
-    let mut directory = known();
-    directory.replace(at(1, 910), vec![(300, entry("a")), (905, leaving("b"))], None);
+    let mut directory = known_directory();
+    directory.replace(at(1, 910), vec![(300, entry("a")), (905, leaving_entry("b"))], None);
     directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE_END));
     assert_eq!(available_ids(&directory), ["a"]);
     directory.replace(at(2, 370), vec![(300, entry("a")), (365, entry("b"))], None);
@@ -110,7 +110,7 @@
 
 #[test]
 fn removed_upstream_is_not_restored_from_the_copy() {
-    let mut directory = known();
+    let mut directory = known_directory();
     directory.replace(at(1, 920), vec![(300, entry("a"))], None);
     assert_eq!(available_ids(&directory), ["a"]);
     directory.replace(at(2, 350), vec![(300, entry("a")), (340, entry("b"))], Some(GRACE_END));
@@ -119,7 +119,7 @@
     directory.replace(at(2, 352), vec![(300, entry("a")), (351, entry("b"))], None);
     assert_eq!(available_ids(&directory), ["a", "b"]);
     // A process with a start time is another one than before, so its entry in the copy counts.
-    let mut directory = known();
+    let mut directory = known_directory();
     directory.replace(at(1, 920), vec![(300, entry("a"))], None);
     let restarted = DirectoryEntry { started_at_ms: Some(7), ..entry("b") };
     directory.replace(at(2, 350), vec![(300, entry("a")), (340, restarted)], Some(GRACE_END));
@@ -130,7 +130,7 @@
 /// and never knew an upstream that registered in the seconds which the copy lacks.
 #[test]
 fn list_of_a_peer_in_a_later_era_removes_no_upstream_at_once() {
-    let mut directory = known();
+    let mut directory = known_directory();
     let mut peer = UpstreamDirectory::default();
     peer.replace(at(2, 350), vec![(300, entry("a"))], None);
     let now = MonotonicTime::from_millis(1_000);
@@ -142,7 +142,7 @@
     // The other way round, the list of the earlier era is outdated.
     let mut ahead = UpstreamDirectory::default();
     ahead.replace(at(2, 350), vec![(300, entry("a"))], None);
-    assert!(!ahead.merge(known().snapshot(now), now));
+    assert!(!ahead.merge(known_directory().snapshot(now), now));
     assert_eq!(available_ids(&ahead), ["a"]);
 }
 
--- a/crates/crocusdale_core/tests/upstream_notice_test.rs
+++ b/crates/crocusdale_core/tests/upstream_notice_test.rs
@@ -39,7 +39,7 @@
     UpstreamNotice { backoff: Some(time), ..UpstreamNotice::default() }
 }
 
-fn notice(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice) {
+fn handle_notice(daemon: &mut Daemon, upstream: &str, notice: UpstreamNotice) {
     let (upstream, sent) = (upstream.to_owned(), daemon.now);
     daemon.feed(DaemonEvent::UpstreamNoticed { upstream, notice, sent });
 }
@@ -60,7 +60,7 @@
     sent_requests
 }
 
-fn count_of(sent_requests: &[(String, MonotonicTime)], upstream: &str) -> usize {
+fn count_requests(sent_requests: &[(String, MonotonicTime)], upstream: &str) -> usize {
     sent_requests.iter().filter(|(each, _)| each == upstream).count()
 }
 
@@ -69,13 +69,16 @@
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
     assert!(
-        count_of(&send_requests(&mut daemon, 10), "n1") > 0,
+        count_requests(&send_requests(&mut daemon, 10), "n1") > 0,
         "n1 must get requests before its notice"
     );
     daemon.feed(DaemonEvent::DirectoryReadFailed);
-    notice(&mut daemon, "n1", LEAVING_NOTICE);
+    handle_notice(&mut daemon, "n1", LEAVING_NOTICE);
     let sent_requests = send_requests(&mut daemon, 40);
-    assert_eq!((count_of(&sent_requests, "n1"), count_of(&sent_requests, "n2")), (0, 40));
+    assert_eq!(
+        (count_requests(&sent_requests, "n1"), count_requests(&sent_requests, "n2")),
+        (0, 40)
+    );
 }
 
 /// Guards against a list that overrides a leaving notice of the same process: one that was written
@@ -85,18 +88,18 @@
 fn no_list_overrides_a_leaving_notice() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
-    notice(&mut daemon, "n1", LEAVING_NOTICE);
+    handle_notice(&mut daemon, "n1", LEAVING_NOTICE);
     for listed in [&["n1", "n2"][..], &["n2"], &["n1", "n2"]] {
         daemon.advance(3_000);
         daemon.publish(listed, &[]);
         assert_eq!(
-            count_of(&send_requests(&mut daemon, 5), "n1"),
+            count_requests(&send_requests(&mut daemon, 5), "n1"),
             0,
             "n1 must get no request while {listed:?} are listed"
         );
     }
     daemon.publish(&["n2", "n3"], &[]);
-    assert!(count_of(&send_requests(&mut daemon, 20), "n3") > 0, "n3 must get requests");
+    assert!(count_requests(&send_requests(&mut daemon, 20), "n3") > 0, "n3 must get requests");
 }
 
 /// Guards against requests that are written too late after a notice. They got their upstream just
@@ -112,7 +115,7 @@
             daemon.submit("/ask/it");
         }
         let noticed = daemon.now;
-        notice(&mut daemon, "n1", upstream_notice);
+        handle_notice(&mut daemon, "n1", upstream_notice);
         for relay in std::mem::take(&mut daemon.relays) {
             if relay.upstream == "n1" {
                 last = last.max(relay.write_by);
@@ -120,7 +123,7 @@
             daemon.headed(relay.attempt, 503, ExecutionStatus::Declined);
         }
         let sent_requests = send_requests(&mut daemon, 30);
-        assert_eq!(count_of(&sent_requests, "n1"), 0, "{upstream_notice:?}");
+        assert_eq!(count_requests(&sent_requests, "n1"), 0, "{upstream_notice:?}");
         let sum = last.since(noticed);
         assert!(
             sum <= CONNECT_TIMEOUT && sum < BACKOFF_BOUND && sum < NOTICE_BOUND,
@@ -135,7 +138,7 @@
 fn batched_upstream_with_a_leaving_notice_gets_no_calls() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1"], &[]);
-    notice(&mut daemon, "s1", LEAVING_NOTICE);
+    handle_notice(&mut daemon, "s1", LEAVING_NOTICE);
     for _ in 0..20 {
         daemon.submit("/digest/it");
         daemon.advance(50);
@@ -152,14 +155,14 @@
 fn upstream_gets_no_requests_during_its_backoff() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
-    notice(&mut daemon, "n1", backoff_notice(Duration::from_secs(3)));
+    handle_notice(&mut daemon, "n1", backoff_notice(Duration::from_secs(3)));
     daemon.publish(&["n1", "n2"], &[]);
     let sent_requests = send_requests(&mut daemon, 29);
-    assert_eq!(count_of(&sent_requests, "n1"), 0);
+    assert_eq!(count_requests(&sent_requests, "n1"), 0);
     daemon.publish(&["n1", "n2"], &[]);
     daemon.advance(200);
     assert!(
-        count_of(&send_requests(&mut daemon, 20), "n1") > 0,
+        count_requests(&send_requests(&mut daemon, 20), "n1") > 0,
         "n1 must get requests after its backoff"
     );
 }
@@ -170,14 +173,14 @@
 fn backoff_outlasts_the_return_of_an_entry() {
     let mut daemon = Daemon::new();
     for upstream in ["n1", "s1"] {
-        notice(&mut daemon, upstream, backoff_notice(Duration::from_secs(10)));
+        handle_notice(&mut daemon, upstream, backoff_notice(Duration::from_secs(10)));
     }
     daemon.stages = vec!["s2".to_owned()];
     daemon.publish(&["n2"], &[]);
     daemon.advance(5_000);
     daemon.stages = vec!["s1".to_owned(), "s2".to_owned()];
     daemon.publish(&["n1", "n2"], &[]);
-    assert_eq!(count_of(&send_requests(&mut daemon, 20), "n1"), 0);
+    assert_eq!(count_requests(&send_requests(&mut daemon, 20), "n1"), 0);
     for _ in 0..20 {
         daemon.submit("/digest/it");
         daemon.advance(50);
@@ -194,8 +197,8 @@
 fn request_is_refused_at_once_if_every_backoff_outlasts_it() {
     let mut daemon = Daemon::new();
     daemon.publish(&["n1", "n2"], &[]);
-    notice(&mut daemon, "n1", backoff_notice(Duration::from_secs(30)));
-    notice(&mut daemon, "n2", backoff_notice(Duration::from_secs(20)));
+    handle_notice(&mut daemon, "n1", backoff_notice(Duration::from_secs(30)));
+    handle_notice(&mut daemon, "n2", backoff_notice(Duration::from_secs(20)));
     daemon.advance(1_000);
     let call = daemon.submit("/ask/it");
     assert_eq!(daemon.answer(call), Some((OutcomeKind::Refused, Some(RefusalReason::Overload))));
@@ -210,7 +213,7 @@
     let mut daemon = Daemon::new();
     daemon.publish(&["n1"], &[]);
     for engine in ["r1", "r2"] {
-        notice(&mut daemon, engine, backoff_notice(Duration::from_secs(30)));
+        handle_notice(&mut daemon, engine, backoff_notice(Duration::from_secs(30)));
     }
     daemon.submit("/tell/it");
     daemon.submit("/digest/it");
@@ -261,7 +264,11 @@
     daemon.advance(4_000);
     daemon.publish(&["n1"], &[]);
     let cold = Some(Duration::from_secs(3));
-    notice(&mut daemon, "r1", UpstreamNotice { cold_remaining: cold, ..UpstreamNotice::default() });
+    handle_notice(
+        &mut daemon,
+        "r1",
+        UpstreamNotice { cold_remaining: cold, ..UpstreamNotice::default() },
+    );
     let list = daemon.core.published_upstreams(daemon.now);
     assert_eq!(list.cold.len(), 1, "the list for peers must hold one cold upstream");
     let dump = daemon.core.dump(daemon.now);
--- a/crates/crocusdale_core/tests/zone_evacuation_test.rs
+++ b/crates/crocusdale_core/tests/zone_evacuation_test.rs
@@ -48,7 +48,7 @@
 }
 
 /// A list of the upstreams `a1` in zone `a` and `b1` in zone `b`. Zone `b` is evacuated.
-fn evacuated() -> UpstreamDirectory {
+fn evacuated_directory() -> UpstreamDirectory {
     let mut directory = UpstreamDirectory::default();
     assert!(directory.replace_evacuations(at(1, 10), vec![evacuation(at(1, 9), "b")], None));
     directory.replace(at(1, 10), vec![(3, entry("a1", "a")), (4, entry("b1", "b"))], None);
@@ -140,7 +140,7 @@
 /// Guards against a zone that is opened again by a list that was read before the evacuation.
 #[test]
 fn older_list_does_not_open_a_zone() {
-    let mut directory = evacuated();
+    let mut directory = evacuated_directory();
     assert!(!directory.replace_evacuations(at(1, 8), Vec::new(), None));
     assert_eq!(available_ids(&directory), ["a1"]);
     assert!(directory.replace_evacuations(at(1, 12), Vec::new(), None));
@@ -152,7 +152,7 @@
 /// evacuation.
 #[test]
 fn evacuation_that_the_copy_lacks_is_kept_for_the_grace_time() {
-    let mut directory = evacuated();
+    let mut directory = evacuated_directory();
     let grace = MonotonicTime::from_millis(5_000);
     directory.replace_evacuations(at(2, 5), Vec::new(), Some(grace));
     directory.replace_evacuations(at(2, 6), Vec::new(), None);
