--- a/crates/crocusdale_core/tests/engine_choice_test.rs
+++ b/crates/crocusdale_core/tests/engine_choice_test.rs
@@ -28,7 +28,7 @@
 /// Time for which an engine caches an unused prompt part.
 const PART_CACHE_TIME: Duration = Duration::from_secs(20);
 
-/// Load that users expect once their fleets have grown, and the engines that serve it.
+/// Load that users expect from large fleets, and the engines that serve the load.
 struct FleetLoad {
     daemons: usize,
     engines: usize,
